--- a/bench/door.py
+++ b/bench/door.py
@@ -13,11 +13,11 @@
 from bench.replay import NOW_S, ROOM, SERVICE, Day, Load, Outcome, difference
 from curranthill.admission import (
     Outlook,
-    ServiceRoom,
+    ServiceResources,
     may_accept,
     outlook_of,
 )
-from curranthill.placement import ALL_ON, Room
+from curranthill.placement import ALL_ON, WorkerCapacity
 from curranthill.tasks import JobSpec, Resources
 
 #: How often an outlook is made, and how long it takes to the hosts, in seconds.
@@ -58,7 +58,7 @@
         self._number += 1
         made = outlook_of(
             self._jobs.values(),
-            rooms={SERVICE: self._room()},
+            resources={SERVICE: self._room()},
             guaranteed={f't{team}': len(self._runs) for team in range(4)},
             now_s=NOW_S + self._now_s,
             number=self._number,
@@ -70,14 +70,14 @@
         self._outlook = outlook
         self._read_s = self._now_s
 
-    def _room(self) -> ServiceRoom:
+    def _room(self) -> ServiceResources:
         held = len(self._runs) - len(self._leaving)
         total = Resources(*(held * part for part in ROOM))
-        return ServiceRoom(total, self._free_room)
+        return ServiceResources(total, self._free_room)
 
     def _free_room(self) -> Resources:
         free = [
-            Room(entry=self._entries[name], runs=runs, doubt=0.0).free
+            WorkerCapacity(entry=self._entries[name], runs=runs, doubt=0.0).free
             for name, runs in self._runs.items()
             if name not in self._leaving
         ]
--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -13,8 +13,8 @@
     ActiveJob,
     Plan,
     Planner,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
 )
 from curranthill.tasks import (
@@ -78,7 +78,7 @@
     """Return a cluster that is nearly full, with so many jobs that wait."""
     source = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
-    free = {entry.worker_id: entry.room for entry in entries}
+    free = {entry.worker_id: entry.capacity for entry in entries}
     cluster = FullCluster(
         entries=entries,
         runs={entry.worker_id: [] for entry in entries},
@@ -103,7 +103,7 @@
 def plan_round(cluster: FullCluster) -> Plan:
     """Return what one round decides, from the runs as they are."""
     rooms = [
-        Room(
+        WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
             doubt=cluster.doubts[entry.worker_id],
@@ -111,7 +111,7 @@
         for entry in cluster.entries
     ]
     planner = Planner(
-        rooms={SERVICE: rooms},
+        workers={SERVICE: rooms},
         guaranteed=cluster.guaranteed,
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -129,7 +129,7 @@
         service=SERVICE,
         address=f'10.0.0.1:{number}',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', f'r{number // WORKERS_PER_RACK}'),
     )
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -29,8 +29,8 @@
     BacklogCursor,
     Planner,
     ReservationTurns,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
     checked,
 )
@@ -322,7 +322,7 @@
                 service=SERVICE,
                 address='',
                 data_centre='dc',
-                room=load.room,
+                capacity=load.room,
                 labels=('a', f'r{number // per_rack}'),
             )
             for number in range(workers)
@@ -449,7 +449,7 @@
             for run in runs:
                 run.age_s = max(0.0, self._now_s - run.started_s)
         rooms = [
-            Room(
+            WorkerCapacity(
                 entry=self._entries[name],
                 runs=runs,
                 doubt=0.0,
@@ -460,7 +460,7 @@
             and self._looked_at_s.get(name, 0.0) <= self._now_s
         ]
         planner = Planner(
-            rooms={SERVICE: rooms},
+            workers={SERVICE: rooms},
             guaranteed=self._guaranteed(),
             now_s=NOW_S + self._now_s,
             tickets=lambda job, ready: {},
--- a/bench/soak_waits.py
+++ b/bench/soak_waits.py
@@ -242,7 +242,7 @@
 ) -> FreeRoom:
     """Return what workers have free."""
     rooms = tuple(_free(worker, jobs) for worker in workers)
-    gpus = sum(worker.entry.room.gpus for worker in workers)
+    gpus = sum(worker.entry.capacity.gpus for worker in workers)
     return FreeRoom(rooms, gpus, gpus - sum(room.gpus for room in rooms))
 
 
@@ -251,7 +251,7 @@
     jobs: Mapping[str, dict[str, Any]],
 ) -> Resources:
     """Return what a worker's runs leave of its room."""
-    free = worker.entry.room
+    free = worker.entry.capacity
     for run in worker.runs.values():
         free = free.minus(need_of(jobs[run.task.job_id]).resources)
     return free
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -117,7 +117,7 @@
         if name not in self._servers:
             return
         model = self.model(name)
-        model.entry = model.entry._replace(room=ROOM._replace(gpus=gpus))
+        model.entry = model.entry._replace(capacity=ROOM._replace(gpus=gpus))
         self.list_again(name)
 
     async def _come_back(self, name: str) -> None:
@@ -154,7 +154,7 @@
             service='calc',
             address='',
             data_centre=DATA_CENTRES[len(self.models) % len(DATA_CENTRES)],
-            room=ROOM,
+            capacity=ROOM,
             labels=('a', 'r1'),
             incarnation=1,
         )
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,6 +1,6 @@
 """How work is turned away: decisions only, no input or output, no clock."""
 
-from curranthill.admission.forecast import ServiceRoom, outlook_of
+from curranthill.admission.forecast import ServiceResources, outlook_of
 from curranthill.admission.outlook import (
     FULL,
     MOST_OF_WORKSPACE,
@@ -27,7 +27,7 @@
     'Outlook',
     'Refusal',
     'ServiceOutlook',
-    'ServiceRoom',
+    'ServiceResources',
     'may_accept',
     'outlook_of',
     'return_after_s',
--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -21,7 +21,7 @@
     hopeless_jobs,
     in_order,
     late_jobs,
-    room_needed,
+    resources_needed,
 )
 from curranthill.tasks import JobProgress, Resources
 
@@ -55,7 +55,7 @@
 PROBE: Final = 'probe'
 
 
-class ServiceRoom(NamedTuple):
+class ServiceResources(NamedTuple):
     """The room of one service's workers.
 
     :param total: all of it, used or not.
@@ -69,7 +69,7 @@
 def outlook_of(
     jobs: Iterable[ActiveJob],
     *,
-    rooms: Mapping[str, ServiceRoom],
+    resources: Mapping[str, ServiceResources],
     guaranteed: Mapping[str, int],
     now_s: float,
     number: int,
@@ -84,7 +84,7 @@
     unbegun = [job for job in open_jobs if not job.begun]
     waiting = Counter(job.spec.workspace for job in unbegun)
     covered = covered_jobs(open_jobs, guaranteed)
-    services = _services(open_jobs, rooms, covered, now_s)
+    services = _services(open_jobs, resources, covered, now_s)
     many = len(unbegun) >= TOLD_WAITING_SHARE * MOST_WAITING
     if not services and not many:
         return None
@@ -103,23 +103,25 @@
 
 def _services(
     jobs: list[ActiveJob],
-    rooms: Mapping[str, ServiceRoom],
+    resources: Mapping[str, ServiceResources],
     covered: set[str],
     now_s: float,
 ) -> tuple[ServiceOutlook, ...]:
     """Return the services for which something waits long."""
     waiting: dict[str, list[ActiveJob]] = defaultdict(list)
     for job in jobs:
-        if job.spec.queue.service in rooms and _waits_whole(job):
+        if job.spec.queue.service in resources and _waits_whole(job):
             waiting[job.spec.queue.service].append(job)
     told = []
     for name, queue in waiting.items():
-        waits = _waits(queue, rooms[name].total, covered, now_s)
+        waits = _waits(queue, resources[name].total, covered, now_s)
         if waits:
             told.append((_longest_s(waits), name, waits))
     told.sort(key=lambda one: -one[0])
     return tuple(
-        ServiceOutlook(name, rooms[name].total, rooms[name].free(), waits)
+        ServiceOutlook(
+            name, resources[name].total, resources[name].free(), waits
+        )
         for _, name, waits in told[:TOLD_SERVICES]
     )
 
@@ -194,7 +196,7 @@
     for number, step in enumerate(job.spec.steps):
         if job.begun and job.step_done(0, number):
             continue
-        needs = room_needed(step)
+        needs = resources_needed(step)
         work_s = step.width * step.estimate_s
         work = _plus(
             work,
@@ -261,4 +263,4 @@
     return max(wait_s for steps in waits.values() for _, wait_s in steps)
 
 
-__all__ = ('TOLD_FROM_S', 'ServiceRoom', 'outlook_of')
+__all__ = ('TOLD_FROM_S', 'ServiceResources', 'outlook_of')
--- a/src/curranthill/admission/outlook.py
+++ b/src/curranthill/admission/outlook.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from curranthill.placement import LATE_UNTIL, URGENT, room_needed
+from curranthill.placement import LATE_UNTIL, URGENT, resources_needed
 from curranthill.tasks import JobSpec, Queue, Resources, Step
 
 #: The form of the record; hosts go by no other form.
@@ -54,14 +54,14 @@
 class ServiceOutlook(msgspec.Struct, array_like=True):
     """What waits for one service's workers.
 
-    :param room: what all its workers have.
+    :param total: the capacity of all its workers.
     :param free: the most that is free on one worker, part by part.
     :param waits: by priority, rising steps of an objective (seconds from now)
         and the wait expected of a job whose objective is not earlier.
     """
 
     name: str
-    room: Resources = Resources()
+    total: Resources = Resources()
     free: Resources = Resources()
     waits: dict[int, tuple[tuple[float, float], ...]] = {}
 
@@ -177,15 +177,16 @@
 def _must_wait(spec: JobSpec, service: ServiceOutlook) -> bool:
     """Return whether no task can start now, and the chain tells the run."""
     return not any(
-        _is_wide(step, service.room) or service.free.covers(room_needed(step))
+        _is_wide(step, service.total)
+        or service.free.covers(resources_needed(step))
         for step in spec.steps
     )
 
 
-def _is_wide(step: Step, room: Resources) -> bool:
+def _is_wide(step: Step, total: Resources) -> bool:
     return any(
         step.width * need > WIDE_SHARE * have
-        for need, have in zip(room_needed(step), room, strict=True)
+        for need, have in zip(resources_needed(step), total, strict=True)
     )
 
 
--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 from typing import Final
 
-from curranthill.placement import ReadyStep, Room
-from curranthill.placement.fitting import choose_rooms, groups_of
-from curranthill.placement.rooms import ServiceRooms, copies
+from curranthill.placement import ReadyStep, WorkerCapacity
+from curranthill.placement.capacity import ServiceCapacity, copies
+from curranthill.placement.fitting import choose_workers, groups_of
 
 #: Why a step does not start now.
 NO_WORKER: Final = 'no worker is large enough'
@@ -24,7 +24,7 @@
 
 def waits_for(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     *,
     beyond_guarantee: bool,
     kept: bool = True,
@@ -33,7 +33,7 @@
 ) -> str:
     """Return what a step waits for that may start by its turn.
 
-    :param rooms: those of the step's service; left as they are.
+    :param workers: those of the step's service; left as they are.
     :param beyond_guarantee: whether it is urgent, and its workspace's
         guarantee is in use.
     :param kept: whether room is kept for other jobs of the service.
@@ -42,14 +42,14 @@
     """
     step = ready.step
     wanted = len(ready.tasks) if step.gang else 1
-    if sum(copies(room, step) for room in rooms) < wanted:
+    if sum(copies(worker, step) for worker in workers) < wanted:
         return NO_WORKER
-    groups = groups_of(ready, ServiceRooms(rooms=rooms), patient=patient)
+    groups = groups_of(ready, ServiceCapacity(workers=workers), patient=patient)
     if any(_fits(ready, group) for group in groups):
         return _reason_of_fit(kept=kept, advised=advised)
-    if ready.alone and _fits(ready._replace(alone=False), rooms):
+    if ready.alone and _fits(ready._replace(alone=False), workers):
         return ALONE
-    if _fits(ready, rooms):
+    if _fits(ready, workers):
         return RACK
     return BEYOND_GUARANTEE if beyond_guarantee else NO_ROOM
 
@@ -61,10 +61,10 @@
     return ADVISED if advised else TURN
 
 
-def _fits(ready: ReadyStep, rooms: Sequence[Room]) -> bool:
-    chosen = choose_rooms(ready, rooms)
-    for key, room in chosen:
-        room.unplace(key, ready.step)
+def _fits(ready: ReadyStep, workers: Sequence[WorkerCapacity]) -> bool:
+    chosen = choose_workers(ready, workers)
+    for key, worker in chosen:
+        worker.unplace(key, ready.step)
     return bool(chosen)
 
 
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -284,7 +284,7 @@
         service='',
         address='',
         data_centre='',
-        room=Resources(),
+        capacity=Resources(),
     )
 
 
--- a/src/curranthill/dispatch/outlooks.py
+++ b/src/curranthill/dispatch/outlooks.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from curranthill.admission import Outlook, ServiceRoom, outlook_of
+from curranthill.admission import Outlook, ServiceResources, outlook_of
 from curranthill.clock import Clock
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.work import Work
-from curranthill.placement import Room
+from curranthill.placement import WorkerCapacity
 from curranthill.tasks import Resources, Revision
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -50,7 +50,7 @@
         self._number += 1
         return outlook_of(
             self._work.jobs.values(),
-            rooms=self._rooms(),
+            resources=self._rooms(),
             guaranteed={
                 one.name: one.guaranteed_gpus for one in revision.workspaces
             },
@@ -58,7 +58,7 @@
             number=self._number,
         )
 
-    def _rooms(self) -> dict[str, ServiceRoom]:
+    def _rooms(self) -> dict[str, ServiceResources]:
         """Return the room of all workers that may take work, busy or not.
 
         One that does not answer now counts too: the wait is rather told as
@@ -69,10 +69,10 @@
             if session.listed and not session.gone:
                 by_service.setdefault(session.entry.service, []).append(session)
         return {
-            service: ServiceRoom(
+            service: ServiceResources(
                 reduce(
                     Resources.plus,
-                    (session.entry.room for session in sessions),
+                    (session.entry.capacity for session in sessions),
                 ),
                 _FreeRoom(sessions),
             )
@@ -90,7 +90,7 @@
         """Return the most that is free on one worker, part by part."""
         most = Resources()
         for session in self._sessions:
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
                 doubt=0.0,
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -28,8 +28,8 @@
     Planner,
     ReadyStep,
     ReservationTurns,
-    Room,
     Run,
+    WorkerCapacity,
     checkpoint_of,
 )
 from curranthill.tasks import QUEUED, RUNNING, JobSpec, Revision
@@ -133,7 +133,7 @@
             return
         self._questions.clear()
         planner = Planner(
-            rooms=self._rooms(),
+            workers=self._rooms(),
             guaranteed=self._guaranteed(),
             now_s=now_s,
             tickets=self._tickets,
@@ -216,12 +216,12 @@
         self._office.forget_except(set(self._work.jobs))
         self._work.changed.set()
 
-    def _rooms(self) -> dict[str, list[Room]]:
-        rooms: dict[str, list[Room]] = {}
+    def _rooms(self) -> dict[str, list[WorkerCapacity]]:
+        rooms: dict[str, list[WorkerCapacity]] = {}
         for session in self._work.sessions.values():
             if not session.accepts_work:
                 continue
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
                 doubt=self._doubt(session),
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -232,7 +232,7 @@
                 # It was closed while the start waited for its turn.
                 self._list.vanish(run, 'data centre closed')
                 return
-            if not self._list.fits(run, self.entry.room):
+            if not self._list.fits(run, self.entry.capacity):
                 # Its room has shrunk while the start waited for its turn.
                 self._list.vanish(run, 'room shrunk')
                 return
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -12,7 +12,7 @@
     MOST_SKEW_S,
     ActiveJob,
     ReadyStep,
-    Room,
+    WorkerCapacity,
     covered_jobs,
     waits_for_rack,
 )
@@ -64,7 +64,7 @@
     def show(
         self,
         guaranteed: Mapping[str, int],
-        rooms_now: Callable[[], Mapping[str, list[Room]]],
+        rooms_now: Callable[[], Mapping[str, list[WorkerCapacity]]],
         reserved_for: Sequence[str] = (),
     ) -> None:
         """Show who waits now.
@@ -166,7 +166,7 @@
     def _count_workers(
         self,
         job: ActiveJob,
-        rooms: Sequence[Room],
+        rooms: Sequence[WorkerCapacity],
     ) -> WorkerCounts:
         """Return what the workers of a job's service are.
 
--- a/src/curranthill/dispatch/watch.py
+++ b/src/curranthill/dispatch/watch.py
@@ -175,7 +175,7 @@
     taken = run.needs
     for one in session.runs.values():
         taken = taken.plus(one.needs)
-    return session.entry.room.covers(taken)
+    return session.entry.capacity.covers(taken)
 
 
 __all__ = ('RunWatch',)
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/work.py
@@ -22,7 +22,7 @@
     ActiveJob,
     Run,
     kind_of,
-    room_needed,
+    resources_needed,
 )
 from curranthill.storage.rows import RowRemoval
 from curranthill.tasks import (
@@ -193,7 +193,7 @@
         job = self.jobs.get(key.job_id)
         if job is None or key.step >= len(job.spec.steps):
             return Resources()
-        return room_needed(job.step_of(key))
+        return resources_needed(job.step_of(key))
 
     async def ends_saved(self) -> None:
         """Return once all ends noted so far are stored."""
@@ -266,7 +266,7 @@
             key=key,
             attempt=attempt,
             worker_id=session.worker_id,
-            needs=room_needed(step),
+            needs=resources_needed(step),
             priority=job.spec.queue.priority,
             checkpointable=step.checkpointable,
             state=MARKED,
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -4,6 +4,11 @@
 """
 
 from curranthill.placement.backlog import BacklogCursor
+from curranthill.placement.capacity import (
+    WorkerCapacity,
+    level_of,
+    resources_needed,
+)
 from curranthill.placement.durations import DurationBook, Ratio
 from curranthill.placement.earnings import LATE_UNTIL
 from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
@@ -25,7 +30,6 @@
     late_jobs,
 )
 from curranthill.placement.planner import Placement, Plan, Planner
-from curranthill.placement.rooms import Room, level_of, room_needed
 from curranthill.placement.runs import (
     FILLING,
     MARKED,
@@ -82,7 +86,7 @@
     'Ratio',
     'ReadyStep',
     'ReservationTurns',
-    'Room',
+    'WorkerCapacity',
     'Run',
     'RunKind',
     'RunState',
@@ -99,6 +103,6 @@
     'level_of',
     'mechanisms',
     'move_of',
-    'room_needed',
+    'resources_needed',
     'waits_for_rack',
 )
--- a/src/curranthill/placement/rooms.py
+++ b/src/curranthill/placement/capacity.py
@@ -1,4 +1,4 @@
-"""Room on workers while one round of placements is worked out."""
+"""Capacity of workers while one round of placements is worked out."""
 
 import math
 from collections import defaultdict
@@ -29,7 +29,7 @@
 LEVEL: Final = 0.22
 
 
-class Room:
+class WorkerCapacity:
     """One worker's room in one round.
 
     :param free: what no run takes now.
@@ -85,7 +85,7 @@
         self._kinds: list[RunKind] = [
             run.kind for run in self.runs if run.kind != PLAIN
         ]
-        self.free = _less(entry.room, self.runs)
+        self.free = _less(entry.capacity, self.runs)
         stopping = [run for run in self.runs if run.stop_wanted]
         self.soon = _plus(self.free, stopping) if stopping else self.free
         self.kept = Resources()
@@ -145,7 +145,7 @@
     ) -> None:
         """Take room for a task that starts now."""
         self.held_alone = self.held_alone or alone
-        needs = room_needed(step)
+        needs = resources_needed(step)
         self.version += 1
         self.free = self.free.minus(needs)
         self.soon = self.soon.minus(needs)
@@ -155,7 +155,7 @@
 
     def unplace(self, key: TaskKey, step: Step) -> None:
         """Give back what :meth:`place` took."""
-        needs = room_needed(step)
+        needs = resources_needed(step)
         self.version += 1
         self.free = self.free.plus(needs)
         self.soon = self.soon.plus(needs)
@@ -194,39 +194,41 @@
         return sum(1 for one in self._keys if one[:3] == step)
 
 
-class ServiceRooms:
+class ServiceCapacity:
     """The rooms of one service, and which of them stand together.
 
-    :param rooms: in the order in which equal ones are taken.
+    :param workers: in the order in which equal ones are taken.
     """
 
-    def __init__(self, *, rooms: Sequence[Room]) -> None:
+    def __init__(self, *, workers: Sequence[WorkerCapacity]) -> None:
         """Start with no rack asked for."""
-        self.rooms = rooms
-        self._labelled: dict[str, list[Room]] = {}
+        self.workers = workers
+        self._labelled: dict[str, list[WorkerCapacity]] = {}
         self._racks: list[str] = []
         self._holding: dict[tuple[Step, int], list[str]] = {}
 
-    def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceRooms':
+    def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceCapacity':
         """Return only the rooms of some workers."""
         kept = set(worker_ids)
-        rooms = [room for room in self.rooms if room.entry.worker_id in kept]
-        return ServiceRooms(rooms=rooms)
+        workers = [
+            worker for worker in self.workers if worker.entry.worker_id in kept
+        ]
+        return ServiceCapacity(workers=workers)
 
     @property
     def racks(self) -> list[str]:
         """Return the racks in which the workers stand, by name."""
         if not self._racks:
-            self._racks = sorted({room.entry.rack for room in self.rooms})
+            self._racks = sorted({worker.entry.rack for worker in self.workers})
         return self._racks
 
-    def in_rack(self, rack: str) -> list[Room]:
+    def in_rack(self, rack: str) -> list[WorkerCapacity]:
         """Return the rooms of one rack."""
         if not self._labelled:
-            labelled: dict[str, list[Room]] = defaultdict(list)
-            for room in self.rooms:
-                for label in set(room.entry.labels):
-                    labelled[label].append(room)
+            labelled: dict[str, list[WorkerCapacity]] = defaultdict(list)
+            for worker in self.workers:
+                for label in set(worker.entry.labels):
+                    labelled[label].append(worker)
             self._labelled = dict(labelled)
         return self._labelled.get(rack, [])
 
@@ -243,8 +245,8 @@
     def holds_in(self, rack: str, step: Step, wanted: int) -> bool:
         """Return whether a rack holds so many tasks once runs have ended."""
         held = 0
-        for room in self.in_rack(rack):
-            held += copies_once_free(room, step)
+        for worker in self.in_rack(rack):
+            held += copies_once_free(worker, step)
             if held >= wanted:
                 return True
         return False
@@ -255,30 +257,32 @@
     return round(math.log(speed) / LEVEL)
 
 
-def copies(room: Room, step: Step) -> int:
+def copies(worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step an idle room holds."""
-    return _copies_in(room.entry.room, room, step)
+    return _copies_in(worker.entry.capacity, worker, step)
 
 
-def copies_once_free(room: Room, step: Step) -> int:
+def copies_once_free(worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step a room holds once its runs have ended.
 
     Runs that last do not.
     """
-    lasting = [run for run in room.runs if run.lasting]
+    lasting = [run for run in worker.runs if run.lasting]
     if not lasting:
-        return copies(room, step)
+        return copies(worker, step)
     disturbed = _DISTURBED.get(kind_of(step))
     if disturbed and any(run.kind == disturbed for run in lasting):
         return 0
-    return max(_copies_in(_less(room.entry.room, lasting), room, step), 0)
+    return max(
+        _copies_in(_less(worker.entry.capacity, lasting), worker, step), 0
+    )
 
 
-def _copies_in(free: Resources, room: Room, step: Step) -> int:
+def _copies_in(free: Resources, worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step fit into what is free of a room."""
-    if step.label and step.label not in room.entry.labels:
+    if step.label and step.label not in worker.entry.labels:
         return 0
-    needs = room_needed(step)
+    needs = resources_needed(step)
     most = step.width
     for have, need in zip(free, needs, strict=True):
         if need > 0:
@@ -286,16 +290,16 @@
     return min(most, step.max_per_worker or most)
 
 
-def room_needed(step: Step) -> Resources:
+def resources_needed(step: Step) -> Resources:
     """Return what a task of a step takes of a worker's room."""
     if step.fills:
         return step.needs._replace(cpu_millis=0)
     return step.needs
 
 
-def _less(room: Resources, runs: Iterable[Run]) -> Resources:
-    """Return what some runs leave of a room."""
-    cpu_millis, memory_mb, gpus = room
+def _less(capacity: Resources, runs: Iterable[Run]) -> Resources:
+    """Return what some runs leave of a capacity."""
+    cpu_millis, memory_mb, gpus = capacity
     for run in runs:
         needs = run.needs
         cpu_millis -= needs.cpu_millis
@@ -304,19 +308,19 @@
     return Resources(cpu_millis, memory_mb, gpus)
 
 
-def _plus(room: Resources, runs: Iterable[Run]) -> Resources:
-    """Return a room with what some runs give back."""
+def _plus(free: Resources, runs: Iterable[Run]) -> Resources:
+    """Return free capacity with what some runs release."""
     for run in runs:
-        room = room.plus(run.needs)
-    return room
+        free = free.plus(run.needs)
+    return free
 
 
 __all__ = (
     'LEVEL',
-    'Room',
-    'ServiceRooms',
+    'WorkerCapacity',
+    'ServiceCapacity',
     'copies',
     'copies_once_free',
     'level_of',
-    'room_needed',
+    'resources_needed',
 )
--- a/src/curranthill/placement/evictions.py
+++ b/src/curranthill/placement/evictions.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
+from curranthill.placement.capacity import WorkerCapacity, resources_needed
 from curranthill.placement.losses import Losses
-from curranthill.placement.rooms import Room, room_needed
 from curranthill.placement.runs import RUNNING, URGENT, Run
 from curranthill.tasks import Resources, Step, TaskKey
 
@@ -27,7 +27,7 @@
     :param loss: the work thrown away, in core-seconds.
     """
 
-    rooms: tuple[Room, ...]
+    workers: tuple[WorkerCapacity, ...]
     victims: tuple[Run, ...]
     loss: float
 
@@ -59,7 +59,7 @@
         self,
         tasks: Sequence[TaskKey],
         step: Step,
-        rooms: Sequence[Room],
+        workers: Sequence[WorkerCapacity],
         most_loss: float = math.inf,
     ) -> Eviction | None:
         """Return room for all the tasks, or nothing if no stop makes enough.
@@ -72,31 +72,31 @@
         search = _Search(
             key=tasks[0],
             step=step,
-            rooms=rooms,
+            workers=workers,
             evictions=self,
             losses=self._losses,
         )
-        chosen: list[Room] = []
+        chosen: list[WorkerCapacity] = []
         while len(chosen) < len(tasks):
-            room = search.take_cheapest()
-            if room is None or search.loss > most_loss:
+            worker = search.take_cheapest()
+            if worker is None or search.loss > most_loss:
                 return None
-            chosen.append(room)
+            chosen.append(worker)
         return Eviction(tuple(chosen), search.victims, search.loss)
 
-    def way_in(self, room: Room, needs: Resources) -> _Way | None:
+    def way_in(self, worker: WorkerCapacity, needs: Resources) -> _Way | None:
         """Return the cheapest way to room for a task on one worker."""
         ways = self._ways[needs]
-        known = ways.get(room.entry.worker_id)
-        if known is not None and known[0] == room.version:
+        known = ways.get(worker.entry.worker_id)
+        if known is not None and known[0] == worker.version:
             return known[1]
-        way = self.way_from(room, needs, room.soon, {})
-        ways[room.entry.worker_id] = (room.version, way)
+        way = self.way_from(worker, needs, worker.soon, {})
+        ways[worker.entry.worker_id] = (worker.version, way)
         return way
 
     def way_from(
         self,
-        room: Room,
+        worker: WorkerCapacity,
         needs: Resources,
         soon: Resources,
         ended: dict[Run, None],
@@ -105,12 +105,12 @@
 
         :param soon: what is free of the room by then.
         """
-        doubt_core_s = room.doubt * DOUBT_CORE_S
+        doubt_core_s = worker.doubt * DOUBT_CORE_S
         if soon.covers(needs):
             return _Way(doubt_core_s, ())
         loss = 0.0
         victims: list[Run] = []
-        for run in self._candidates_in(room):
+        for run in self._candidates_in(worker):
             if run in ended:
                 continue
             soon = soon.plus(run.needs)
@@ -120,14 +120,14 @@
                 return _Way(loss + doubt_core_s, tuple(victims))
         return None
 
-    def _candidates_in(self, room: Room) -> list[Run]:
+    def _candidates_in(self, worker: WorkerCapacity) -> list[Run]:
         """Return the runs that may be stopped, the least loss first."""
-        known = self._candidates.get(room.entry.worker_id)
-        if known is not None and known[0] == room.version:
+        known = self._candidates.get(worker.entry.worker_id)
+        if known is not None and known[0] == worker.version:
             return known[1]
-        runs = [run for run in room.runs if may_stop(run)]
+        runs = [run for run in worker.runs if may_stop(run)]
         runs.sort(key=self._losses.of)
-        self._candidates[room.entry.worker_id] = (room.version, runs)
+        self._candidates[worker.entry.worker_id] = (worker.version, runs)
         return runs
 
 
@@ -142,28 +142,28 @@
         *,
         key: TaskKey,
         step: Step,
-        rooms: Sequence[Room],
+        workers: Sequence[WorkerCapacity],
         evictions: Evictions,
         losses: Losses,
     ) -> None:
         """Look at each room once."""
         self.loss = 0.0
-        self._needs = room_needed(step)
+        self._needs = resources_needed(step)
         self._evictions = evictions
         self._losses = losses
-        self._rooms: dict[str, tuple[int, Room]] = {}
+        self._workers: dict[str, tuple[int, WorkerCapacity]] = {}
         self._tasks_left: dict[str, float] = {}
         self._soon: dict[str, Resources] = {}
         self._ended: dict[Run, None] = {}
         self._ways: dict[str, _Way] = {}
         self._queue: list[tuple[float, int, str]] = []
-        for index, room in enumerate(rooms):
-            if not room.allows(key, step):
+        for index, worker in enumerate(workers):
+            if not worker.allows(key, step):
                 continue
-            worker_id = room.entry.worker_id
-            self._rooms[worker_id] = (index, room)
-            self._tasks_left[worker_id] = room.tasks_left(key, step)
-            way = evictions.way_in(room, self._needs)
+            worker_id = worker.entry.worker_id
+            self._workers[worker_id] = (index, worker)
+            self._tasks_left[worker_id] = worker.tasks_left(key, step)
+            way = evictions.way_in(worker, self._needs)
             if way is not None:
                 self._ways[worker_id] = way
                 self._queue.append((way.cost, index, worker_id))
@@ -174,7 +174,7 @@
         """Return the runs to stop."""
         return tuple(self._ended)
 
-    def take_cheapest(self) -> Room | None:
+    def take_cheapest(self) -> WorkerCapacity | None:
         """Take room for a task where that costs the least, if anywhere."""
         while self._queue:
             cost, _, worker_id = heapq.heappop(self._queue)
@@ -183,19 +183,19 @@
                 return self._take(worker_id, way)
         return None
 
-    def _take(self, worker_id: str, way: _Way) -> Room:
-        room = self._rooms[worker_id][1]
+    def _take(self, worker_id: str, way: _Way) -> WorkerCapacity:
+        worker = self._workers[worker_id][1]
         changed = {worker_id}
         for victim in way.victims:
             if victim not in self._ended:
                 self.loss += self._losses.of(victim)
                 changed.update(self._end(self._losses.ending_with(victim)))
-        soon = self._soon.get(worker_id, room.soon)
+        soon = self._soon.get(worker_id, worker.soon)
         self._soon[worker_id] = soon.minus(self._needs)
         self._tasks_left[worker_id] -= 1
         for one in changed:
             self._look_again(one)
-        return room
+        return worker
 
     def _end(self, runs: Sequence[Run]) -> set[str]:
         """Count runs as ended; return the workers whose room that changes."""
@@ -203,7 +203,7 @@
         for run in runs:
             self._ended[run] = None
             worker_id = run.worker_id
-            place = self._rooms.get(worker_id)
+            place = self._workers.get(worker_id)
             if place is not None:
                 soon = self._soon.get(worker_id, place[1].soon)
                 self._soon[worker_id] = soon.plus(run.needs)
@@ -211,9 +211,9 @@
         return changed
 
     def _look_again(self, worker_id: str) -> None:
-        index, room = self._rooms[worker_id]
+        index, worker = self._workers[worker_id]
         way = self._evictions.way_from(
-            room,
+            worker,
             self._needs,
             self._soon[worker_id],
             self._ended,
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -9,9 +9,13 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
+from curranthill.placement.capacity import (
+    ServiceCapacity,
+    WorkerCapacity,
+    resources_needed,
+)
 from curranthill.placement.jobs import ActiveJob, ReadyStep
 from curranthill.placement.paces import ANY, Pace
-from curranthill.placement.rooms import Room, ServiceRooms, room_needed
 from curranthill.tasks import Resources, TaskKey
 
 #: A task waits so many of its estimated run times for room in the right rack:
@@ -22,7 +26,7 @@
 #: more than this unless one was set, in seconds.
 MOST_SKEW_S: Final = 5.0
 
-Fit = list[tuple[TaskKey, Room]]
+Fit = list[tuple[TaskKey, WorkerCapacity]]
 
 
 class _Rank(NamedTuple):
@@ -50,10 +54,10 @@
 
 def groups_of(
     ready: ReadyStep,
-    rooms: ServiceRooms,
+    workers: ServiceCapacity,
     *,
     patient: bool,
-) -> list[Sequence[Room]]:
+) -> list[Sequence[WorkerCapacity]]:
     """Return the sets of rooms that a step may be placed in, best first.
 
     Tasks that run longer away from a rack wait for it, unless it could never
@@ -61,28 +65,31 @@
 
     :param patient: whether to go on waiting for the right rack.
     """
-    racks = _near_racks(ready, rooms)
+    racks = _near_racks(ready, workers)
     if racks is None:
-        return [rooms.rooms]
-    groups: list[Sequence[Room]] = [rooms.in_rack(rack) for rack in racks]
+        return [workers.workers]
+    groups: list[Sequence[WorkerCapacity]] = [
+        workers.in_rack(rack) for rack in racks
+    ]
     if not groups or not patient:
-        groups.append(rooms.rooms)
+        groups.append(workers.workers)
     return groups
 
 
 def in_time(
-    groups: Sequence[Sequence[Room]],
+    groups: Sequence[Sequence[WorkerCapacity]],
     pace: Pace,
-) -> list[Sequence[Room]]:
+) -> list[Sequence[WorkerCapacity]]:
     """Return each group without the workers that would delay the gang."""
     return [
-        [room for room in group if not pace.holds_up(room)] for group in groups
+        [worker for worker in group if not pace.holds_up(worker)]
+        for group in groups
     ]
 
 
 def choose_group(
     ready: ReadyStep,
-    groups: Sequence[Sequence[Room]],
+    groups: Sequence[Sequence[WorkerCapacity]],
     pace: Pace = ANY,
 ) -> Fit:
     """Take rooms of one group: the first without fault, or the least faulty.
@@ -90,11 +97,11 @@
     A gang with one member on a worker that fails all it starts fails whole,
     each time it is put there, and with one on a slow worker it is late whole.
     """
-    best: tuple[float, Sequence[Room]] | None = None
+    best: tuple[float, Sequence[WorkerCapacity]] | None = None
     for group in groups:
         chosen = _choose_alike(ready, group, pace)
         # Recent failures and levels too slow: one of each weighs the same.
-        fault = sum(room.doubt + pace.excess(room) for _, room in chosen)
+        fault = sum(worker.doubt + pace.excess(worker) for _, worker in chosen)
         if chosen and not fault:
             return chosen
         give_back(ready, chosen)
@@ -103,17 +110,17 @@
     return _choose_alike(ready, best[1], pace) if best else []
 
 
-def choose_rooms(
+def choose_workers(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     pace: Pace = ANY,
 ) -> Fit:
     """Take rooms for the tasks, in order; a gang takes all or none."""
-    needs = room_needed(ready.step)
+    needs = resources_needed(ready.step)
     queue = [
-        _rank(room, needs, index, pace)
-        for index, room in enumerate(rooms)
-        if _takes(room, ready, ready.tasks[0])
+        _rank(worker, needs, index, pace)
+        for index, worker in enumerate(workers)
+        if _takes(worker, ready, ready.tasks[0])
     ]
     heapq.heapify(queue)
     chosen: Fit = []
@@ -121,11 +128,11 @@
         if not queue:
             break
         index = heapq.heappop(queue).position
-        room = rooms[index]
-        room.place(key, ready.step, alone=ready.alone)
-        chosen.append((key, room))
-        if _takes(room, ready, key):
-            heapq.heappush(queue, _rank(room, needs, index, pace))
+        worker = workers[index]
+        worker.place(key, ready.step, alone=ready.alone)
+        chosen.append((key, worker))
+        if _takes(worker, ready, key):
+            heapq.heappush(queue, _rank(worker, needs, index, pace))
     whole = ready.step.gang or ready.step.same_rack
     if whole and len(chosen) < len(ready.tasks):
         give_back(ready, chosen)
@@ -133,10 +140,10 @@
     return chosen
 
 
-def _takes(room: Room, ready: ReadyStep, key: TaskKey) -> bool:
+def _takes(worker: WorkerCapacity, ready: ReadyStep, key: TaskKey) -> bool:
     """Return whether a room takes one more task of a step now."""
-    needs = room_needed(ready.step)
-    return room.fits_now(needs, starving=ready.starving) and room.allows(
+    needs = resources_needed(ready.step)
+    return worker.fits_now(needs, starving=ready.starving) and worker.allows(
         key,
         ready.step,
         alone=ready.alone,
@@ -147,7 +154,7 @@
 
 def _choose_alike(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     pace: Pace,
 ) -> Fit:
     """Take rooms; for a gang ones that are alike, where these have room.
@@ -155,42 +162,44 @@
     Its members end together: on fast workers they would wait for those on slow
     ones.
     """
-    chosen = choose_rooms(ready, rooms, pace)
-    held_up = {pace.holds_up(room) for _, room in chosen}
+    chosen = choose_workers(ready, workers, pace)
+    held_up = {pace.holds_up(worker) for _, worker in chosen}
     if len(held_up) < 2 or not ready.step.gang:
         return chosen
     give_back(ready, chosen)
     slow = [
-        room
-        for room in rooms
-        if pace.holds_up(room) and room.speed >= pace.needed
+        worker
+        for worker in workers
+        if pace.holds_up(worker) and worker.speed >= pace.needed
     ]
-    usual = [room for room in rooms if not pace.holds_up(room)]
+    usual = [worker for worker in workers if not pace.holds_up(worker)]
     return (
-        choose_rooms(ready, slow, pace)
-        or choose_rooms(ready, usual, pace)
-        or choose_rooms(ready, rooms, pace)
+        choose_workers(ready, slow, pace)
+        or choose_workers(ready, usual, pace)
+        or choose_workers(ready, workers, pace)
     )
 
 
-def _rank(room: Room, needs: Resources, index: int, pace: Pace) -> _Rank:
+def _rank(
+    worker: WorkerCapacity, needs: Resources, index: int, pace: Pace
+) -> _Rank:
     return _Rank(
-        doubt=room.doubt,
-        shared_with_suspect=room.shared_with_suspect,
-        speed=pace.rank(room),
-        left_gpus=room.free.gpus - needs.gpus,
-        left_cpu_millis=room.free.cpu_millis,
+        doubt=worker.doubt,
+        shared_with_suspect=worker.shared_with_suspect,
+        speed=pace.rank(worker),
+        left_gpus=worker.free.gpus - needs.gpus,
+        left_cpu_millis=worker.free.cpu_millis,
         position=index,
     )
 
 
 def give_back(ready: ReadyStep, chosen: Fit) -> None:
     """Give back the rooms that were taken for tasks."""
-    for key, room in chosen:
-        room.unplace(key, ready.step)
+    for key, worker in chosen:
+        worker.unplace(key, ready.step)
 
 
-def _near_racks(ready: ReadyStep, rooms: ServiceRooms) -> list[str] | None:
+def _near_racks(ready: ReadyStep, workers: ServiceCapacity) -> list[str] | None:
     """Return the racks in which a step runs fast; nothing if it does anywhere.
 
     Racks that could never hold what must start together are left out.
@@ -199,10 +208,10 @@
     together = step.gang or step.same_rack
     wanted = len(ready.tasks) if together else 1
     if step.near_rack:
-        fits = rooms.holds_in(step.near_rack, step, wanted)
+        fits = workers.holds_in(step.near_rack, step, wanted)
         return [step.near_rack] if fits else []
-    if step.same_rack and rooms.racks:
-        return rooms.racks_that_hold(step, wanted)
+    if step.same_rack and workers.racks:
+        return workers.racks_that_hold(step, wanted)
     return None
 
 
@@ -211,7 +220,7 @@
     'PATIENCE_FOR_RACK',
     'Fit',
     'choose_group',
-    'choose_rooms',
+    'choose_workers',
     'give_back',
     'groups_of',
     'in_time',
--- a/src/curranthill/placement/paces.py
+++ b/src/curranthill/placement/paces.py
@@ -8,9 +8,9 @@
 import math
 from typing import Final, NamedTuple
 
+from curranthill.placement.capacity import LEVEL, WorkerCapacity
 from curranthill.placement.jobs import ActiveJob, ReadyStep
 from curranthill.placement.order import is_urgent
-from curranthill.placement.rooms import LEVEL, Room
 from curranthill.tasks import JobSpec
 
 #: The most levels of lateness that are told apart; a level is that of rooms.
@@ -47,26 +47,26 @@
         levels = math.log(self.needed / speed) / LEVEL
         return min(math.ceil(levels), MOST_LEVELS)
 
-    def excess(self, room: Room) -> int:
+    def excess(self, worker: WorkerCapacity) -> int:
         """Return by how many levels a worker ends later than a typical one."""
-        if room.speed >= min(self.needed, 1.0):
+        if worker.speed >= min(self.needed, 1.0):
             return 0
-        return self.lateness(room.speed) - self.lateness(1.0)
+        return self.lateness(worker.speed) - self.lateness(1.0)
 
-    def rank(self, room: Room) -> int:
+    def rank(self, worker: WorkerCapacity) -> int:
         """Return a worker's rank, the least first; all late ones come last."""
-        if room.speed < self.needed:
-            return LATE_RANK + self.lateness(room.speed)
-        return room.level if self.spares else 0
+        if worker.speed < self.needed:
+            return LATE_RANK + self.lateness(worker.speed)
+        return worker.level if self.spares else 0
 
-    def holds_up(self, room: Room) -> bool:
+    def holds_up(self, worker: WorkerCapacity) -> bool:
         """Return whether a gang's other members would wait for one here.
 
         An urgent gang minds that only where it makes it late.
         """
         if self.spares:
-            return room.level < 0
-        return room.speed < min(self.needed, 1.0)
+            return worker.level < 0
+        return worker.speed < min(self.needed, 1.0)
 
 
 #: Any speed is as good as another.
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -5,6 +5,11 @@
 from typing import Final, NamedTuple
 
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
+from curranthill.placement.capacity import (
+    ServiceCapacity,
+    WorkerCapacity,
+    resources_needed,
+)
 from curranthill.placement.evictions import Eviction, Evictions
 from curranthill.placement.fitting import (
     Fit,
@@ -34,24 +39,22 @@
 from curranthill.placement.paces import ANY, Pace, pace_of
 from curranthill.placement.reservations import (
     RESERVATIONS,
-    find_room_to_keep,
+    find_workers_to_reserve,
     keep,
-    wait_for_room_s,
+    wait_for_capacity_s,
 )
-from curranthill.placement.rooms import Room, ServiceRooms, room_needed
 from curranthill.placement.runs import Run
-from curranthill.placement.starvation import PATIENCE_S, is_most_room_free
+from curranthill.placement.starvation import PATIENCE_S, is_mostly_free
 from curranthill.placement.suspects import ALONE_SHARE
 from curranthill.placement.turns import ReservationTurns
 from curranthill.tasks import Resources, Step, TaskKey
 
-
 #: An urgent job that no guarantee covers may throw away at most so many times
 #: its own work: more of it would serve others worse than it serves its caller.
 MOST_LOSS_SHARE: Final = 3.0
 
 #: The rooms of a service that has no workers.
-_NO_ROOMS: Final = ServiceRooms(rooms=())
+_NO_WORKERS: Final = ServiceCapacity(workers=())
 
 
 class Placement(NamedTuple):
@@ -85,7 +88,7 @@
 class Planner:
     """One round of decisions over a snapshot.
 
-    :param rooms: the workers that accept work, by service.
+    :param workers: the workers that accept work, by service.
     :param guaranteed: guaranteed accelerators by workspace.
     :param now_s: wall-clock seconds.
     :param tickets: returns a step's good tickets by worker; asked only for
@@ -99,7 +102,7 @@
     def __init__(
         self,
         *,
-        rooms: Mapping[str, Sequence[Room]],
+        workers: Mapping[str, Sequence[WorkerCapacity]],
         guaranteed: Mapping[str, int],
         now_s: float,
         tickets: Callable[[ActiveJob, ReadyStep], dict[str, str]],
@@ -115,15 +118,15 @@
         self._backlog = backlog or BacklogCursor()
         self._without = without
         self._services = {
-            service: ServiceRooms(rooms=found)
-            for service, found in rooms.items()
+            service: ServiceCapacity(workers=found)
+            for service, found in workers.items()
         }
-        self._rooms = {
-            room.entry.worker_id: room
-            for found in rooms.values()
-            for room in found
+        self._workers = {
+            worker.entry.worker_id: worker
+            for found in workers.values()
+            for worker in found
         }
-        self._unlike = len({one.speed for one in self._rooms.values()}) > 1
+        self._unlike = len({one.speed for one in self._workers.values()}) > 1
         self._guaranteed = guaranteed
         self._now_s = now_s
         self._evictions = Evictions(losses=Losses(jobs=()))
@@ -188,7 +191,7 @@
 
     def _place_step(self, job: ActiveJob, ready: ReadyStep) -> None:
         # A task that lasts must be at work again soon, however full all is.
-        urgent = self._makes_room(job) or ready.step.perpetual
+        urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
         may_skip = not (urgent or advised or self._starves(job))
@@ -207,7 +210,7 @@
         if not missing or ready.alone:
             return
         if urgent:
-            self._make_room(job, ready, missing, groups, pace)
+            self._preempt_for(job, ready, missing, groups, pace)
             return
         if not advised:
             self._too_large.add(shape)
@@ -218,7 +221,7 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         pace: Pace,
     ) -> Fit:
         """Take rooms, also ones that are kept if a job starves otherwise.
@@ -238,48 +241,50 @@
             return False
         service = job.spec.queue.service
         if service not in self._mostly_free:
-            rooms = self._services.get(service, _NO_ROOMS).rooms
-            self._mostly_free[service] = is_most_room_free(rooms)
+            workers = self._services.get(service, _NO_WORKERS).workers
+            self._mostly_free[service] = is_mostly_free(workers)
         return self._mostly_free[service]
 
     def _are_too_many_alone(self, job: ActiveJob) -> bool:
-        rooms = self._services[job.spec.queue.service].rooms
-        held = sum(room.held_alone for room in rooms)
-        return held > math.ceil(ALONE_SHARE * len(rooms))
+        workers = self._services[job.spec.queue.service].workers
+        held = sum(worker.held_alone for worker in workers)
+        return held > math.ceil(ALONE_SHARE * len(workers))
 
     def _workers_of(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
-        return len(self._services[job.spec.queue.service].rooms)
+        return len(self._services[job.spec.queue.service].workers)
 
     def _reserve(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> None:
         """Keep room for a gang that does not fit now, if it is its turn."""
-        rooms = find_room_to_keep(ready, groups)
-        if not rooms:
+        workers = find_workers_to_reserve(ready, groups)
+        if not workers:
             return
         may_keep = self._turns.may_keep(
             job.spec.queue.service,
             job,
             ready.tasks[0],
             self._now_s,
-            wait_for_room_s(rooms),
+            wait_for_capacity_s(workers),
         )
         if may_keep:
             self._reservations -= 1
-            keep(ready, rooms, of_workers=self._workers_of(job))
+            keep(ready, workers, of_workers=self._workers_of(job))
             self._reserved_for[job.spec.job_id] = None
 
-    def _makes_room(self, job: ActiveJob) -> bool:
+    def _may_preempt(self, job: ActiveJob) -> bool:
         """Return whether runs may be stopped for a job."""
         return is_urgent(job) and job.spec.job_id not in self._hopeless
 
     def _place(self, job: ActiveJob, ready: ReadyStep, chosen: Fit) -> None:
         if chosen:
-            workers = tuple((key, room.entry.worker_id) for key, room in chosen)
+            workers = tuple(
+                (key, worker.entry.worker_id) for key, worker in chosen
+            )
             self._placements.append(Placement(job, ready, workers))
 
     def _pace(self, job: ActiveJob, ready: ReadyStep) -> Pace:
@@ -293,12 +298,12 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-    ) -> list[Sequence[Room]]:
+    ) -> list[Sequence[WorkerCapacity]]:
         """Return the sets of rooms that a step may be placed in, best first."""
-        rooms = self._services.get(job.spec.queue.service, _NO_ROOMS)
+        workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
         if ready.tickets is not None:
-            rooms = rooms.limited_to(ready.tickets)
-        return groups_of(ready, rooms, patient=self._is_patient(job, ready))
+            workers = workers.limited_to(ready.tickets)
+        return groups_of(ready, workers, patient=self._is_patient(job, ready))
 
     def _is_patient(self, job: ActiveJob, ready: ReadyStep) -> bool:
         """Return whether a job goes on waiting for the right rack."""
@@ -310,7 +315,7 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> bool:
         """Stop others so that an urgent gang ends in time, once for a step.
 
@@ -328,15 +333,15 @@
         # Only an eviction with victims uses up the step's one preemption.
         if best is None or (best.victims and not job.may_make_way(ready)):
             return False
-        self._evict(best, job, room_needed(step))
+        self._evict(best, job, resources_needed(step))
         return True
 
-    def _make_room(
+    def _preempt_for(
         self,
         job: ActiveJob,
         ready: ReadyStep,
         missing: tuple[TaskKey, ...],
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         pace: Pace,
     ) -> None:
         """Stop what is needed for urgent tasks, and keep what gets free."""
@@ -347,7 +352,7 @@
             if best is None:
                 # The tasks that are left need the same.
                 return
-            if pace.is_met_somewhere and any(map(pace.holds_up, best.rooms)):
+            if pace.is_met_somewhere and any(map(pace.holds_up, best.workers)):
                 work_core_s = _work(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
@@ -358,13 +363,13 @@
                     )
                     or best
                 )
-            self._evict(best, job, room_needed(ready.step))
+            self._evict(best, job, resources_needed(ready.step))
 
     def _best_eviction(
         self,
         tasks: tuple[TaskKey, ...],
         step: Step,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         most_loss: float,
     ) -> Eviction | None:
         """Return the eviction of the least loss over all groups, if any."""
@@ -395,10 +400,10 @@
         for run in eviction.victims:
             self._victims.append(run)
             self._stopped_for.append(job.spec.job_id)
-            room = self._rooms.get(run.worker_id)
-            if room is not None:
-                room.evict(run)
-        for claimed in eviction.rooms:
+            worker = self._workers.get(run.worker_id)
+            if worker is not None:
+                worker.evict(run)
+        for claimed in eviction.workers:
             claimed.claim(needs)
 
 
@@ -411,7 +416,7 @@
     """Return whether slow workers make a gang late that could be in time."""
     if not ready.step.gang or not pace.is_met_somewhere:
         return False
-    return any(pace.holds_up(room) for _, room in chosen)
+    return any(pace.holds_up(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
--- a/src/curranthill/placement/starvation.py
+++ b/src/curranthill/placement/starvation.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from curranthill.placement.rooms import Room
+from curranthill.placement.capacity import WorkerCapacity
 from curranthill.tasks import Resources
 
 #: A job has nothing running for so long before it takes room that is kept, in
@@ -23,13 +23,13 @@
 BUSY_OTHER_SHARE: Final = 0.75
 
 
-def is_most_room_free(rooms: Iterable[Room]) -> bool:
+def is_mostly_free(workers: Iterable[WorkerCapacity]) -> bool:
     """Return whether room is not short."""
     have = Resources()
     free = Resources()
-    for room in rooms:
-        have = have.plus(room.entry.room)
-        free = free.plus(room.free)
+    for worker in workers:
+        have = have.plus(worker.entry.capacity)
+        free = free.plus(worker.free)
     used = have.minus(free)
     return (
         _is_most_free(used.gpus, have.gpus, BUSY_SHARE)
@@ -42,4 +42,4 @@
     return not have or used < busy_share * have
 
 
-__all__ = ('PATIENCE_S', 'is_most_room_free')
+__all__ = ('PATIENCE_S', 'is_mostly_free')
--- a/src/curranthill/placement/workers.py
+++ b/src/curranthill/placement/workers.py
@@ -8,7 +8,7 @@
 class WorkerEntry(NamedTuple):
     """One worker as the platform lists it.
 
-    :param room: all that the worker has, used or not.
+    :param capacity: all that the worker has for tasks, used or not.
     :param labels: the worker's kind and its rack.
     :param clock_s: the worker's steady clock when it wrote the entry.
     :param remaining_s: the least time left while it is leaving.
@@ -20,7 +20,7 @@
     service: str
     address: str
     data_centre: str
-    room: Resources
+    capacity: Resources
     labels: tuple[str, ...] = ()
     leaving: bool = False
     clock_s: float = 0.0
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -141,7 +141,7 @@
             service=fields.service,
             address=fields.address,
             data_centre=fields.zone,
-            room=Resources(
+            capacity=Resources(
                 cpu_millis=fields.headroom.cpu,
                 memory_mb=fields.headroom.mem_mb,
                 gpus=fields.headroom.gpu,
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -192,7 +192,7 @@
             service=SERVICE,
             address=f'10.0.0.{len(self.workers)}:80',
             data_centre=data_centre,
-            room=ROOM,
+            capacity=ROOM,
             labels=('a', 'r1'),
             incarnation=1,
         )
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -257,9 +257,9 @@
                 'cold_remaining_ms': 0,
                 'state': 'draining' if entry.leaving else 'ready',
                 'headroom': {
-                    'cpu': entry.room.cpu_millis,
-                    'mem_mb': entry.room.memory_mb,
-                    'gpu': entry.room.gpus,
+                    'cpu': entry.capacity.cpu_millis,
+                    'mem_mb': entry.capacity.memory_mb,
+                    'gpu': entry.capacity.gpus,
                 },
                 'labels': list(entry.labels),
                 'clock_ms': int(entry.clock_s * 1000),
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -234,7 +234,7 @@
         """Look at the workers' room too: each task takes one accelerator."""
         super().look()
         for worker in self._domain.workers.values():
-            if len(worker.runs) > worker.entry.room.gpus:
+            if len(worker.runs) > worker.entry.capacity.gpus:
                 self.faults.append(f'{worker.entry.worker_id} is too full')
 
 
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -150,7 +150,7 @@
             found = taken(entry)
             assert found is not None
             self.assertEqual(found.incarnation, 1700000000123)
-            self.assertEqual(found.room.gpus, 8)
+            self.assertEqual(found.capacity.gpus, 8)
 
     def test_an_entry_without_what_is_told_at_times_is_taken(self) -> None:
         """A clock and an incarnation are no condition."""
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -16,7 +16,7 @@
     Outlook,
     Refusal,
     ServiceOutlook,
-    ServiceRoom,
+    ServiceResources,
     may_accept,
     outlook_of,
 )
@@ -28,7 +28,7 @@
 NONE_FREE = Resources()
 NOW_S = 1_700_001_000.0
 GANG = Step(width=2, needs=ONE_GPU._replace(gpus=8), estimate_s=4.0, gang=True)
-ROOMS = {SERVICE: ServiceRoom(TOTAL, lambda: NONE_FREE)}
+ROOMS = {SERVICE: ServiceResources(TOTAL, lambda: NONE_FREE)}
 
 
 def told(
@@ -78,7 +78,7 @@
     """Return what the leader tells of jobs that wait."""
     return outlook_of(
         jobs,
-        rooms=ROOMS,
+        resources=ROOMS,
         guaranteed={f'team-{number}': guaranteed for number in range(4)},
         now_s=NOW_S,
         number=7,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,9 +15,9 @@
     ActiveJob,
     Plan,
     Planner,
-    Room,
     Run,
     RunKind,
+    WorkerCapacity,
     WorkerEntry,
     checked,
 )
@@ -65,21 +65,21 @@
     rack: str,
     *runs: Run,
     doubt: float = 0.0,
-) -> Room:
+) -> WorkerCapacity:
     """Return a worker's room."""
     entry = WorkerEntry(
         worker_id=worker_id,
         service=SERVICE,
         address='10.0.0.1:80',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', rack),
     )
-    return Room(entry=entry, runs=runs, doubt=doubt)
+    return WorkerCapacity(entry=entry, runs=runs, doubt=doubt)
 
 
 def plan(
-    rooms: list[Room],
+    rooms: list[WorkerCapacity],
     *specs: JobSpec,
     guaranteed: dict[str, int] | None = None,
     running: Sequence[ActiveJob] = (),
@@ -87,7 +87,7 @@
 ) -> Plan:
     """Make one round."""
     planner = Planner(
-        rooms={SERVICE: rooms},
+        workers={SERVICE: rooms},
         guaranteed=guaranteed or {},
         now_s=NOW_S,
         tickets=lambda job, ready: {},
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curranthill.placement import Plan, Room, Run, room_needed
+from curranthill.placement import Plan, Run, WorkerCapacity, resources_needed
 from curranthill.tasks import JobSpec, Resources, Step
 from tests.domain import ROOM, make_spec
 from tests.test_planner import make_room, make_run, needs, plan
@@ -25,10 +25,10 @@
 class Case(NamedTuple):
     """A cluster with what runs on it, and jobs that wait."""
 
-    rooms: list[Room]
+    rooms: list[WorkerCapacity]
     specs: list[JobSpec]
 
-    def room(self, worker_id: str) -> Room:
+    def room(self, worker_id: str) -> WorkerCapacity:
         """Return the room of a worker."""
         return next(
             room for room in self.rooms if room.entry.worker_id == worker_id
@@ -43,7 +43,7 @@
 
 
 @st.composite
-def rooms(draw: st.DrawFn) -> list[Room]:
+def rooms(draw: st.DrawFn) -> list[WorkerCapacity]:
     """Draw workers in racks, each with runs that fit it."""
     found = []
     for rack in RACKS[: draw(st.integers(1, len(RACKS)))]:
@@ -124,7 +124,7 @@
 )
 
 
-def taken(room: Room, decided: Plan) -> Resources:
+def taken(room: WorkerCapacity, decided: Plan) -> Resources:
     """Return what a worker has to give at once: all that runs, and starts."""
     total = Resources()
     for run in room.runs:
@@ -136,7 +136,7 @@
     for placement in decided.placements:
         for _, worker_id in placement.workers:
             if worker_id == room.entry.worker_id:
-                total = total.plus(room_needed(placement.ready.step))
+                total = total.plus(resources_needed(placement.ready.step))
     return total
 
 
@@ -154,7 +154,7 @@
         decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
         for room in case.rooms:
             total = taken(room, decided)
-            self.assertTrue(room.entry.room.covers(total), total)
+            self.assertTrue(room.entry.capacity.covers(total), total)
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
@@ -214,7 +214,7 @@
     @given(rooms(), st.sampled_from(SIZES), st.integers(0, 1))
     def test_work_within_its_guarantee_gets_room_while_some_can_be_made(
         self,
-        found: list[Room],
+        found: list[WorkerCapacity],
         size: int,
         extra: int,
     ) -> None:
@@ -241,7 +241,7 @@
             make_room(f'w{number}', rack) for number, rack in enumerate(racks)
         ]
         decided = plan(idle, make_spec('a', plain, priority=2))
-        wanted = room_needed(plain)
+        wanted = resources_needed(plain)
         a_worker = ROOM.gpus // wanted.gpus
         if wanted.cpu_millis:
             a_worker = min(a_worker, ROOM.cpu_millis // wanted.cpu_millis)
@@ -254,9 +254,9 @@
         self.assertEqual(started, most)
 
 
-def movable(room: Room) -> Resources:
+def movable(room: WorkerCapacity) -> Resources:
     """Return the room that is free, or held by what may stop or does."""
-    left = room.entry.room
+    left = room.entry.capacity
     for run in room.runs:
         if run.priority == 0 and not run.stop_wanted:
             left = left.minus(run.needs)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -347,7 +347,7 @@
             service='calc',
             address='10.0.0.1:80',
             data_centre='dc',
-            room=Resources(16000, 32768, 8),
+            capacity=Resources(16000, 32768, 8),
             labels=('a', 'r1-3'),
             leaving=True,
             clock_s=482.113,
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -132,7 +132,7 @@
             service='calc',
             address='10.0.0.1:80',
             data_centre='dc',
-            room=ROOM,
+            capacity=ROOM,
             incarnation=incarnation,
         ),
         worker=worker,
--- a/tests/test_shrinking_rooms.py
+++ b/tests/test_shrinking_rooms.py
@@ -22,7 +22,7 @@
 
 def resize(domain: Domain, worker: TaskWorkerModel, room: Resources) -> None:
     """Have a worker say that it has another room."""
-    worker.entry = worker.entry._replace(room=room)
+    worker.entry = worker.entry._replace(capacity=room)
     domain.list_worker(worker.entry)
 
 
@@ -185,7 +185,7 @@
             await domain.clock.advance(0.01)
             for name, worker in domain.workers.items():
                 if len(worker.starts) > before[name]:
-                    room = worker.entry.room.gpus
+                    room = worker.entry.capacity.gpus
                     self.assertLessEqual(len(worker.runs), room)
 
 
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -84,7 +84,7 @@
             service='calc',
             address='',
             data_centre='dc',
-            room=ROOM,
+            capacity=ROOM,
         )
         return TaskWorkerModel(entry=entry, clock=self.clock)
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from curranthill.placement import ActiveJob, Planner, Room, Run
+from curranthill.placement import ActiveJob, Planner, Run, WorkerCapacity
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
 from curranthill.placement.suspects import TRIED_S
 from curranthill.placement.turns import ReservationTurns
@@ -97,7 +97,7 @@
     return [runs_of for _ in WORKERS]
 
 
-def rooms_with(runs_of: RunsOf) -> list[Room]:
+def rooms_with(runs_of: RunsOf) -> list[WorkerCapacity]:
     """Return all workers' rooms."""
     return [
         make_room(worker_id, f'r{worker_id[0]}', *runs_of(worker_id))
@@ -123,7 +123,7 @@
         now_s = NOW_S + number * ROUND_S
         waiting = [one for name, one in front.items() if now_s < over_s[name]]
         planner = Planner(
-            rooms={SERVICE: rooms_with(runs_of)},
+            workers={SERVICE: rooms_with(runs_of)},
             guaranteed={},
             now_s=now_s,
             tickets=lambda ready_job, ready: {},
@@ -269,11 +269,11 @@
         job = make_job(make_spec('near', step, accepted_at_s=NOW_S))
         self.check_starts(job, rooms_with(runs))
 
-    def check_starts(self, job: ActiveJob, rooms: list[Room]) -> None:
+    def check_starts(self, job: ActiveJob, rooms: list[WorkerCapacity]) -> None:
         """Check that a job starts within 10 s after the clock was set."""
         for passed_s in (0.0, 1.0, -3600.0, -3595.0, -3590.0):
             planner = Planner(
-                rooms={SERVICE: rooms},
+                workers={SERVICE: rooms},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda waiting, ready: {},
@@ -405,7 +405,7 @@
                 left = [run for run in running[name] if run.left_s > 0]
                 running[name] = left
             planner = Planner(
-                rooms={SERVICE: rooms_with(running.__getitem__)},
+                workers={SERVICE: rooms_with(running.__getitem__)},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda job, ready: {},
--- a/tests/test_unlike_workers.py
+++ b/tests/test_unlike_workers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from curranthill.dispatch.session import WorkerSession
-from curranthill.placement import Room, Run, Speed
+from curranthill.placement import Run, Speed, WorkerCapacity
 from curranthill.tasks import JobSpec, Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_queue, make_spec
 from tests.test_planner import (
@@ -90,10 +90,10 @@
         in_domain(case, workers=8, run_s=USUAL_S)
 
 
-def unlike_room(worker_id: str, speed: float, *runs: Run) -> Room:
+def unlike_room(worker_id: str, speed: float, *runs: Run) -> WorkerCapacity:
     """Return the room of a worker of a speed; all stand in one rack."""
     entry = make_room(worker_id, 'r1').entry
-    return Room(entry=entry, runs=runs, doubt=0.0, speed=speed)
+    return WorkerCapacity(entry=entry, runs=runs, doubt=0.0, speed=speed)
 
 
 #: An urgent gang that starts in time earns its worth on workers of 0.65 of a
@@ -192,10 +192,10 @@
         self.assertEqual(placed(plan(rooms, spec))['j'], ['b'])
 
 
-def copies(case: Case, speed: float) -> Iterator[Room]:
+def copies(case: Case, speed: float) -> Iterator[WorkerCapacity]:
     """Yield the rooms of a case as they are, at one speed."""
     for room in case.rooms:
-        yield Room(
+        yield WorkerCapacity(
             entry=room.entry,
             runs=room.runs,
             doubt=room.doubt,
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -11,8 +11,8 @@
 from curranthill.placement import (
     RUNNING,
     ActiveJob,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
 )
 from curranthill.tasks import JobProgress, Resources, Step, TaskKey
@@ -22,14 +22,14 @@
 from tests.test_door import GANG, RUN_S, gang, is_refused, overload
 
 
-def worker(gpus: int, rack: str = 'r1') -> Room:
+def worker(gpus: int, rack: str = 'r1') -> WorkerCapacity:
     """Return a worker with some accelerators free."""
     entry = WorkerEntry(
         worker_id=rack,
         service=SERVICE,
         address='',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', rack),
     )
     run = Run(
@@ -42,12 +42,12 @@
         state=RUNNING,
         now_s=0.0,
     )
-    return Room(entry=entry, runs=(run,), doubt=0.0)
+    return WorkerCapacity(entry=entry, runs=(run,), doubt=0.0)
 
 
 def reason(
     step: Step,
-    *rooms: Room,
+    *rooms: WorkerCapacity,
     beyond: bool = False,
     alone: bool = False,
     kept: bool = True,
@@ -129,7 +129,7 @@
         )
 
     def test_an_empty_worker_for_a_suspect(self) -> None:
-        """Room beside others does not do."""
+        """Free capacity beside others does not do."""
         step = Step(width=1, needs=ONE_GPU, estimate_s=1.0)
         self.assertEqual(
             reason(step, worker(3), alone=True),
