--- a/bench/door.py
+++ b/bench/door.py
@@ -77,7 +77,9 @@
 
     def _free_room(self) -> Resources:
         free = [
-            WorkerCapacity(entry=self._entries[name], runs=runs, doubt=0.0).free
+            WorkerCapacity(
+                entry=self._entries[name], runs=runs, failure_score=0.0
+            ).free
             for name, runs in self._runs.items()
             if name not in self._leaving
         ]
--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -2,7 +2,7 @@
 
 Drawn from a seed, so that the same round can be planned again: gangs and
 plain tasks hold nearly all accelerators, some runs are being stopped, some
-workers are in doubt, and urgent gangs, long gangs and wide steps wait.
+workers have failures, and urgent gangs, long gangs and wide steps wait.
 """
 
 import random
@@ -63,13 +63,13 @@
     """One drawn moment.
 
     :param runs: the runs of each worker.
-    :param doubts: how far each worker is in doubt.
+    :param failure_scores: by worker.
     :param jobs: jobs that run or wait.
     """
 
     entries: tuple[WorkerEntry, ...]
     runs: dict[str, list[Run]]
-    doubts: dict[str, float]
+    failure_scores: dict[str, float]
     jobs: list[ActiveJob]
     guaranteed: dict[str, int]
 
@@ -82,7 +82,7 @@
     cluster = FullCluster(
         entries=entries,
         runs={entry.worker_id: [] for entry in entries},
-        doubts={
+        failure_scores={
             entry.worker_id: float(source.choice((0, 0, 0, 0, 0, 0, 1, 2)))
             for entry in entries
         },
@@ -106,7 +106,7 @@
         WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
-            doubt=cluster.doubts[entry.worker_id],
+            failure_score=cluster.failure_scores[entry.worker_id],
         )
         for entry in cluster.entries
     ]
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -452,7 +452,7 @@
             WorkerCapacity(
                 entry=self._entries[name],
                 runs=runs,
-                doubt=0.0,
+                failure_score=0.0,
                 speed=self._known_speed(name),
             )
             for name, runs in self._runs.items()
--- a/src/curranthill/dispatch/outlooks.py
+++ b/src/curranthill/dispatch/outlooks.py
@@ -93,7 +93,7 @@
             room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=0.0,
+                failure_score=0.0,
             )
             most = Resources(*map(max, most, room.free))
         return most
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -18,7 +18,7 @@
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
     ALL_ON,
-    DOUBT,
+    FAILURE_SCORE,
     SPEEDS,
     TURNING_AWAY,
     ActiveJob,
@@ -224,7 +224,7 @@
             room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=self._doubt(session),
+                failure_score=self._doubt(session),
                 speed=self._speed(session),
             )
             rooms.setdefault(session.entry.service, []).append(room)
@@ -238,7 +238,7 @@
 
     def _doubt(self, session: WorkerSession) -> float:
         """Return how many runs failed or stood still at a worker of late."""
-        if DOUBT in self._without:
+        if FAILURE_SCORE in self._without:
             return 0.0
         if session.troubles_s:
             oldest_s = self._clock.monotonic_s() - TROUBLE_MEMORY_S
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -15,7 +15,7 @@
 from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
 from curranthill.placement.mechanisms import (
     ALL_ON,
-    DOUBT,
+    FAILURE_SCORE,
     SLOW_MOVES,
     SPEEDS,
     STALLED_MOVES,
@@ -57,7 +57,7 @@
 
 __all__ = (
     'ALL_ON',
-    'DOUBT',
+    'FAILURE_SCORE',
     'FILLING',
     'LATE_UNTIL',
     'MARKED',
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -36,7 +36,7 @@
     :param soon: what will be free once the runs being stopped have ended,
         less what waiting urgent tasks have claimed of it.
     :param kept: what of that is kept for gangs that do not fit yet.
-    :param doubt: how far tasks here have failed or lagged of late; 0 is none.
+    :param failure_score: recent failures and stalled runs here; 0 if none.
     :param speed: of a typical worker's; 1.0 if it is not known to differ.
     :param level: that speed in levels above the typical one.
     :param held_alone: whether a suspect has just started here alone, so that
@@ -50,7 +50,7 @@
     __slots__ = (
         '_keys',
         '_kinds',
-        'doubt',
+        'failure_score',
         'entry',
         'free',
         'held_alone',
@@ -68,13 +68,13 @@
         *,
         entry: WorkerEntry,
         runs: Iterable[Run],
-        doubt: float,
+        failure_score: float,
         speed: float = 1.0,
     ) -> None:
         """Add up the runs that take room."""
         self.entry = entry
         self.runs = list(runs)
-        self.doubt = doubt
+        self.failure_score = failure_score
         self.speed = speed
         self.level = level_of(speed)
         self.version = 0
--- a/src/curranthill/placement/evictions.py
+++ b/src/curranthill/placement/evictions.py
@@ -16,9 +16,9 @@
 from curranthill.placement.runs import RUNNING, URGENT, Run
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: What a worker in doubt costs for each run that failed or stood still there,
+#: What a worker costs for each point of its failure score (recent failures),
 #: in core-seconds: the work of an urgent task of two accelerators and 2.5 s.
-DOUBT_CORE_S: Final = 50.0
+FAILURE_CORE_S: Final = 50.0
 
 
 class Eviction(NamedTuple):
@@ -105,9 +105,9 @@
 
         :param soon: what is free of the room by then.
         """
-        doubt_core_s = worker.doubt * DOUBT_CORE_S
+        failure_core_s = worker.failure_score * FAILURE_CORE_S
         if soon.covers(needs):
-            return _Way(doubt_core_s, ())
+            return _Way(failure_core_s, ())
         loss = 0.0
         victims: list[Run] = []
         for run in self._candidates_in(worker):
@@ -117,7 +117,7 @@
             loss += self._losses.of(run)
             victims.append(run)
             if soon.covers(needs):
-                return _Way(loss + doubt_core_s, tuple(victims))
+                return _Way(loss + failure_core_s, tuple(victims))
         return None
 
     def _candidates_in(self, worker: WorkerCapacity) -> list[Run]:
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -35,7 +35,7 @@
     :param position: its place in the list of workers.
     """
 
-    doubt: float
+    failure_score: float
     shared_with_suspect: bool
     speed: int
     left_gpus: int
@@ -101,7 +101,9 @@
     for group in groups:
         chosen = _choose_alike(ready, group, pace)
         # Recent failures and levels too slow: one of each weighs the same.
-        fault = sum(worker.doubt + pace.excess(worker) for _, worker in chosen)
+        fault = sum(
+            worker.failure_score + pace.excess(worker) for _, worker in chosen
+        )
         if chosen and not fault:
             return chosen
         give_back(ready, chosen)
@@ -184,7 +186,7 @@
     worker: WorkerCapacity, needs: Resources, index: int, pace: Pace
 ) -> _Rank:
     return _Rank(
-        doubt=worker.doubt,
+        failure_score=worker.failure_score,
         shared_with_suspect=worker.shared_with_suspect,
         speed=pace.rank(worker),
         left_gpus=worker.free.gpus - needs.gpus,
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -14,7 +14,7 @@
 
 RESERVATION: Final = 'reservation'
 RACK_PATIENCE: Final = 'rack-patience'
-DOUBT: Final = 'doubt'
+FAILURE_SCORE: Final = 'doubt'
 BOUNDED_LOSS: Final = 'bounded-loss'
 STALLED_MOVES: Final = 'stalled-moves'
 HOPELESS_LAST: Final = 'hopeless-last'
@@ -25,7 +25,9 @@
 
 mechanisms.register(RESERVATION)('A gang that does not fit keeps room.')
 mechanisms.register(RACK_PATIENCE)('Tasks wait for the rack they run fast in.')
-mechanisms.register(DOUBT)('Workers at which runs failed are taken last.')
+mechanisms.register(FAILURE_SCORE)(
+    'Workers at which runs failed are taken last.'
+)
 mechanisms.register(BOUNDED_LOSS)('Uncovered urgent jobs stop little work.')
 mechanisms.register(STALLED_MOVES)('Runs that stand still start elsewhere.')
 mechanisms.register(HOPELESS_LAST)('Work of no more use to anyone goes last.')
@@ -54,7 +56,7 @@
 __all__ = (
     'ALL_ON',
     'BOUNDED_LOSS',
-    'DOUBT',
+    'FAILURE_SCORE',
     'HOPELESS_LAST',
     'IN_TIME_FIRST',
     'RACK_PATIENCE',
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -64,7 +64,7 @@
     worker_id: str,
     rack: str,
     *runs: Run,
-    doubt: float = 0.0,
+    failure_score: float = 0.0,
 ) -> WorkerCapacity:
     """Return a worker's room."""
     entry = WorkerEntry(
@@ -75,7 +75,7 @@
         capacity=ROOM,
         labels=('a', rack),
     )
-    return WorkerCapacity(entry=entry, runs=runs, doubt=doubt)
+    return WorkerCapacity(entry=entry, runs=runs, failure_score=failure_score)
 
 
 def plan(
@@ -120,7 +120,7 @@
     def test_a_gang_goes_to_the_rack_without_doubt(self) -> None:
         """Both racks have room; one worker of the first failed a run."""
         rooms = [
-            make_room('a1', 'r1', doubt=1),
+            make_room('a1', 'r1', failure_score=1),
             make_room('a2', 'r1'),
             make_room('b1', 'r2'),
             make_room('b2', 'r2'),
@@ -130,9 +130,9 @@
         self.assertEqual(placed(decided), {'a': ['b1', 'b2']})
 
     def test_doubt_is_better_than_no_room(self) -> None:
-        """The one rack with room has a worker in doubt."""
+        """The one rack that fits has a worker with failures."""
         rooms = [
-            make_room('a1', 'r1', doubt=1),
+            make_room('a1', 'r1', failure_score=1),
             make_room('a2', 'r1'),
             make_room('b1', 'r2', make_run('b1', 8)),
         ]
@@ -143,7 +143,7 @@
     def test_room_is_made_where_there_is_no_doubt(self) -> None:
         """Two workers would cost the same; one of them failed a run."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 8), doubt=1),
+            make_room('a1', 'r1', make_run('a1', 8), failure_score=1),
             make_room('a2', 'r1', make_run('a2', 8, job_id='b')),
         ]
         step = Step(width=1, needs=needs(8))
@@ -355,7 +355,7 @@
     def test_a_doubted_worker_comes_last(self) -> None:
         """Its runs have failed of late."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 4), doubt=2),
+            make_room('a1', 'r1', make_run('a1', 4), failure_score=2),
             make_room('a2', 'r1'),
         ]
         step = Step(width=1, needs=needs(4))
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -50,8 +50,10 @@
         for number in range(draw(st.integers(1, 3))):
             worker_id = f'{rack}-w{number}'
             runs = draw(runs_on(worker_id))
-            doubt = draw(st.sampled_from((0.0, 0.0, 1.0)))
-            found.append(make_room(worker_id, rack, *runs, doubt=doubt))
+            failure_score = draw(st.sampled_from((0.0, 0.0, 1.0)))
+            found.append(
+                make_room(worker_id, rack, *runs, failure_score=failure_score)
+            )
     return found
 
 
--- a/tests/test_unlike_workers.py
+++ b/tests/test_unlike_workers.py
@@ -93,7 +93,9 @@
 def unlike_room(worker_id: str, speed: float, *runs: Run) -> WorkerCapacity:
     """Return the room of a worker of a speed; all stand in one rack."""
     entry = make_room(worker_id, 'r1').entry
-    return WorkerCapacity(entry=entry, runs=runs, doubt=0.0, speed=speed)
+    return WorkerCapacity(
+        entry=entry, runs=runs, failure_score=0.0, speed=speed
+    )
 
 
 #: An urgent gang that starts in time earns its worth on workers of 0.65 of a
@@ -198,7 +200,7 @@
         yield WorkerCapacity(
             entry=room.entry,
             runs=room.runs,
-            doubt=room.doubt,
+            failure_score=room.failure_score,
             speed=speed,
         )
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -42,7 +42,7 @@
         state=RUNNING,
         now_s=0.0,
     )
-    return WorkerCapacity(entry=entry, runs=(run,), doubt=0.0)
+    return WorkerCapacity(entry=entry, runs=(run,), failure_score=0.0)
 
 
 def reason(
