--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -10,7 +10,7 @@
 
 from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.owner import SessionOwner
-from curranthill.placement import MARKED, ActiveJob, Run
+from curranthill.placement import ASSIGNED, ActiveJob, Run
 from curranthill.tasks import FAILED, JobState, TaskProgress
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -175,7 +175,7 @@
     One that was never sent has not, and a worker that had said that it leaves
     was expected to go.
     """
-    return run.state != MARKED and not leaving and reason in _LOST
+    return run.state != ASSIGNED and not leaving and reason in _LOST
 
 
 def is_given_up(task: TaskProgress) -> bool:
--- a/src/curranthill/dispatch/runlist.py
+++ b/src/curranthill/dispatch/runlist.py
@@ -12,7 +12,7 @@
     LeaseReport,
     RunReport,
 )
-from curranthill.placement import MARKED, ORDERED, RUNNING, UNKNOWN, Run
+from curranthill.placement import ASSIGNED, ORDERED, RUNNING, UNKNOWN, Run
 from curranthill.tasks import Resources, TaskKey
 from curranthill.telemetry.events import events
 
@@ -66,7 +66,7 @@
         """
         taken = run.needs
         for one in self.runs.values():
-            if one is not run and one.state != MARKED:
+            if one is not run and one.state != ASSIGNED:
                 taken = taken.plus(one.needs)
         return room.covers(taken)
 
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -43,7 +43,7 @@
 )
 from curranthill.errors import WorkerError, WorkerUnreachableError
 from curranthill.placement import (
-    MARKED,
+    ASSIGNED,
     ORDERED,
     RUNNING,
     UNKNOWN,
@@ -216,7 +216,7 @@
         """Order one start; the run's state tells what became of it."""
         async with self._order_turn:
             await self._settled.wait()
-            if run.state != MARKED or self.runs.get(run.name) is not run:
+            if run.state != ASSIGNED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
                 # Placed by the room of a former incarnation.
@@ -258,7 +258,7 @@
             await self._settled.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
                 return
-            if run.state == MARKED:
+            if run.state == ASSIGNED:
                 self._list.vanish(run, 'stopped before its start')
                 return
             run.stop_sent_s = self._clock.monotonic_s()
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/work.py
@@ -17,7 +17,7 @@
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.workers import DONE, RUN_FAILED, EndReport
 from curranthill.placement import (
-    MARKED,
+    ASSIGNED,
     UNKNOWN,
     ActiveJob,
     Run,
@@ -269,7 +269,7 @@
             needs=resources_needed(step),
             priority=job.spec.queue.priority,
             checkpointable=step.checkpointable,
-            state=MARKED,
+            state=ASSIGNED,
             now_s=self._clock.monotonic_s(),
             estimate_s=step.run_s,
             lasting=step.perpetual,
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -31,8 +31,8 @@
 )
 from curranthill.placement.planner import Placement, Plan, Planner
 from curranthill.placement.runs import (
+    ASSIGNED,
     FILLING,
-    MARKED,
     ORDERED,
     PLAIN,
     RUNNING,
@@ -60,7 +60,7 @@
     'FAILURE_SCORE',
     'FILLING',
     'LATE_UNTIL',
-    'MARKED',
+    'ASSIGNED',
     'MOST_SKEW_S',
     'ORDERED',
     'PLAIN',
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -19,7 +19,7 @@
 #: Priority 0 may preempt the others.
 URGENT: Final = 0
 
-MARKED: Final = 'marked'
+ASSIGNED: Final = 'marked'
 ORDERED: Final = 'ordered'
 UNKNOWN: Final = 'unknown'
 RUNNING: Final = 'running'
@@ -253,7 +253,7 @@
 
 __all__ = (
     'FILLING',
-    'MARKED',
+    'ASSIGNED',
     'ORDERED',
     'PLAIN',
     'RUNNING',
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -15,7 +15,7 @@
     TaskWorker,
 )
 from curranthill.errors import WorkerReplyLostError
-from curranthill.placement import MARKED, UNKNOWN, Run, WorkerEntry
+from curranthill.placement import ASSIGNED, UNKNOWN, Run, WorkerEntry
 from curranthill.tasks import Resources, TaskKey, Timing
 from tests.domain import ONE_GPU, ROOM
 from tests.support import ManualClock, run
@@ -159,7 +159,7 @@
         needs=ONE_GPU,
         priority=1,
         checkpointable=False,
-        state=MARKED,
+        state=ASSIGNED,
         now_s=clock.monotonic_s(),
         incarnation=incarnation,
     )
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -19,7 +19,7 @@
     Hold,
     Holds,
 )
-from curranthill.placement import MARKED, RUNNING, ActiveJob, Run, RunState
+from curranthill.placement import ASSIGNED, RUNNING, ActiveJob, Run, RunState
 from curranthill.tasks import JobProgress, JobSpec, Step, TaskKey, TaskProgress
 from tests.domain import ONE_GPU, Domain, TestHost, in_domain, make_spec
 from tests.support import ManualClock
@@ -126,7 +126,7 @@
     def test_a_run_that_no_session_knows_is_told(self) -> None:
         """Left over at the leader alone."""
         case = Case(GANG)
-        run = case.add_run(0, state=MARKED)
+        run = case.add_run(0, state=ASSIGNED)
         case.sessions['w0'].runs.clear()
         held = case.found().tasks[0]
         self.assertFalse(held['tracked'])
