--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -131,7 +131,7 @@
 
     What runs in part or comes back at set times says nothing for sure.
     """
-    return not (job.runs or job.lasting or job.spec.times)
+    return not (job.runs or job.perpetual or job.spec.times)
 
 
 def _waits(
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -108,7 +108,7 @@
 @finders.register(END_NOT_NOTED)
 def find_unnoted_end(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
     """Yield a job all of whose tasks are done."""
-    if job.lasting or job.runs or not job.begun:
+    if job.perpetual or job.runs or not job.begun:
         return
     steps = len(job.spec.steps)
     for occurrence in range(job.spec.occurrences):
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -133,7 +133,7 @@
 
     def clear_if_lasting(self, run: Run) -> None:
         """Forget the losses of a task that lasts and has worked for long."""
-        if not run.lasting or run.age_s < CLEARED_AFTER_S:
+        if not run.perpetual or run.age_s < CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
         task = job.progress.task(run.key)
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/work.py
@@ -272,7 +272,7 @@
             state=ASSIGNED,
             now_s=self._clock.monotonic_s(),
             estimate_s=step.run_s,
-            lasting=step.perpetual,
+            perpetual=step.perpetual,
             kind=kind_of(step),
             incarnation=session.incarnation,
         )
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -267,14 +267,14 @@
 
     Runs that last do not.
     """
-    lasting = [run for run in worker.runs if run.lasting]
-    if not lasting:
+    perpetual = [run for run in worker.runs if run.perpetual]
+    if not perpetual:
         return copies(worker, step)
     disturbed = _DISTURBED.get(kind_of(step))
-    if disturbed and any(run.kind == disturbed for run in lasting):
+    if disturbed and any(run.kind == disturbed for run in perpetual):
         return 0
     return max(
-        _copies_in(_less(worker.entry.capacity, lasting), worker, step), 0
+        _copies_in(_less(worker.entry.capacity, perpetual), worker, step), 0
     )
 
 
--- a/src/curranthill/placement/evictions.py
+++ b/src/curranthill/placement/evictions.py
@@ -227,7 +227,7 @@
 
 def may_stop(run: Run) -> bool:
     """Return whether a run may be stopped for others."""
-    if run.stop_wanted or run.lasting:
+    if run.stop_wanted or run.perpetual:
         return False
     return run.priority > URGENT and run.state == RUNNING
 
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -55,7 +55,7 @@
     of every job.
 
     :param runs: the newest run of each task that may exist.
-    :param lasting: whether tasks of it run until it is cancelled.
+    :param perpetual: whether tasks of it run until it is cancelled.
     :param objective_s: when it should be done, in wall-clock seconds.
     :param first_due_s: from when on that counts, in wall-clock seconds.
     :param chain_s: the estimated longest chain of its steps, in seconds.
@@ -68,7 +68,7 @@
         self.spec = spec
         self.progress = progress
         self.runs: dict[TaskKey, Run] = {}
-        self.lasting = any(step.perpetual for step in spec.steps)
+        self.perpetual = any(step.perpetual for step in spec.steps)
         self.objective_s = spec.objective_s
         self.first_due_s = max(spec.accepted_at_s, spec.due_s(0))
         self.chain_s = spec.chain_s
@@ -158,7 +158,7 @@
 
     def check_completed(self, now_s: float) -> bool:
         """Set the job's state once every task is done."""
-        if self.ended or self.lasting:
+        if self.ended or self.perpetual:
             return False
         for occurrence in range(self.spec.occurrences):
             for number, _ in enumerate(self.spec.steps):
--- a/src/curranthill/placement/order.py
+++ b/src/curranthill/placement/order.py
@@ -57,7 +57,7 @@
     return {
         job.spec.job_id
         for job in jobs
-        if not job.lasting
+        if not job.perpetual
         and job.spec.job_id not in covered
         and is_hopeless(job, now_s)
     }
@@ -74,7 +74,7 @@
     return {
         job.spec.job_id
         for job in jobs
-        if not job.lasting
+        if not job.perpetual
         and is_late(job, now_s)
         and not is_served_again(job, now_s)
     }
@@ -99,7 +99,7 @@
         key=lambda job: (
             job.spec.job_id not in covered,
             job.spec.job_id in hopeless,
-            not job.lasting,
+            not job.perpetual,
             job.spec.queue.priority,
             job.spec.job_id in late,
             job.objective_s,
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -64,7 +64,7 @@
     :param stop_wanted: it is to end, and its room counts as becoming free;
         whether it exists is told by its state alone.
     :param estimate_s: how long it may take; 0 for a task that lasts.
-    :param lasting: it runs until its job is cancelled.
+    :param perpetual: it runs until its job is cancelled.
     :param kind: whether it answers users of its own, or fills what is left.
     :param incarnation: that of the worker when it was placed there.
     :param alone: nothing else may run on its worker.
@@ -90,7 +90,7 @@
         'needs',
         'ordered_token',
         'kind',
-        'lasting',
+        'perpetual',
         'pace',
         'paced_s',
         'percent_changed_s',
@@ -117,13 +117,13 @@
         state: RunState,
         now_s: float,
         estimate_s: float = 0.0,
-        lasting: bool = False,
+        perpetual: bool = False,
         kind: RunKind = PLAIN,
         incarnation: int = 0,
     ) -> None:
         """Make a run that takes its room from now on."""
         self.estimate_s = estimate_s
-        self.lasting = lasting
+        self.perpetual = perpetual
         self.kind = kind
         self.key = key
         self.attempt = attempt
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -152,8 +152,8 @@
                 put = RowPut(tables.INTAKE, spec.job_id, encode(spec))
                 domain.rows.apply((), (put,), ())
             await domain.clock.advance(4.0)
-            lasting = make_spec('last', GANG._replace(perpetual=True))
-            self.assertTrue(await is_refused(first, lasting))
+            perpetual = make_spec('last', GANG._replace(perpetual=True))
+            self.assertTrue(await is_refused(first, perpetual))
             covered = gang('urgent', domain, priority=0)
             self.assertFalse(await is_refused(first, covered))
 
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -120,9 +120,9 @@
     def test_set_times_and_lasting_tasks_are_accepted(self) -> None:
         """They earn by other measures."""
         spec = make_spec('a1', GANG)
-        lasting = make_spec('a2', GANG._replace(perpetual=True))
+        perpetual = make_spec('a2', GANG._replace(perpetual=True))
         self.assertIsNone(may_accept(spec._replace(times=3), told(), 0.5))
-        self.assertIsNone(may_accept(lasting, told(), 0.5))
+        self.assertIsNone(may_accept(perpetual, told(), 0.5))
 
     def test_a_queue_without_an_objective_refuses_nobody_as_late(self) -> None:
         """Its configuration says nothing of ends in time."""
@@ -184,8 +184,8 @@
         """Whatever waits, whoever hands it in."""
         outlook = Outlook(number=1, waiting=MOST_WAITING)
         self.assertEqual(refused(make_spec(), outlook).reason, FULL)
-        lasting = make_spec('a2', GANG._replace(perpetual=True))
-        self.assertEqual(refused(lasting, outlook).reason, FULL)
+        perpetual = make_spec('a2', GANG._replace(perpetual=True))
+        self.assertEqual(refused(perpetual, outlook).reason, FULL)
         fewer = Outlook(number=1, waiting=MOST_WAITING - 1)
         self.assertIsNone(may_accept(make_spec(), fewer, 0.5))
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -40,7 +40,7 @@
     age_s: float = 1.0,
     job_id: str = 'other',
     rank: int = 0,
-    lasting: bool = False,
+    perpetual: bool = False,
     kind: RunKind = PLAIN,
 ) -> Run:
     """Return a run that takes accelerators of a worker."""
@@ -53,7 +53,7 @@
         checkpointable=False,
         state=RUNNING,
         now_s=0.0,
-        lasting=lasting,
+        perpetual=perpetual,
         kind=kind,
     )
     run.age_s = age_s
@@ -192,7 +192,7 @@
     def test_a_lasting_task_is_never_stopped_for_others(self) -> None:
         """An urgent job waits for the other worker instead."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, lasting=True, age_s=0)),
+            make_room('a1', 'r1', make_run('a1', 8, perpetual=True, age_s=0)),
             make_room('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
         ]
         step = Step(width=1, needs=needs(8))
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -54,9 +54,9 @@
     return ()
 
 
-def lasting(worker_id: str) -> Sequence[Run]:
+def perpetual(worker_id: str) -> Sequence[Run]:
     """Return a run that ends only with its job."""
-    return (make_run(worker_id, 1, lasting=True),)
+    return (make_run(worker_id, 1, perpetual=True),)
 
 
 def overdue(worker_id: str) -> Sequence[Run]:
@@ -196,7 +196,7 @@
         """A whole worker with a lasting run never gets empty."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
-            rooms_with(lasting),
+            rooms_with(perpetual),
             make_spec('wide', gang),
             make_spec('small', SMALL, priority=2),
         )
@@ -242,7 +242,7 @@
         """One lasts in each rack; the gang needs four whole workers."""
 
         def runs(worker_id: str) -> Sequence[Run]:
-            return lasting(worker_id) if worker_id[1] == '0' else ()
+            return perpetual(worker_id) if worker_id[1] == '0' else ()
 
         gang = Step(4, needs(8), gang=True, same_rack=True, estimate_s=60.0)
         decided = plan(rooms_with(runs), make_spec('gang', gang))
@@ -532,7 +532,7 @@
             st.sampled_from(
                 (
                     nothing,
-                    lasting,
+                    perpetual,
                     overdue,
                     overdue_and_full,
                     suspect(0.5),
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -20,7 +20,7 @@
     age_s: float,
     done_percent: float,
     checkpointable: bool = False,
-    lasting: bool = False,
+    perpetual: bool = False,
 ) -> Run:
     """Return a run of an estimate of ten seconds."""
     run = Run(
@@ -32,8 +32,8 @@
         checkpointable=checkpointable,
         state=RUNNING,
         now_s=100.0,
-        estimate_s=0.0 if lasting else 10.0,
-        lasting=lasting,
+        estimate_s=0.0 if perpetual else 10.0,
+        perpetual=perpetual,
     )
     run.age_s = age_s
     run.done_percent = done_percent
@@ -95,8 +95,8 @@
 
     def test_what_lasts_and_what_ends_soon_stays(self) -> None:
         """On however slow a worker."""
-        lasting = a_run(age_s=2.0, done_percent=10, lasting=True)
-        self.assertIsNone(move_of(lasting, 0.3, LEFT_S))
+        perpetual = a_run(age_s=2.0, done_percent=10, perpetual=True)
+        self.assertIsNone(move_of(perpetual, 0.3, LEFT_S))
         self.assertIsNone(
             move_of(a_run(age_s=0.2, done_percent=20), 0.3, LEFT_S)
         )
