--- a/bench/door.py
+++ b/bench/door.py
@@ -17,7 +17,7 @@
     may_accept,
     outlook_of,
 )
-from curranthill.placement import ALL_ON, WorkerCapacity
+from curranthill.placement import NONE_DISABLED, WorkerCapacity
 from curranthill.tasks import JobSpec, Resources
 
 #: How often an outlook is made, and how long it takes to the hosts, in seconds.
@@ -44,7 +44,7 @@
             load=load,
             workers=workers,
             seed=seed,
-            without=ALL_ON,
+            disabled=NONE_DISABLED,
         )
         self.refused: set[str] = set()
         self.refusals = 0
@@ -134,7 +134,9 @@
 def play(load: Load, workers: int, seed: int) -> DoorOutcome:
     """Play a day twice."""
     door = DoorDay(load=load, workers=workers, seed=seed)
-    plain = PlainDay(load=load, workers=workers, seed=seed, without=ALL_ON)
+    plain = PlainDay(
+        load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
+    )
     with_door = door.play()
     without = plain.play()
     return DoorOutcome(
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -291,7 +291,7 @@
         load: Load,
         workers: int,
         seed: int,
-        without: frozenset[str],
+        disabled: frozenset[str],
     ) -> None:
         """Draw the day."""
         self._source = random.Random(seed)  # noqa: S311
@@ -301,7 +301,7 @@
         self._looked_at_s: dict[str, float] = {}
         self._turns = ReservationTurns()
         self._backlog = BacklogCursor()
-        self._without = without
+        self._disabled = disabled
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
@@ -434,7 +434,7 @@
 
     def _known_speed(self, name: str) -> float:
         """Return a worker's speed as a leader knows it that has learnt."""
-        if SPEEDS in self._without:
+        if SPEEDS in self._disabled:
             return 1.0
         return self._speeds[name] / self._typical
 
@@ -466,7 +466,7 @@
             tickets=lambda job, ready: {},
             turns=self._turns,
             backlog=self._backlog,
-            without=self._without,
+            disabled=self._disabled,
         )
         plan = planner.plan(self._jobs.values())
         stopped = {run.key.job_id for run in plan.victims}
@@ -665,11 +665,11 @@
     load: Load,
     workers: int,
     seeds: int,
-    without: frozenset[str],
+    disabled: frozenset[str],
 ) -> list[Outcome]:
     """Return the outcomes of days with some mechanisms switched off."""
     return [
-        Day(load=load, workers=workers, seed=seed, without=without).play()
+        Day(load=load, workers=workers, seed=seed, disabled=disabled).play()
         for seed in range(seeds)
     ]
 
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -19,7 +19,7 @@
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.work import Work
 from curranthill.dispatch.workers import WorkerConnector
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.storage.rows import RowStore
 from curranthill.tasks import Timing
 from curranthill.telemetry import metrics
@@ -47,11 +47,11 @@
         revision: RevisionSource,
         closures: ClosureSource,
         advisor: Advisor,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Start with nothing known.
 
-        :param without: mechanisms of placement that are switched off.
+        :param disabled: mechanisms of placement that are switched off.
         """
         self._clock = clock
         self._leadership = leadership
@@ -94,7 +94,7 @@
             spawner=self._spawner,
             revision=revision,
             office=TicketOffice(advisor=advisor, clock=clock),
-            without=without,
+            disabled=disabled,
         )
 
     @property
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -17,8 +17,8 @@
 from curranthill.dispatch.watch import RunWatch
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
-    ALL_ON,
     FAILURE_SCORE,
+    NONE_DISABLED,
     SPEEDS,
     TURNING_AWAY,
     ActiveJob,
@@ -74,18 +74,18 @@
         spawner: Spawner,
         revision: RevisionSource,
         office: TicketOffice,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Start without a round.
 
-        :param without: mechanisms that are switched off.
+        :param disabled: mechanisms that are switched off.
         """
-        self._without = without
+        self._disabled = disabled
         self._watch = RunWatch(
             clock=clock,
             work=work,
             journal=journal,
-            without=without,
+            disabled=disabled,
         )
         self._office = office
         self._asking = False
@@ -139,7 +139,7 @@
             tickets=self._tickets,
             turns=self._turns,
             backlog=self._backlog,
-            without=self._without,
+            disabled=self._disabled,
             ratio_of=self._work.learning.ratio_of,
         )
         plan = planner.plan(self._work.jobs.values())
@@ -232,13 +232,13 @@
 
     def _speed(self, session: WorkerSession) -> float:
         """Return a worker's speed, 1.0 if it is not known to differ."""
-        if SPEEDS in self._without:
+        if SPEEDS in self._disabled:
             return 1.0
         return self._work.learning.speed_of(session).factor
 
     def _doubt(self, session: WorkerSession) -> float:
         """Return how many runs failed or stood still at a worker of late."""
-        if FAILURE_SCORE in self._without:
+        if FAILURE_SCORE in self._disabled:
             return 0.0
         if session.troubles_s:
             oldest_s = self._clock.monotonic_s() - TROUBLE_MEMORY_S
@@ -369,7 +369,7 @@
         if not self._outlooks.due:
             return
         outlook = self._outlooks.make(self._revision.current)
-        if TURNING_AWAY not in self._without:
+        if TURNING_AWAY not in self._disabled:
             told = msgspec.to_builtins(outlook, str_keys=True)
             self._journal.note_outlook(told)
         self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
--- a/src/curranthill/dispatch/watch.py
+++ b/src/curranthill/dispatch/watch.py
@@ -7,7 +7,7 @@
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
-    ALL_ON,
+    NONE_DISABLED,
     SLOW,
     SLOW_MOVES,
     STALLED,
@@ -54,7 +54,7 @@
 class RunWatch:
     """Looks at all runs every now and then.
 
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         clock: Clock,
         work: Work,
         journal: Journal,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Start with no look made."""
         self._clock = clock
         self._work = work
         self._journal = journal
-        self._without = without
+        self._disabled = disabled
         self._looked_s = 0.0
 
     def look(self, *, idle: bool) -> None:
@@ -100,7 +100,7 @@
                 move = move_of(run, speed, self._left_s(run))
                 if move is not None and self._may_move(run, move.reason):
                     found.append(_Candidate(session, run, move))
-            if STALLED_MOVES not in self._without:
+            if STALLED_MOVES not in self._disabled:
                 session.stalled_runs = stalled
         return found
 
@@ -116,7 +116,7 @@
 
         A task that stands still everywhere is not its worker's doing.
         """
-        if _MECHANISMS[reason] in self._without:
+        if _MECHANISMS[reason] in self._disabled:
             return False
         job = self._work.jobs.get(run.key.job_id)
         if job is None or job.runs.get(run.key) is not run:
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -14,8 +14,8 @@
 from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
 from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
 from curranthill.placement.mechanisms import (
-    ALL_ON,
     FAILURE_SCORE,
+    NONE_DISABLED,
     SLOW_MOVES,
     SPEEDS,
     STALLED_MOVES,
@@ -56,7 +56,7 @@
 from curranthill.placement.workers import WorkerEntry
 
 __all__ = (
-    'ALL_ON',
+    'NONE_DISABLED',
     'FAILURE_SCORE',
     'FILLING',
     'LATE_UNTIL',
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -39,8 +39,8 @@
 mechanisms.register(TURNING_AWAY)('Hosts refuse what waiting makes too late.')
 
 
-#: The value of ``without`` when nothing is switched off.
-ALL_ON: Final[frozenset[str]] = frozenset()
+#: The value of ``disabled`` when every mechanism is on.
+NONE_DISABLED: Final[frozenset[str]] = frozenset()
 
 
 def checked(names: Iterable[str]) -> frozenset[str]:
@@ -54,7 +54,7 @@
 
 
 __all__ = (
-    'ALL_ON',
+    'NONE_DISABLED',
     'BOUNDED_LOSS',
     'FAILURE_SCORE',
     'HOPELESS_LAST',
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -22,10 +22,10 @@
 from curranthill.placement.jobs import ActiveJob, ReadyStep
 from curranthill.placement.losses import Losses
 from curranthill.placement.mechanisms import (
-    ALL_ON,
     BOUNDED_LOSS,
     HOPELESS_LAST,
     IN_TIME_FIRST,
+    NONE_DISABLED,
     RACK_PATIENCE,
     RESERVATION,
 )
@@ -95,7 +95,7 @@
         queues with an advisor.
     :param turns: who keeps room for how long, over all rounds.
     :param backlog: where a long backlog is gone on with, over all rounds.
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
     """
 
@@ -108,7 +108,7 @@
         tickets: Callable[[ActiveJob, ReadyStep], dict[str, str]],
         turns: ReservationTurns | None = None,
         backlog: BacklogCursor | None = None,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
         ratio_of: Callable[[str], float] = as_estimated,
     ) -> None:
         """Keep the snapshot."""
@@ -116,7 +116,7 @@
         self._tickets = tickets
         self._turns = turns or ReservationTurns()
         self._backlog = backlog or BacklogCursor()
-        self._without = without
+        self._disabled = disabled
         self._services = {
             service: ServiceCapacity(workers=found)
             for service, found in workers.items()
@@ -138,7 +138,7 @@
         self._hopeless: set[str] = set()
         self._too_large: set[tuple[str, Step]] = set()
         self._mostly_free: dict[str, bool] = {}
-        self._reservations = 0 if RESERVATION in without else RESERVATIONS
+        self._reservations = 0 if RESERVATION in disabled else RESERVATIONS
 
     def plan(self, jobs: Iterable[ActiveJob]) -> Plan:
         """Return the decisions for all jobs, in any order."""
@@ -174,13 +174,13 @@
 
     def _in_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
         late: set[str] = set()
-        if HOPELESS_LAST not in self._without:
+        if HOPELESS_LAST not in self._disabled:
             self._hopeless = hopeless_jobs(
                 waiting,
                 self._covered,
                 self._now_s,
             )
-        if IN_TIME_FIRST not in self._without:
+        if IN_TIME_FIRST not in self._disabled:
             late = late_jobs(waiting, self._now_s)
         return in_order(waiting, self._covered, self._hopeless, late)
 
@@ -307,7 +307,7 @@
 
     def _is_patient(self, job: ActiveJob, ready: ReadyStep) -> bool:
         """Return whether a job goes on waiting for the right rack."""
-        if RACK_PATIENCE in self._without:
+        if RACK_PATIENCE in self._disabled:
             return False
         return waits_for_rack(job, ready, self._now_s)
 
@@ -386,7 +386,7 @@
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
-        if BOUNDED_LOSS in self._without:
+        if BOUNDED_LOSS in self._disabled:
             return math.inf
         return MOST_LOSS_SHARE * _work(step, tasks)
 
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -19,7 +19,7 @@
     RevisionFollower,
 )
 from curranthill.errors import SettingsError
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.platform.advisor import PlatformAdvisor
 from curranthill.platform.calls import Caller
 from curranthill.platform.configuration import (
@@ -56,17 +56,17 @@
     """All parts of one entry host.
 
     :param read_settings: reads the settings, at start and at each SIGHUP.
-    :param without: mechanisms of placement that are switched off.
+    :param disabled: mechanisms of placement that are switched off.
     """
 
     def __init__(
         self,
         *,
         read_settings: Callable[[], PlatformSettings],
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Build the parts; none runs yet."""
-        self._without = without
+        self._disabled = disabled
         settings = read_settings()
         self._read_settings = read_settings
         self._settings = settings
@@ -236,7 +236,7 @@
                 caller=self._caller,
                 address=self._settings.advisor_address,
             ),
-            without=self._without,
+            disabled=self._disabled,
         )
         try:
             await self._leader.run()
--- a/src/curranthill/platform/program.py
+++ b/src/curranthill/platform/program.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from curranthill.errors import SettingsError
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.platform.host import HostDaemon
 from curranthill.platform.settings import (
     PATH_VARIABLE,
@@ -31,16 +31,16 @@
 def run_host(
     read_settings: Callable[[], PlatformSettings],
     *,
-    without: frozenset[str] = ALL_ON,
+    disabled: frozenset[str] = NONE_DISABLED,
 ) -> None:
     """Run an entry host until SIGTERM, then stop gracefully.
 
-    :param without: mechanisms of placement that are switched off.
+    :param disabled: mechanisms of placement that are switched off.
     :raises SettingsError: if the settings cannot be used.
     """
     record = read_settings()
     events.open(host=record.host, data_centre=record.data_centre)
-    daemon = HostDaemon(read_settings=read_settings, without=without)
+    daemon = HostDaemon(read_settings=read_settings, disabled=disabled)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(daemon.app.run())
 
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -19,7 +19,7 @@
 from curranthill.dispatch.session import WorkerSession
 from curranthill.entry import Closures, Desk
 from curranthill.errors import NotSentError, WorkerReplyLostError
-from curranthill.placement import ALL_ON, WorkerEntry
+from curranthill.placement import NONE_DISABLED, WorkerEntry
 from curranthill.standin.rows import RowModel
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.storage.follower import TableFollower
@@ -154,7 +154,7 @@
     :param renewal_delay_s: how long a renewal takes beyond its wait.
     :param unreadable: hosts that cannot read the operators' rows.
     :param away_s: how long a crashed worker is away.
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     :param same_id: whether it comes back under its id or under another.
     :param others: how many other hosts each host is told of.
     """
@@ -174,7 +174,7 @@
         self.renewals = RenewalCount()
         self.unreadable: set[str] = set()
         self.same_id = True
-        self.without: frozenset[str] = ALL_ON
+        self.disabled: frozenset[str] = NONE_DISABLED
         self.others = 0
         for number in range(workers):
             self.add_worker(f'w{number}', run_s=run_s)
@@ -548,7 +548,7 @@
             revision=FixedRevision(),
             closures=self.closures,
             advisor=self._domain.advisor,
-            without=self._domain.without,
+            disabled=self._domain.disabled,
         )
         try:
             await self.leader.run()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -181,7 +181,7 @@
         """By name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
-            domain.without = checked(('turning-away',))
+            domain.disabled = checked(('turning-away',))
             _, second = await overload(domain)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -20,7 +20,7 @@
     may_accept,
     outlook_of,
 )
-from curranthill.placement import ALL_ON, ActiveJob
+from curranthill.placement import NONE_DISABLED, ActiveJob
 from curranthill.tasks import JobProgress, JobSpec, Queue, Resources, Step
 from tests.domain import ONE_GPU, ROOM, SERVICE, make_queue, make_spec
 
@@ -292,7 +292,7 @@
                 load=OVERLOAD,
                 workers=12,
                 seed=seed,
-                without=ALL_ON,
+                disabled=NONE_DISABLED,
             )
             with_door = day.play()
             without = plain.play()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -83,7 +83,7 @@
     *specs: JobSpec,
     guaranteed: dict[str, int] | None = None,
     running: Sequence[ActiveJob] = (),
-    without: Sequence[str] = (),
+    disabled: Sequence[str] = (),
 ) -> Plan:
     """Make one round."""
     planner = Planner(
@@ -91,7 +91,7 @@
         guaranteed=guaranteed or {},
         now_s=NOW_S,
         tickets=lambda job, ready: {},
-        without=checked(without),
+        disabled=checked(disabled),
     )
     return planner.plan([*running, *(make_job(spec) for spec in specs)])
 
@@ -480,7 +480,7 @@
             rooms,
             make_spec('j1', gang, priority=1, accepted_at_s=NOW_S - 99),
             make_spec('j2', Step(width=1, needs=needs(1)), priority=2),
-            without=('reservation',),
+            disabled=('reservation',),
         )
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
@@ -491,7 +491,9 @@
             make_room('b1', 'r2'),
         ]
         step = Step(width=1, needs=needs(8), near_rack='r1', estimate_s=10)
-        decided = plan(rooms, make_spec('j1', step), without=('rack-patience',))
+        decided = plan(
+            rooms, make_spec('j1', step), disabled=('rack-patience',)
+        )
         self.assertEqual(placed(decided), {'j1': ['b1']})
 
     def test_an_urgent_job_stops_any_work_without_its_bound(self) -> None:
@@ -501,7 +503,7 @@
         decided = plan(
             rooms,
             make_spec('a', step, priority=0),
-            without=('bounded-loss',),
+            disabled=('bounded-loss',),
         )
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -3,12 +3,14 @@
 import unittest
 
 from bench.replay import LOADS, Day, Load, Outcome, compare, difference
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 
 
 def play(load: Load, *, workers: int = 24, seed: int = 3) -> Outcome:
     """Play one day."""
-    return Day(load=load, workers=workers, seed=seed, without=ALL_ON).play()
+    return Day(
+        load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
+    ).play()
 
 
 class ReplayTest(unittest.TestCase):
@@ -32,5 +34,5 @@
 
     def test_days_are_compared_in_pairs(self) -> None:
         """A mechanism against itself differs by nothing."""
-        days = compare(LOADS['burst'], 24, 3, ALL_ON)
+        days = compare(LOADS['burst'], 24, 3, NONE_DISABLED)
         self.assertEqual(difference(days, days), (0.0, 0.0))
