--- a/bench/door.py
+++ b/bench/door.py
@@ -12,10 +12,10 @@
 
 from bench.replay import NOW_S, ROOM, SERVICE, Day, Load, Outcome, difference
 from curranthill.admission import (
-    Outlook,
+    Forecast,
     ServiceResources,
-    may_accept,
-    outlook_of,
+    check_admission,
+    make_forecast,
 )
 from curranthill.placement import NONE_DISABLED, WorkerCapacity
 from curranthill.tasks import JobSpec, Resources
@@ -48,7 +48,7 @@
         )
         self.refused: set[str] = set()
         self.refusals = 0
-        self._outlook: Outlook | None = None
+        self._forecast: Forecast | None = None
         self._read_s = 0.0
         self._number = 0
         self._tries: dict[str, int] = {}
@@ -56,7 +56,7 @@
 
     def _make(self) -> None:
         self._number += 1
-        made = outlook_of(
+        made = make_forecast(
             self._jobs.values(),
             resources={SERVICE: self._room()},
             guaranteed={f't{team}': len(self._runs) for team in range(4)},
@@ -66,8 +66,8 @@
         self._at(self._now_s + READ_AFTER_S, partial(self._read, made))
         self._at(self._now_s + MADE_EACH_S, self._make)
 
-    def _read(self, outlook: Outlook | None) -> None:
-        self._outlook = outlook
+    def _read(self, forecast: Forecast | None) -> None:
+        self._forecast = forecast
         self._read_s = self._now_s
 
     def _room(self) -> ServiceResources:
@@ -88,7 +88,7 @@
     def _accept(self, spec: JobSpec) -> None:
         asked = spec._replace(accepted_at_s=NOW_S + self._now_s)
         age_s = self._now_s - self._read_s
-        refusal = may_accept(asked, self._outlook, age_s)
+        refusal = check_admission(asked, self._forecast, age_s)
         if refusal is None:
             self.refused.discard(spec.job_id)
             super()._accept(asked)
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,35 +1,35 @@
 """How work is turned away: decisions only, no input or output, no clock."""
 
-from curranthill.admission.forecast import ServiceResources, outlook_of
-from curranthill.admission.outlook import (
+from curranthill.admission.forecast import ServiceResources, make_forecast
+from curranthill.admission.reasons import KEPT, waits_for
+from curranthill.admission.returns import return_after_s
+from curranthill.admission.shedding import (
     FULL,
-    MOST_OF_WORKSPACE,
-    MOST_WAITING,
-    OLD_S,
+    MAX_FORECAST_AGE_S,
+    MAX_WAITING,
+    MAX_WAITING_PER_WORKSPACE,
     TOO_LATE,
     WORKSPACE_FULL,
-    Outlook,
+    Forecast,
     Refusal,
-    ServiceOutlook,
-    may_accept,
+    ServiceForecast,
+    check_admission,
 )
-from curranthill.admission.reasons import KEPT, waits_for
-from curranthill.admission.returns import return_after_s
 
 __all__ = (
     'FULL',
     'KEPT',
-    'MOST_OF_WORKSPACE',
-    'MOST_WAITING',
-    'OLD_S',
+    'MAX_WAITING_PER_WORKSPACE',
+    'MAX_WAITING',
+    'MAX_FORECAST_AGE_S',
     'TOO_LATE',
     'WORKSPACE_FULL',
-    'Outlook',
+    'Forecast',
     'Refusal',
-    'ServiceOutlook',
+    'ServiceForecast',
     'ServiceResources',
-    'may_accept',
-    'outlook_of',
+    'check_admission',
+    'make_forecast',
     'return_after_s',
     'waits_for',
 )
--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
 
-from curranthill.admission.outlook import (
-    MOST_OF_WORKSPACE,
-    MOST_WAITING,
-    OLD_S,
-    Outlook,
-    ServiceOutlook,
+from curranthill.admission.shedding import (
+    MAX_FORECAST_AGE_S,
+    MAX_WAITING,
+    MAX_WAITING_PER_WORKSPACE,
+    Forecast,
+    ServiceForecast,
 )
 from curranthill.placement import (
     ActiveJob,
@@ -27,7 +27,7 @@
 
 #: Shorter waits are not told of, in seconds: what must end sooner than that
 #: after its longest chain is told by nobody.
-TOLD_FROM_S: Final = 1.0
+MIN_FORECAST_WAIT_S: Final = 1.0
 
 #: Waiting jobs that are sampled for each priority: those of the earliest, the
 #: middle and the latest objective.
@@ -66,14 +66,14 @@
     free: Callable[[], Resources]
 
 
-def outlook_of(
+def make_forecast(
     jobs: Iterable[ActiveJob],
     *,
     resources: Mapping[str, ServiceResources],
     guaranteed: Mapping[str, int],
     now_s: float,
     number: int,
-) -> Outlook | None:
+) -> Forecast | None:
     """Return what hosts should know, or nothing while nothing waits long.
 
     :param guaranteed: guaranteed accelerators by workspace.
@@ -85,10 +85,10 @@
     waiting = Counter(job.spec.workspace for job in unbegun)
     covered = covered_jobs(open_jobs, guaranteed)
     services = _services(open_jobs, resources, covered, now_s)
-    many = len(unbegun) >= TOLD_WAITING_SHARE * MOST_WAITING
+    many = len(unbegun) >= TOLD_WAITING_SHARE * MAX_WAITING
     if not services and not many:
         return None
-    return Outlook(
+    return Forecast(
         number=number,
         waiting=len(unbegun),
         services=services,
@@ -96,7 +96,7 @@
         full=tuple(
             workspace
             for workspace, count in waiting.most_common(TOLD_WORKSPACES)
-            if count >= MOST_OF_WORKSPACE
+            if count >= MAX_WAITING_PER_WORKSPACE
         ),
     )
 
@@ -106,7 +106,7 @@
     resources: Mapping[str, ServiceResources],
     covered: set[str],
     now_s: float,
-) -> tuple[ServiceOutlook, ...]:
+) -> tuple[ServiceForecast, ...]:
     """Return the services for which something waits long."""
     waiting: dict[str, list[ActiveJob]] = defaultdict(list)
     for job in jobs:
@@ -119,7 +119,7 @@
             told.append((_longest_s(waits), name, waits))
     told.sort(key=lambda one: -one[0])
     return tuple(
-        ServiceOutlook(
+        ServiceForecast(
             name, resources[name].total, resources[name].free(), waits
         )
         for _, name, waits in told[:TOLD_SERVICES]
@@ -147,7 +147,7 @@
     for job in _as_served((*waiting, *probes), covered, now_s):
         if job in probes:
             wait_s = _drained_s(ahead, total)
-            if wait_s >= TOLD_FROM_S:
+            if wait_s >= MIN_FORECAST_WAIT_S:
                 due_s = round(job.objective_s - now_s, 1)
                 step = (due_s, round(wait_s, 1))
                 waits[job.spec.queue.priority].append(step)
@@ -235,7 +235,7 @@
         run.estimate_s * (1 - run.done_percent / 100)
         for run in job.runs.values()
     ]
-    return bool(left_s) and max(left_s) <= OLD_S
+    return bool(left_s) and max(left_s) <= MAX_FORECAST_AGE_S
 
 
 def _patience_s(job: ActiveJob) -> float:
@@ -263,4 +263,4 @@
     return max(wait_s for steps in waits.values() for _, wait_s in steps)
 
 
-__all__ = ('TOLD_FROM_S', 'ServiceResources', 'outlook_of')
+__all__ = ('MIN_FORECAST_WAIT_S', 'ServiceResources', 'make_forecast')
--- a/src/curranthill/admission/outlook.py
+++ b/src/curranthill/admission/shedding.py
@@ -24,15 +24,15 @@
 #: An older outlook refuses nobody, in seconds: one is made each second, written
 #: with a heartbeat and read with a reading of the leader's row, and one of
 #: them may be lost.
-OLD_S: Final = 2.5
+MAX_FORECAST_AGE_S: Final = 2.5
 
 #: The most jobs that wait with no task begun, in all: a successor reads
 #: their rows first, some 1 KB each, and a host with 5 Mbit/s must have read
 #: them within 4 s.
-MOST_WAITING: Final = 2000
+MAX_WAITING: Final = 2000
 
 #: The same of one workspace: no caller alone can fill the queue.
-MOST_OF_WORKSPACE: Final = MOST_WAITING // 2
+MAX_WAITING_PER_WORKSPACE: Final = MAX_WAITING // 2
 
 #: The shortest time after which a caller comes back, in seconds: the header
 #: has whole seconds.
@@ -51,7 +51,7 @@
 FULL: Final = 'too many wait'
 
 
-class ServiceOutlook(msgspec.Struct, array_like=True):
+class ServiceForecast(msgspec.Struct, array_like=True):
     """What waits for one service's workers.
 
     :param total: the capacity of all its workers.
@@ -80,7 +80,7 @@
         )
 
 
-class Outlook(msgspec.Struct, array_like=True):
+class Forecast(msgspec.Struct, array_like=True):
     """What the leader tells all hosts of the work that waits.
 
     :param number: grows with each outlook of one leader.
@@ -94,7 +94,7 @@
     form: int = FORM
     number: int = 0
     waiting: int = 0
-    services: tuple[ServiceOutlook, ...] = ()
+    services: tuple[ServiceForecast, ...] = ()
     uncovered: dict[str, int] = {}
     full: tuple[str, ...] = ()
 
@@ -121,22 +121,22 @@
     spread_s: float
 
 
-def may_accept(
+def check_admission(
     spec: JobSpec,
-    outlook: Outlook | None,
+    forecast: Forecast | None,
     age_s: float,
 ) -> Refusal | None:
     """Return the refusal of a job; nothing if it is accepted.
 
-    :param outlook: the newest that is known, if any.
+    :param forecast: the newest that is known, if any.
     :param age_s: for how long it has been known, by the reader's own clock.
     """
-    if outlook is None or outlook.form != FORM or age_s > OLD_S:
+    if forecast is None or forecast.form != FORM or age_s > MAX_FORECAST_AGE_S:
         return None
-    if outlook.covers(spec):
+    if forecast.covers(spec):
         return None
-    wait_s = _wait_s(spec, outlook)
-    reason = _reason(spec, outlook, wait_s)
+    wait_s = _wait_s(spec, forecast)
+    reason = _reason(spec, forecast, wait_s)
     if not reason:
         return None
     # The same wait for all of a queue: the earlier the objective the less of
@@ -151,10 +151,10 @@
     return queue.target_s > 0 or queue.slack_factor > 1
 
 
-def _reason(spec: JobSpec, outlook: Outlook, wait_s: float) -> str:
-    if outlook.waiting >= MOST_WAITING:
+def _reason(spec: JobSpec, forecast: Forecast, wait_s: float) -> str:
+    if forecast.waiting >= MAX_WAITING:
         return FULL
-    if spec.workspace in outlook.full:
+    if spec.workspace in forecast.full:
         return WORKSPACE_FULL
     least_s = CERTAIN_WAIT_SHARE * wait_s + spec.chain_s
     if wait_s and least_s > earns_until_s(spec):
@@ -162,19 +162,19 @@
     return ''
 
 
-def _wait_s(spec: JobSpec, outlook: Outlook) -> float:
+def _wait_s(spec: JobSpec, forecast: Forecast) -> float:
     """Return the wait expected of a job; 0 where nothing is sure."""
     planned = spec.times or any(step.perpetual for step in spec.steps)
     if planned or not has_objective(spec.queue):
         return 0.0
-    for service in outlook.services:
+    for service in forecast.services:
         if service.name == spec.queue.service and _must_wait(spec, service):
             objective_s = spec.objective_s - spec.accepted_at_s
             return service.wait_s(spec.queue.priority, objective_s)
     return 0.0
 
 
-def _must_wait(spec: JobSpec, service: ServiceOutlook) -> bool:
+def _must_wait(spec: JobSpec, service: ServiceForecast) -> bool:
     """Return whether no task can start now, and the chain tells the run."""
     return not any(
         _is_wide(step, service.total)
@@ -198,15 +198,15 @@
 __all__ = (
     'FORM',
     'FULL',
-    'MOST_OF_WORKSPACE',
-    'MOST_WAITING',
-    'OLD_S',
+    'MAX_WAITING_PER_WORKSPACE',
+    'MAX_WAITING',
+    'MAX_FORECAST_AGE_S',
     'TOO_LATE',
     'WORKSPACE_FULL',
-    'Outlook',
+    'Forecast',
     'Refusal',
-    'ServiceOutlook',
+    'ServiceForecast',
     'earns_until_s',
     'has_objective',
-    'may_accept',
+    'check_admission',
 )
--- a/src/curranthill/dispatch/outlooks.py
+++ b/src/curranthill/dispatch/outlooks.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from curranthill.admission import Outlook, ServiceResources, outlook_of
+from curranthill.admission import Forecast, ServiceResources, make_forecast
 from curranthill.clock import Clock
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.work import Work
@@ -42,13 +42,13 @@
         """Return whether another one should be made."""
         return self._clock.monotonic_s() >= self._due_s
 
-    def make(self, revision: Revision | None) -> Outlook | None:
+    def make(self, revision: Revision | None) -> Forecast | None:
         """Return what hosts should know now, if anything."""
         self._due_s = self._clock.monotonic_s() + INTERVAL_S
         if revision is None:
             return None
         self._number += 1
-        return outlook_of(
+        return make_forecast(
             self._work.jobs.values(),
             resources=self._rooms(),
             guaranteed={
@@ -111,11 +111,11 @@
         self._clock = clock
         self._content: Any = None
         self._epoch = 0
-        self._outlook: Outlook | None = None
+        self._outlook: Forecast | None = None
         self._since_s = 0.0
         self._missed_s = -NO_REFUSAL_S
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest outlook and its age in seconds."""
         now_s = self._clock.monotonic_s()
         if now_s - self._missed_s < NO_REFUSAL_S:
@@ -142,11 +142,11 @@
         self._missed_s = self._clock.monotonic_s()
 
 
-def _decoded(content: Any) -> Outlook | None:
+def _decoded(content: Any) -> Forecast | None:
     if content is None:
         return None
     try:
-        return msgspec.convert(content, Outlook, str_keys=True)
+        return msgspec.convert(content, Forecast, str_keys=True)
     except msgspec.ValidationError as error:
         # Perhaps of another release; the leader's row holds all the same.
         events.log('outlook_bad', error=str(error))
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -18,9 +18,9 @@
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
     FAILURE_SCORE,
+    LOAD_SHEDDING,
     NONE_DISABLED,
     SPEEDS,
-    TURNING_AWAY,
     ActiveJob,
     BacklogCursor,
     Placement,
@@ -369,7 +369,7 @@
         if not self._outlooks.due:
             return
         outlook = self._outlooks.make(self._revision.current)
-        if TURNING_AWAY not in self._disabled:
+        if LOAD_SHEDDING not in self._disabled:
             told = msgspec.to_builtins(outlook, str_keys=True)
             self._journal.note_outlook(told)
         self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
--- a/src/curranthill/entry/desk.py
+++ b/src/curranthill/entry/desk.py
@@ -5,9 +5,9 @@
 from typing import Any, Final, Protocol
 
 from curranthill.admission import (
-    Outlook,
+    Forecast,
     Refusal,
-    may_accept,
+    check_admission,
     return_after_s,
 )
 from curranthill.clock import Clock, wait_at_most
@@ -69,7 +69,7 @@
 class OutlookSource(Protocol):
     """Knows what waits."""
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest outlook, if any, and its age in seconds."""
 
     def missed(self) -> None:
@@ -253,7 +253,7 @@
         :raises RefusedError: if the job is refused.
         """
         outlook, age_s = self._outlooks.newest()
-        refusal = may_accept(spec, outlook, age_s)
+        refusal = check_admission(spec, outlook, age_s)
         if refusal is None:
             return False
         try:
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -15,11 +15,11 @@
 from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
 from curranthill.placement.mechanisms import (
     FAILURE_SCORE,
+    LOAD_SHEDDING,
     NONE_DISABLED,
     SLOW_MOVES,
     SPEEDS,
     STALLED_MOVES,
-    TURNING_AWAY,
     checked,
     mechanisms,
 )
@@ -71,7 +71,7 @@
     'SPEEDS',
     'STALLED',
     'STALLED_MOVES',
-    'TURNING_AWAY',
+    'LOAD_SHEDDING',
     'UNKNOWN',
     'URGENT',
     'ActiveJob',
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -21,7 +21,7 @@
 IN_TIME_FIRST: Final = 'in-time-first'
 SPEEDS: Final = 'speeds'
 SLOW_MOVES: Final = 'slow-moves'
-TURNING_AWAY: Final = 'turning-away'
+LOAD_SHEDDING: Final = 'turning-away'
 
 mechanisms.register(RESERVATION)('A gang that does not fit keeps room.')
 mechanisms.register(RACK_PATIENCE)('Tasks wait for the rack they run fast in.')
@@ -36,7 +36,7 @@
 )
 mechanisms.register(SLOW_MOVES)('Runs leave workers found to be slow.')
 mechanisms.register(SPEEDS)('Tasks start where they end in time.')
-mechanisms.register(TURNING_AWAY)('Hosts refuse what waiting makes too late.')
+mechanisms.register(LOAD_SHEDDING)('Hosts refuse what waiting makes too late.')
 
 
 #: The value of ``disabled`` when every mechanism is on.
@@ -64,7 +64,7 @@
     'SLOW_MOVES',
     'SPEEDS',
     'STALLED_MOVES',
-    'TURNING_AWAY',
+    'LOAD_SHEDDING',
     'checked',
     'mechanisms',
 )
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from curranthill.admission import MOST_WAITING, TOO_LATE, may_accept
+from curranthill.admission import MAX_WAITING, TOO_LATE, check_admission
 from curranthill.dispatch.leadership import LeaderRow, leader_row_of
 from curranthill.errors import NOT_RUN, RefusedError
 from curranthill.placement import checked
@@ -144,7 +144,7 @@
             small = Step(width=1, needs=GANG.needs, estimate_s=0.01)
             rows = [
                 make_spec(f'w{number}', small, priority=2)
-                for number in range(MOST_WAITING + 100)
+                for number in range(MAX_WAITING + 100)
             ]
             for worker in domain.workers.values():
                 worker.run_s = RUN_S
@@ -282,9 +282,11 @@
             second.clock.suspend()
             await domain.clock.advance(4.0)
             second.clock.resume()
-            outlook, age_s = watch.newest()
+            forecast, age_s = watch.newest()
             self.assertGreaterEqual(age_s, 4.0)
-            self.assertIsNone(may_accept(gang('two', domain), outlook, age_s))
+            self.assertIsNone(
+                check_admission(gang('two', domain), forecast, age_s)
+            )
 
         in_domain(case, workers=4, run_s=RUN_S)
 
@@ -296,8 +298,8 @@
             {'waits': 3},
             7,
         )
-        for outlook in forms:
-            row = LeaderRow(holder='h', epoch=3, outlook=outlook)
+        for forecast in forms:
+            row = LeaderRow(holder='h', epoch=3, outlook=forecast)
             read = decode(encode(row), LeaderRow)
             self.assertEqual(read, row)
         older = decode(msgspec.json.encode(['h', 3, 'x', 0.0]), LeaderRow)
@@ -310,10 +312,10 @@
             host = domain.start_host('h1')
             await domain.leader()
             watch = host.election.outlooks
-            for number, outlook in enumerate(([2, 5, 9999], 'none', 7)):
-                watch.take(90 + number, outlook)
+            for number, forecast in enumerate(([2, 5, 9999], 'none', 7)):
+                watch.take(90 + number, forecast)
                 new = gang(f'new-{number}', domain)
-                with self.subTest(outlook=outlook):
+                with self.subTest(forecast=forecast):
                     self.assertFalse(await is_refused(host, new))
 
         in_domain(case)
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -8,17 +8,17 @@
 from bench.replay import Load
 from curranthill.admission import (
     FULL,
-    MOST_OF_WORKSPACE,
-    MOST_WAITING,
-    OLD_S,
+    MAX_FORECAST_AGE_S,
+    MAX_WAITING,
+    MAX_WAITING_PER_WORKSPACE,
     TOO_LATE,
     WORKSPACE_FULL,
-    Outlook,
+    Forecast,
     Refusal,
-    ServiceOutlook,
+    ServiceForecast,
     ServiceResources,
-    may_accept,
-    outlook_of,
+    check_admission,
+    make_forecast,
 )
 from curranthill.placement import NONE_DISABLED, ActiveJob
 from curranthill.tasks import JobProgress, JobSpec, Queue, Resources, Step
@@ -36,24 +36,24 @@
     *,
     free: Resources = NONE_FREE,
     uncovered: dict[str, int] | None = None,
-) -> Outlook:
+) -> Forecast:
     """Return an outlook with the same wait for whoever comes."""
     steps: tuple[tuple[float, float], ...] = ((0.0, wait_s),)
     waits = {priority: steps for priority in (0, 1, 2)}
-    return Outlook(
+    return Forecast(
         number=1,
-        services=(ServiceOutlook(SERVICE, TOTAL, free, waits),),
+        services=(ServiceForecast(SERVICE, TOTAL, free, waits),),
         uncovered=uncovered or {},
     )
 
 
 def refused(
     spec: JobSpec,
-    outlook: Outlook | None,
+    forecast: Forecast | None,
     age_s: float = 0.5,
 ) -> Refusal:
     """Return the refusal of a job that must be refused."""
-    refusal = may_accept(spec, outlook, age_s)
+    refusal = check_admission(spec, forecast, age_s)
     assert refusal is not None
     return refusal
 
@@ -74,9 +74,9 @@
     return jobs
 
 
-def forecast(jobs: list[ActiveJob], guaranteed: int = 0) -> Outlook | None:
+def forecast_for(jobs: list[ActiveJob], guaranteed: int = 0) -> Forecast | None:
     """Return what the leader tells of jobs that wait."""
-    return outlook_of(
+    return make_forecast(
         jobs,
         resources=ROOMS,
         guaranteed={f'team-{number}': guaranteed for number in range(4)},
@@ -97,60 +97,64 @@
     def test_what_may_earn_is_accepted_by_a_margin(self) -> None:
         """Its objective is 9 s, so it earns until 27 s; it runs for 4 s."""
         spec = make_spec('a1', GANG)
-        self.assertIsNone(may_accept(spec, told(27.0), 0.5))
-        self.assertIsNone(may_accept(spec, told(38.0), 0.5))
-        self.assertIsNotNone(may_accept(spec, told(39.0), 0.5))
+        self.assertIsNone(check_admission(spec, told(27.0), 0.5))
+        self.assertIsNone(check_admission(spec, told(38.0), 0.5))
+        self.assertIsNotNone(check_admission(spec, told(39.0), 0.5))
 
     def test_nobody_is_refused_without_a_fresh_outlook(self) -> None:
         """None is known, it is too old, or it is of another form."""
         spec = make_spec('a1', GANG)
         newer = msgspec.structs.replace(told(), form=2)
-        self.assertIsNone(may_accept(spec, None, 0.0))
-        self.assertIsNone(may_accept(spec, told(), OLD_S + 0.1))
-        self.assertIsNone(may_accept(spec, newer, 0.0))
-        self.assertIsNotNone(may_accept(spec, told(), OLD_S))
+        self.assertIsNone(check_admission(spec, None, 0.0))
+        self.assertIsNone(
+            check_admission(spec, told(), MAX_FORECAST_AGE_S + 0.1)
+        )
+        self.assertIsNone(check_admission(spec, newer, 0.0))
+        self.assertIsNotNone(check_admission(spec, told(), MAX_FORECAST_AGE_S))
 
     def test_what_fits_somewhere_now_is_accepted(self) -> None:
         """However much else waits."""
         spec = make_spec('a1', GANG)
-        self.assertIsNone(may_accept(spec, told(free=ROOM), 0.5))
+        self.assertIsNone(check_admission(spec, told(free=ROOM), 0.5))
         seven = ROOM._replace(gpus=7)
-        self.assertIsNotNone(may_accept(spec, told(free=seven), 0.5))
+        self.assertIsNotNone(check_admission(spec, told(free=seven), 0.5))
 
     def test_set_times_and_lasting_tasks_are_accepted(self) -> None:
         """They earn by other measures."""
         spec = make_spec('a1', GANG)
         perpetual = make_spec('a2', GANG._replace(perpetual=True))
-        self.assertIsNone(may_accept(spec._replace(times=3), told(), 0.5))
-        self.assertIsNone(may_accept(perpetual, told(), 0.5))
+        self.assertIsNone(check_admission(spec._replace(times=3), told(), 0.5))
+        self.assertIsNone(check_admission(perpetual, told(), 0.5))
 
     def test_a_queue_without_an_objective_refuses_nobody_as_late(self) -> None:
         """Its configuration says nothing of ends in time."""
         plain = Queue('q', 'jobs.example', '/q/', SERVICE, priority=1)
         spec = make_spec('a1', GANG)._replace(queue=plain)
-        self.assertIsNone(may_accept(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, told(), 0.5))
 
     def test_wide_steps_are_accepted(self) -> None:
         """They take longer than their chain says on idle workers too."""
         spec = make_spec('a1', GANG._replace(width=3))
-        self.assertIsNone(may_accept(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, told(), 0.5))
 
     def test_another_service_is_not_concerned(self) -> None:
         """Nor a service that the outlook does not name."""
         spec = make_spec('a1', GANG)
         queue = spec.queue._replace(service='other')
-        self.assertIsNone(may_accept(spec._replace(queue=queue), told(), 0.5))
+        self.assertIsNone(
+            check_admission(spec._replace(queue=queue), told(), 0.5)
+        )
 
     def test_what_a_guarantee_may_cover_is_accepted(self) -> None:
         """An urgent job, unless its workspace is known to use it up."""
         spec = make_spec('a1', GANG, priority=0)
-        self.assertIsNone(may_accept(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, told(), 0.5))
         for unused, accepted in ((16, True), (15, False)):
-            outlook = told(uncovered={'alpha': unused})
-            answer = may_accept(spec, outlook, 0.5)
+            forecast = told(uncovered={'alpha': unused})
+            answer = check_admission(spec, forecast, 0.5)
             self.assertEqual(answer is None, accepted, unused)
         others = told(uncovered={'beta': 0})
-        self.assertIsNone(may_accept(spec, others, 0.5))
+        self.assertIsNone(check_admission(spec, others, 0.5))
 
 
 class ReturnTest(unittest.TestCase):
@@ -171,8 +175,8 @@
 
     def test_nobody_comes_back_within_a_second(self) -> None:
         """The header has whole seconds."""
-        outlook = Outlook(number=1, waiting=MOST_WAITING)
-        refusal = refused(make_spec(), outlook)
+        forecast = Forecast(number=1, waiting=MAX_WAITING)
+        refusal = refused(make_spec(), forecast)
         self.assertGreaterEqual(refusal.return_s, 1.0)
         self.assertGreater(refusal.spread_s, 0.0)
 
@@ -182,27 +186,27 @@
 
     def test_the_queue_is_bounded_in_all(self) -> None:
         """Whatever waits, whoever hands it in."""
-        outlook = Outlook(number=1, waiting=MOST_WAITING)
-        self.assertEqual(refused(make_spec(), outlook).reason, FULL)
+        forecast = Forecast(number=1, waiting=MAX_WAITING)
+        self.assertEqual(refused(make_spec(), forecast).reason, FULL)
         perpetual = make_spec('a2', GANG._replace(perpetual=True))
-        self.assertEqual(refused(perpetual, outlook).reason, FULL)
-        fewer = Outlook(number=1, waiting=MOST_WAITING - 1)
-        self.assertIsNone(may_accept(make_spec(), fewer, 0.5))
+        self.assertEqual(refused(perpetual, forecast).reason, FULL)
+        fewer = Forecast(number=1, waiting=MAX_WAITING - 1)
+        self.assertIsNone(check_admission(make_spec(), fewer, 0.5))
 
     def test_one_workspace_leaves_room_for_the_others(self) -> None:
         """Half of the queue is the most that it may take."""
-        jobs = waiting_jobs(MOST_OF_WORKSPACE, workspaces=1)
-        outlook = forecast(jobs)
-        assert outlook is not None
+        jobs = waiting_jobs(MAX_WAITING_PER_WORKSPACE, workspaces=1)
+        forecast = forecast_for(jobs)
+        assert forecast is not None
         spec = make_spec('a1', ROOM_STEP)._replace(workspace='team-0')
-        self.assertEqual(refused(spec, outlook).reason, WORKSPACE_FULL)
+        self.assertEqual(refused(spec, forecast).reason, WORKSPACE_FULL)
         other = spec._replace(workspace='team-1', times=2)
-        self.assertIsNone(may_accept(other, outlook, 0.5))
+        self.assertIsNone(check_admission(other, forecast, 0.5))
 
     def test_what_a_guarantee_covers_is_accepted_even_then(self) -> None:
         """It takes no more than the guarantee."""
-        outlook = Outlook(number=1, waiting=MOST_WAITING)
-        self.assertIsNone(may_accept(make_spec(priority=0), outlook, 0.5))
+        forecast = Forecast(number=1, waiting=MAX_WAITING)
+        self.assertIsNone(check_admission(make_spec(priority=0), forecast, 0.5))
 
 
 #: Too wide to be refused for its wait.
@@ -214,24 +218,24 @@
 
     def test_nothing_is_told_while_nothing_waits_long(self) -> None:
         """The leader's row is as small as before."""
-        self.assertIsNone(forecast([]))
+        self.assertIsNone(forecast_for([]))
         one = ActiveJob(spec=make_spec(), progress=JobProgress('q', tasks={}))
-        self.assertIsNone(forecast([one]))
+        self.assertIsNone(forecast_for([one]))
 
     def test_the_wait_is_that_of_the_work_ahead(self) -> None:
         """Twenty gangs of 64 accelerator-seconds before 64 accelerators."""
-        outlook = forecast(waiting_jobs(20))
-        assert outlook is not None
-        wait_s = outlook.services[0].wait_s(1, objective_s=9.0)
+        forecast = forecast_for(waiting_jobs(20))
+        assert forecast is not None
+        wait_s = forecast.services[0].wait_s(1, objective_s=9.0)
         self.assertEqual(wait_s, 20.0)
-        self.assertEqual(outlook.waiting, 20)
+        self.assertEqual(forecast.waiting, 20)
 
     def test_more_urgent_work_goes_ahead(self) -> None:
         """Less urgent work does not."""
         jobs = waiting_jobs(20, priority=0) + waiting_jobs(20, priority=1)
-        outlook = forecast(jobs)
-        assert outlook is not None
-        service = outlook.services[0]
+        forecast = forecast_for(jobs)
+        assert forecast is not None
+        service = forecast.services[0]
         self.assertEqual(service.wait_s(0, objective_s=9.0), 20.0)
         self.assertEqual(service.wait_s(1, objective_s=9.0), 40.0)
         self.assertEqual(service.wait_s(2, objective_s=9.0), 0.0)
@@ -239,19 +243,19 @@
     def test_an_earlier_objective_waits_less(self) -> None:
         """Long jobs of the same priority are overtaken."""
         long = GANG._replace(estimate_s=40.0)
-        outlook = forecast(waiting_jobs(10, long))
-        assert outlook is not None
-        self.assertEqual(outlook.services[0].wait_s(1, objective_s=9.0), 0.0)
-        self.assertIsNone(may_accept(make_spec('a1', GANG), outlook, 0.5))
+        forecast = forecast_for(waiting_jobs(10, long))
+        assert forecast is not None
+        self.assertEqual(forecast.services[0].wait_s(1, objective_s=9.0), 0.0)
+        self.assertIsNone(check_admission(make_spec('a1', GANG), forecast, 0.5))
 
     def test_what_guarantees_leave_is_told(self) -> None:
         """Only of workspaces of which urgent jobs wait beyond them."""
         jobs = waiting_jobs(40, priority=0)
-        outlook = forecast(jobs, guaranteed=40)
-        assert outlook is not None
+        forecast = forecast_for(jobs, guaranteed=40)
+        assert forecast is not None
         # Two gangs of 16 are covered; 8 are left.
         expected = {f'team-{number}': 8 for number in range(4)}
-        self.assertEqual(outlook.uncovered, expected)
+        self.assertEqual(forecast.uncovered, expected)
 
     def test_it_is_small(self) -> None:
         """It stands in a row that each host reads three times a second."""
@@ -260,15 +264,15 @@
             for priority in (0, 1, 2)
             for job in waiting_jobs(400, priority=priority)
         ]
-        outlook = forecast(jobs, guaranteed=40)
-        self.assertLess(len(msgspec.json.encode(outlook)), 300)
+        forecast = forecast_for(jobs, guaranteed=40)
+        self.assertLess(len(msgspec.json.encode(forecast)), 300)
 
     def test_it_is_read_as_it_was_written(self) -> None:
         """From a row that holds it among other fields."""
-        outlook = forecast(waiting_jobs(40, priority=0), guaranteed=40)
-        content = msgspec.json.decode(msgspec.json.encode(outlook))
-        read = msgspec.convert(content, Outlook, str_keys=True)
-        self.assertEqual(read, outlook)
+        forecast = forecast_for(waiting_jobs(40, priority=0), guaranteed=40)
+        content = msgspec.json.decode(msgspec.json.encode(forecast))
+        read = msgspec.convert(content, Forecast, str_keys=True)
+        self.assertEqual(read, forecast)
 
 
 class ReplayedOverloadTest(unittest.TestCase):
