--- a/bench/door.py
+++ b/bench/door.py
@@ -110,7 +110,7 @@
         """Return what a job earned."""
         return self._earned(job_id, self._drawn[job_id])
 
-    def hopeless(self) -> int:
+    def infeasible(self) -> int:
         """Return how many jobs earned nothing."""
         return sum(1 for job_id in self._drawn if not self.earned(job_id))
 
@@ -145,7 +145,7 @@
         refused=len(door.refused),
         refusals=door.refusals,
         refused_worth=sum(plain.earned(one) for one in door.refused),
-        worthless=plain.hopeless(),
+        worthless=plain.infeasible(),
     )
 
 
--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -18,8 +18,8 @@
 from curranthill.placement import (
     ActiveJob,
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     late_jobs,
     resources_needed,
 )
@@ -164,8 +164,8 @@
     now_s: float,
 ) -> list[ActiveJob]:
     """Return jobs in the order in which the leader serves them."""
-    hopeless = hopeless_jobs(jobs, covered, now_s)
-    return in_order(jobs, covered, hopeless, late_jobs(jobs, now_s))
+    infeasible = infeasible_jobs(jobs, covered, now_s)
+    return in_service_order(jobs, covered, infeasible, late_jobs(jobs, now_s))
 
 
 def _probes(waiting: list[ActiveJob], now_s: float) -> list[ActiveJob]:
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from curranthill.placement import LATE_UNTIL, URGENT, resources_needed
+from curranthill.placement import MAX_LATE_FACTOR, URGENT, resources_needed
 from curranthill.tasks import JobSpec, Queue, Resources, Step
 
 #: The form of the record; hosts go by no other form.
@@ -192,7 +192,7 @@
 
 def earns_until_s(spec: JobSpec) -> float:
     """Return until when a job earns, in seconds from its acceptance."""
-    return LATE_UNTIL * (spec.objective_s - spec.accepted_at_s)
+    return MAX_LATE_FACTOR * (spec.objective_s - spec.accepted_at_s)
 
 
 __all__ = (
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -10,7 +10,6 @@
     resources_needed,
 )
 from curranthill.placement.durations import DurationBook, Ratio
-from curranthill.placement.earnings import LATE_UNTIL
 from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
 from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
 from curranthill.placement.mechanisms import (
@@ -25,8 +24,8 @@
 )
 from curranthill.placement.order import (
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     late_jobs,
 )
 from curranthill.placement.planner import Placement, Plan, Planner
@@ -52,6 +51,7 @@
     MoveReason,
     move_of,
 )
+from curranthill.placement.timeliness import MAX_LATE_FACTOR
 from curranthill.placement.turns import ReservationTurns
 from curranthill.placement.workers import WorkerEntry
 
@@ -59,7 +59,7 @@
     'NONE_DISABLED',
     'FAILURE_SCORE',
     'FILLING',
-    'LATE_UNTIL',
+    'MAX_LATE_FACTOR',
     'ASSIGNED',
     'MOST_SKEW_S',
     'ORDERED',
@@ -96,8 +96,8 @@
     'checked',
     'checkpoint_of',
     'covered_jobs',
-    'hopeless_jobs',
-    'in_order',
+    'infeasible_jobs',
+    'in_service_order',
     'late_jobs',
     'kind_of',
     'level_of',
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -17,7 +17,7 @@
 FAILURE_SCORE: Final = 'doubt'
 BOUNDED_LOSS: Final = 'bounded-loss'
 STALLED_MOVES: Final = 'stalled-moves'
-HOPELESS_LAST: Final = 'hopeless-last'
+INFEASIBLE_LAST: Final = 'hopeless-last'
 IN_TIME_FIRST: Final = 'in-time-first'
 SPEEDS: Final = 'speeds'
 SLOW_MOVES: Final = 'slow-moves'
@@ -30,7 +30,7 @@
 )
 mechanisms.register(BOUNDED_LOSS)('Uncovered urgent jobs stop little work.')
 mechanisms.register(STALLED_MOVES)('Runs that stand still start elsewhere.')
-mechanisms.register(HOPELESS_LAST)('Work of no more use to anyone goes last.')
+mechanisms.register(INFEASIBLE_LAST)('Work of no more use to anyone goes last.')
 mechanisms.register(IN_TIME_FIRST)(
     'What can be in time goes before what is late.'
 )
@@ -57,7 +57,7 @@
     'NONE_DISABLED',
     'BOUNDED_LOSS',
     'FAILURE_SCORE',
-    'HOPELESS_LAST',
+    'INFEASIBLE_LAST',
     'IN_TIME_FIRST',
     'RACK_PATIENCE',
     'RESERVATION',
--- a/src/curranthill/placement/order.py
+++ b/src/curranthill/placement/order.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Iterable, Mapping
 
-from curranthill.placement.earnings import (
-    is_hopeless,
-    is_late,
-    is_served_again,
-)
 from curranthill.placement.jobs import ActiveJob
 from curranthill.placement.runs import URGENT
+from curranthill.placement.timeliness import (
+    has_aged,
+    is_infeasible,
+    is_late,
+)
 
 
 def is_urgent(job: ActiveJob) -> bool:
@@ -44,7 +44,7 @@
     return covered
 
 
-def hopeless_jobs(
+def infeasible_jobs(
     jobs: Iterable[ActiveJob],
     covered: set[str],
     now_s: float,
@@ -59,7 +59,7 @@
         for job in jobs
         if not job.perpetual
         and job.spec.job_id not in covered
-        and is_hopeless(job, now_s)
+        and is_infeasible(job, now_s)
     }
 
 
@@ -76,14 +76,14 @@
         for job in jobs
         if not job.perpetual
         and is_late(job, now_s)
-        and not is_served_again(job, now_s)
+        and not has_aged(job, now_s)
     }
 
 
-def in_order(
+def in_service_order(
     jobs: Iterable[ActiveJob],
     covered: set[str],
-    hopeless: set[str],
+    infeasible: set[str],
     late: set[str],
 ) -> list[ActiveJob]:
     """Return jobs as they are served: guarantees, what lasts, then by need.
@@ -91,14 +91,14 @@
     Within a priority the earliest objective goes first: it has the least time
     left to earn its worth.
 
-    :param hopeless: ids of jobs that go after all others.
+    :param infeasible: ids of jobs that go after all others.
     :param late: ids of jobs that go after the others of their priority.
     """
     return sorted(
         jobs,
         key=lambda job: (
             job.spec.job_id not in covered,
-            job.spec.job_id in hopeless,
+            job.spec.job_id in infeasible,
             not job.perpetual,
             job.spec.queue.priority,
             job.spec.job_id in late,
@@ -109,8 +109,8 @@
 
 __all__ = (
     'covered_jobs',
-    'hopeless_jobs',
-    'in_order',
+    'infeasible_jobs',
+    'in_service_order',
     'is_urgent',
     'late_jobs',
 )
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -23,16 +23,16 @@
 from curranthill.placement.losses import Losses
 from curranthill.placement.mechanisms import (
     BOUNDED_LOSS,
-    HOPELESS_LAST,
     IN_TIME_FIRST,
+    INFEASIBLE_LAST,
     NONE_DISABLED,
     RACK_PATIENCE,
     RESERVATION,
 )
 from curranthill.placement.order import (
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     is_urgent,
     late_jobs,
 )
@@ -135,7 +135,7 @@
         self._stopped_for: list[str] = []
         self._reserved_for: dict[str, None] = {}
         self._covered: set[str] = set()
-        self._hopeless: set[str] = set()
+        self._infeasible: set[str] = set()
         self._too_large: set[tuple[str, Step]] = set()
         self._mostly_free: dict[str, bool] = {}
         self._reservations = 0 if RESERVATION in disabled else RESERVATIONS
@@ -146,7 +146,7 @@
         waiting = [job for job in known if not job.ended]
         self._evictions = Evictions(losses=Losses(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
-        later = self._place_first(self._in_order(waiting))
+        later = self._place_first(self._in_service_order(waiting))
         for job in self._backlog.take(later):
             self._place_job(job)
         return Plan(
@@ -172,17 +172,17 @@
             self._place_step(job, self._with_tickets(job, ready))
         return bool(ready_steps)
 
-    def _in_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
+    def _in_service_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
         late: set[str] = set()
-        if HOPELESS_LAST not in self._disabled:
-            self._hopeless = hopeless_jobs(
+        if INFEASIBLE_LAST not in self._disabled:
+            self._infeasible = infeasible_jobs(
                 waiting,
                 self._covered,
                 self._now_s,
             )
         if IN_TIME_FIRST not in self._disabled:
             late = late_jobs(waiting, self._now_s)
-        return in_order(waiting, self._covered, self._hopeless, late)
+        return in_service_order(waiting, self._covered, self._infeasible, late)
 
     def _with_tickets(self, job: ActiveJob, ready: ReadyStep) -> ReadyStep:
         if not job.spec.queue.advisor:
@@ -278,7 +278,7 @@
 
     def _may_preempt(self, job: ActiveJob) -> bool:
         """Return whether runs may be stopped for a job."""
-        return is_urgent(job) and job.spec.job_id not in self._hopeless
+        return is_urgent(job) and job.spec.job_id not in self._infeasible
 
     def _place(self, job: ActiveJob, ready: ReadyStep, chosen: Fit) -> None:
         if chosen:
--- a/src/curranthill/placement/earnings.py
+++ b/src/curranthill/placement/timeliness.py
@@ -9,25 +9,25 @@
 from curranthill.placement.jobs import ActiveJob
 
 #: What a job may still be: in time, late, or of no more use to its callers.
-Prospect = Literal[0, 1, 2]
+Timeliness = Literal[0, 1, 2]
 
 IN_TIME: Final = 0
 LATE: Final = 1
-HOPELESS: Final = 2
+INFEASIBLE: Final = 2
 
 #: A late job is still of use until so many times its objective.
-LATE_UNTIL: Final = 3.0
+MAX_LATE_FACTOR: Final = 3.0
 
 #: Aging: hopeless work goes after all other for so long, in seconds, and then
 #: in its turn again, so that nothing that was accepted starves.
-HOPELESS_WAIT_S: Final = 30.0
+INFEASIBLE_WAIT_S: Final = 30.0
 
 #: The least share of its estimate that a task takes: a job must not be given
 #: up for an estimate that is too long.
-LEAST_RUN_SHARE: Final = 0.5
+MIN_RUN_SHARE: Final = 0.5
 
 
-def prospect(job: ActiveJob, done_s: float) -> Prospect:
+def timeliness(job: ActiveJob, done_s: float) -> Timeliness:
     """Return what a job will have been if it is done at a wall-clock time.
 
     A job without an objective is always in time.
@@ -36,32 +36,32 @@
     if done_s <= job.objective_s or not allowed_s:
         # Most jobs end here.
         return IN_TIME
-    took_s = done_s - _counts_from_s(job)
-    if took_s > LATE_UNTIL * allowed_s:
-        return HOPELESS
+    took_s = done_s - _objective_starts_s(job)
+    if took_s > MAX_LATE_FACTOR * allowed_s:
+        return INFEASIBLE
     return LATE if took_s > allowed_s else IN_TIME
 
 
-def is_hopeless(job: ActiveJob, now_s: float) -> bool:
+def is_infeasible(job: ActiveJob, now_s: float) -> bool:
     """Return whether a waiting job goes after what is still of use.
 
     :param now_s: wall-clock seconds.
     """
-    if prospect(job, now_s + job.chain_s) != HOPELESS:
+    if timeliness(job, now_s + job.chain_s) != INFEASIBLE:
         # Most jobs end here.
         return False
-    if is_served_again(job, now_s):
+    if has_aged(job, now_s):
         return False
-    soonest_s = now_s + LEAST_RUN_SHARE * _left_s(job)
-    return prospect(job, soonest_s) == HOPELESS
+    soonest_s = now_s + MIN_RUN_SHARE * _remaining_chain_s(job)
+    return timeliness(job, soonest_s) == INFEASIBLE
 
 
-def is_served_again(job: ActiveJob, now_s: float) -> bool:
+def has_aged(job: ActiveJob, now_s: float) -> bool:
     """Return whether aging has ended a hopeless job's time at the back.
 
     :param now_s: wall-clock seconds.
     """
-    return prospect(job, now_s - HOPELESS_WAIT_S) == HOPELESS
+    return timeliness(job, now_s - INFEASIBLE_WAIT_S) == INFEASIBLE
 
 
 def is_late(job: ActiveJob, now_s: float) -> bool:
@@ -72,17 +72,17 @@
     if now_s + job.chain_s <= job.objective_s:
         # Most jobs end here.
         return False
-    return prospect(job, now_s + _left_s(job)) != IN_TIME
+    return timeliness(job, now_s + _remaining_chain_s(job)) != IN_TIME
 
 
-def _counts_from_s(job: ActiveJob) -> float:
+def _objective_starts_s(job: ActiveJob) -> float:
     """Return when the occurrence that is under way was due."""
     if not job.spec.times:
         return job.first_due_s
     return max(job.first_due_s, job.spec.due_s(_occurrence(job)))
 
 
-def _left_s(job: ActiveJob) -> float:
+def _remaining_chain_s(job: ActiveJob) -> float:
     """Return the longest chain of steps that are not done yet, in seconds."""
     occurrence = _occurrence(job)
     ends_s: list[float] = []
@@ -103,14 +103,14 @@
 
 
 __all__ = (
-    'HOPELESS',
-    'HOPELESS_WAIT_S',
+    'INFEASIBLE',
+    'INFEASIBLE_WAIT_S',
     'IN_TIME',
     'LATE',
-    'LATE_UNTIL',
-    'Prospect',
-    'is_hopeless',
+    'MAX_LATE_FACTOR',
+    'Timeliness',
+    'is_infeasible',
     'is_late',
-    'is_served_again',
-    'prospect',
+    'has_aged',
+    'timeliness',
 )
--- a/tests/test_fair_room.py
+++ b/tests/test_fair_room.py
@@ -8,7 +8,11 @@
 from hypothesis import strategies as st
 
 from curranthill.placement import ActiveJob, Run
-from curranthill.placement.order import hopeless_jobs, in_order, late_jobs
+from curranthill.placement.order import (
+    in_service_order,
+    infeasible_jobs,
+    late_jobs,
+)
 from curranthill.tasks import JobProgress, Step, TaskKey, decode
 from tests.domain import Domain, in_domain, make_spec
 from tests.test_planner import (
@@ -24,7 +28,7 @@
 #: A task of a second: its job is late after three seconds from its
 #: acceptance, and earns nothing after nine.
 WHOLE = Step(width=1, needs=needs(8), estimate_s=1.0)
-HOPELESS_S = NOW_S - 20
+INFEASIBLE_S = NOW_S - 20
 SERVED_AGAIN_S = NOW_S - 60
 
 
@@ -61,7 +65,7 @@
         """Past three times its objective a job earns nothing any more."""
         decided = plan(
             [make_room('a1', 'r1')],
-            make_spec('old', WHOLE, accepted_at_s=HOPELESS_S),
+            make_spec('old', WHOLE, accepted_at_s=INFEASIBLE_S),
             make_spec('new', WHOLE),
         )
         self.assertEqual(placed(decided), {'new': ['a1']})
@@ -70,7 +74,7 @@
         """A priority tells who earns first, and it earns nothing."""
         decided = plan(
             [make_room('a1', 'r1')],
-            make_spec('old', WHOLE, priority=1, accepted_at_s=HOPELESS_S),
+            make_spec('old', WHOLE, priority=1, accepted_at_s=INFEASIBLE_S),
             make_spec('new', WHOLE, priority=2),
         )
         self.assertEqual(placed(decided), {'new': ['a1']})
@@ -105,20 +109,20 @@
     def test_hopeless_urgent_work_stops_nothing(self) -> None:
         """Work that still earns would be thrown away for it."""
         rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=0.1))]
-        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=HOPELESS_S)
+        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=INFEASIBLE_S)
         self.assertEqual(plan(rooms, spec).victims, ())
 
     def test_a_guarantee_holds_for_hopeless_work(self) -> None:
         """It starts within its bound, whatever it earns."""
         rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=60))]
-        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=HOPELESS_S)
+        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=INFEASIBLE_S)
         decided = plan(rooms, spec, guaranteed={'alpha': 8})
         self.assertEqual(victims(decided.victims), ['a1'])
 
     def test_a_job_without_an_objective_is_never_hopeless(self) -> None:
         """There is nothing that it could miss."""
         step = Step(width=1, needs=needs(8))
-        old = make_spec('old', step, accepted_at_s=HOPELESS_S)
+        old = make_spec('old', step, accepted_at_s=INFEASIBLE_S)
         queue = old.queue._replace(target_s=0.0)
         decided = plan(
             [make_room('a1', 'r1')],
@@ -160,9 +164,9 @@
         later_s = NOW_S + 300.0
         newer = make_job(make_spec('new', WHOLE, accepted_at_s=later_s))
         known = [*jobs, newer]
-        hopeless = hopeless_jobs(known, set(), later_s)
+        infeasible = infeasible_jobs(known, set(), later_s)
         late = late_jobs(known, later_s)
-        order = in_order(known, set(), hopeless, late)
+        order = in_service_order(known, set(), infeasible, late)
         after = order[order.index(newer) :]
         for job in jobs:
             if job.spec.queue.priority <= newer.spec.queue.priority:
