--- a/bench/replay.py
+++ b/bench/replay.py
@@ -28,7 +28,7 @@
     ActiveJob,
     BacklogCursor,
     Planner,
-    ReservationTurns,
+    ReservationWindows,
     Run,
     WorkerCapacity,
     WorkerEntry,
@@ -299,7 +299,7 @@
         self._workspaces = [f't{one}' for one in range(len(load.workspaces))]
         self._stops = 0
         self._looked_at_s: dict[str, float] = {}
-        self._turns = ReservationTurns()
+        self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
         self._disabled = disabled
         self._now_s = 0.0
@@ -464,7 +464,7 @@
             guaranteed=self._guaranteed(),
             now_s=NOW_S + self._now_s,
             tickets=lambda job, ready: {},
-            turns=self._turns,
+            windows=self._windows,
             backlog=self._backlog,
             disabled=self._disabled,
         )
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,7 +1,7 @@
 """How work is turned away: decisions only, no input or output, no clock."""
 
 from curranthill.admission.forecast import ServiceResources, make_forecast
-from curranthill.admission.reasons import KEPT, waits_for
+from curranthill.admission.reasons import RESERVED, waits_for
 from curranthill.admission.returns import return_after_s
 from curranthill.admission.shedding import (
     FULL,
@@ -18,7 +18,7 @@
 
 __all__ = (
     'FULL',
-    'KEPT',
+    'RESERVED',
     'MAX_WAITING_PER_WORKSPACE',
     'MAX_WAITING',
     'MAX_FORECAST_AGE_S',
--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -16,7 +16,7 @@
 NO_ROOM: Final = 'no room'
 BEYOND_GUARANTEE: Final = 'no room, and beyond its guarantee'
 RACK: Final = 'room in one rack'
-KEPT: Final = 'room that is kept for others'
+RESERVED: Final = 'room that is kept for others'
 ALONE: Final = 'an empty worker, as a suspect'
 ADVISED: Final = 'workers that its advisor allows'
 TURN: Final = 'its turn, it fits and no room is kept'
@@ -27,7 +27,7 @@
     workers: Sequence[WorkerCapacity],
     *,
     beyond_guarantee: bool,
-    kept: bool = True,
+    reserved: bool = True,
     advised: bool = False,
     patient: bool = True,
 ) -> str:
@@ -36,7 +36,7 @@
     :param workers: those of the step's service; left as they are.
     :param beyond_guarantee: whether it is urgent, and its workspace's
         guarantee is in use.
-    :param kept: whether room is kept for other jobs of the service.
+    :param reserved: whether room is kept for other jobs of the service.
     :param advised: whether only workers that an advisor allows may run it.
     :param patient: whether it goes on waiting for the right rack.
     """
@@ -46,7 +46,7 @@
         return NO_WORKER
     groups = groups_of(ready, ServiceCapacity(workers=workers), patient=patient)
     if any(_fits(ready, group) for group in groups):
-        return _reason_of_fit(kept=kept, advised=advised)
+        return _reason_of_fit(reserved=reserved, advised=advised)
     if ready.alone and _fits(ready._replace(alone=False), workers):
         return ALONE
     if _fits(ready, workers):
@@ -54,10 +54,10 @@
     return BEYOND_GUARANTEE if beyond_guarantee else NO_ROOM
 
 
-def _reason_of_fit(*, kept: bool, advised: bool) -> str:
+def _reason_of_fit(*, reserved: bool, advised: bool) -> str:
     """Return why a step does not start that fits."""
-    if kept:
-        return KEPT
+    if reserved:
+        return RESERVED
     return ADVISED if advised else TURN
 
 
@@ -72,7 +72,7 @@
     'ADVISED',
     'ALONE',
     'BEYOND_GUARANTEE',
-    'KEPT',
+    'RESERVED',
     'NO_ROOM',
     'NO_WORKER',
     'RACK',
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -27,7 +27,7 @@
     Plan,
     Planner,
     ReadyStep,
-    ReservationTurns,
+    ReservationWindows,
     Run,
     WorkerCapacity,
     checkpoint_of,
@@ -97,7 +97,7 @@
         self._revision = revision
         self._outlooks = OutlookMaker(clock=clock, work=work)
         self._board = WaitingBoard(clock=clock, work=work)
-        self._turns = ReservationTurns()
+        self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
         self._unused = UnusedWorkers(clock=clock, sessions=work.sessions)
         self._reserved_for: tuple[str, ...] = ()
@@ -137,7 +137,7 @@
             guaranteed=self._guaranteed(),
             now_s=now_s,
             tickets=self._tickets,
-            turns=self._turns,
+            windows=self._windows,
             backlog=self._backlog,
             disabled=self._disabled,
             ratio_of=self._work.learning.ratio_of,
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from curranthill.admission import KEPT, waits_for
+from curranthill.admission import RESERVED, waits_for
 from curranthill.clock import Clock
 from curranthill.dispatch.unready import UnreadyJobs
 from curranthill.dispatch.work import Work
@@ -92,7 +92,7 @@
                     ready,
                     service_rooms,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
-                    kept=bool(kept_for),
+                    reserved=bool(kept_for),
                     advised=job.spec.queue.advisor,
                     patient=waits_for_rack(job, ready, self._clock.wall_s()),
                 )
@@ -100,7 +100,7 @@
                     job,
                     ready,
                     reason,
-                    kept_for if reason == KEPT else (),
+                    kept_for if reason == RESERVED else (),
                     self._count_workers(job, service_rooms),
                 )
 
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -29,6 +29,7 @@
     late_jobs,
 )
 from curranthill.placement.planner import Placement, Plan, Planner
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.runs import (
     ASSIGNED,
     FILLING,
@@ -52,7 +53,6 @@
     move_of,
 )
 from curranthill.placement.timeliness import MAX_LATE_FACTOR
-from curranthill.placement.turns import ReservationTurns
 from curranthill.placement.workers import WorkerEntry
 
 __all__ = (
@@ -85,7 +85,7 @@
     'Planner',
     'Ratio',
     'ReadyStep',
-    'ReservationTurns',
+    'ReservationWindows',
     'WorkerCapacity',
     'Run',
     'RunKind',
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -35,7 +35,7 @@
     :param free: what no run takes now.
     :param soon: what will be free once the runs being stopped have ended,
         less what waiting urgent tasks have claimed of it.
-    :param kept: what of that is kept for gangs that do not fit yet.
+    :param reserved: what of that is kept for gangs that do not fit yet.
     :param failure_score: recent failures and stalled runs here; 0 if none.
     :param speed: of a typical worker's; 1.0 if it is not known to differ.
     :param level: that speed in levels above the typical one.
@@ -54,7 +54,7 @@
         'entry',
         'free',
         'held_alone',
-        'kept',
+        'reserved',
         'level',
         'runs',
         'shared_with_suspect',
@@ -88,7 +88,7 @@
         self.free = _less(entry.capacity, self.runs)
         stopping = [run for run in self.runs if run.stop_wanted]
         self.soon = _plus(self.free, stopping) if stopping else self.free
-        self.kept = Resources()
+        self.reserved = Resources()
 
     def fits_now(self, needs: Resources, *, starving: bool = False) -> bool:
         """Return whether a task fits without taking what others claimed.
@@ -99,7 +99,7 @@
         if free.gpus < needs.gpus:
             # Most rooms of a full cluster end here.
             return False
-        soon = self.soon.plus(self.kept) if starving else self.soon
+        soon = self.soon.plus(self.reserved) if starving else self.soon
         return free.covers(needs) and soon.covers(needs)
 
     def allows(
@@ -170,10 +170,10 @@
         self.version += 1
         self.soon = self.soon.minus(needs)
 
-    def keep(self, needs: Resources) -> None:
+    def reserve(self, needs: Resources) -> None:
         """Claim room for a member of a gang, unless somebody starves."""
         self.claim(needs)
-        self.kept = self.kept.plus(needs)
+        self.reserved = self.reserved.plus(needs)
 
     def evict(self, run: Run) -> None:
         """Count a run's room as becoming free."""
@@ -209,9 +209,11 @@
 
     def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceCapacity':
         """Return only the rooms of some workers."""
-        kept = set(worker_ids)
+        wanted = set(worker_ids)
         workers = [
-            worker for worker in self.workers if worker.entry.worker_id in kept
+            worker
+            for worker in self.workers
+            if worker.entry.worker_id in wanted
         ]
         return ServiceCapacity(workers=workers)
 
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -37,16 +37,16 @@
     late_jobs,
 )
 from curranthill.placement.paces import ANY, Pace, pace_of
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
     RESERVATIONS,
     find_workers_to_reserve,
-    keep,
+    reserve,
     wait_for_capacity_s,
 )
 from curranthill.placement.runs import Run
 from curranthill.placement.starvation import PATIENCE_S, is_mostly_free
 from curranthill.placement.suspects import ALONE_SHARE
-from curranthill.placement.turns import ReservationTurns
 from curranthill.tasks import Resources, Step, TaskKey
 
 #: An urgent job that no guarantee covers may throw away at most so many times
@@ -93,7 +93,7 @@
     :param now_s: wall-clock seconds.
     :param tickets: returns a step's good tickets by worker; asked only for
         queues with an advisor.
-    :param turns: who keeps room for how long, over all rounds.
+    :param windows: who keeps room for how long, over all rounds.
     :param backlog: where a long backlog is gone on with, over all rounds.
     :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
@@ -106,7 +106,7 @@
         guaranteed: Mapping[str, int],
         now_s: float,
         tickets: Callable[[ActiveJob, ReadyStep], dict[str, str]],
-        turns: ReservationTurns | None = None,
+        windows: ReservationWindows | None = None,
         backlog: BacklogCursor | None = None,
         disabled: frozenset[str] = NONE_DISABLED,
         ratio_of: Callable[[str], float] = as_estimated,
@@ -114,7 +114,7 @@
         """Keep the snapshot."""
         self._ratio_of = ratio_of
         self._tickets = tickets
-        self._turns = turns or ReservationTurns()
+        self._windows = windows or ReservationWindows()
         self._backlog = backlog or BacklogCursor()
         self._disabled = disabled
         self._services = {
@@ -264,16 +264,16 @@
         workers = find_workers_to_reserve(ready, groups)
         if not workers:
             return
-        may_keep = self._turns.may_keep(
+        may_reserve = self._windows.may_reserve(
             job.spec.queue.service,
             job,
             ready.tasks[0],
             self._now_s,
             wait_for_capacity_s(workers),
         )
-        if may_keep:
+        if may_reserve:
             self._reservations -= 1
-            keep(ready, workers, of_workers=self._workers_of(job))
+            reserve(ready, workers, of_workers=self._workers_of(job))
             self._reserved_for[job.spec.job_id] = None
 
     def _may_preempt(self, job: ActiveJob) -> bool:
--- a/src/curranthill/placement/turns.py
+++ b/src/curranthill/placement/reservation_windows.py
@@ -13,18 +13,18 @@
     from curranthill.tasks import TaskKey
 
 #: The shortest time for which a gang keeps room, in seconds.
-SHORTEST_TURN_S: Final = 5.0
+MIN_WINDOW_S: Final = 5.0
 
 #: A gang keeps room for so many times what is left of the runs that it waits
 #: for, by their estimates: some take longer.
-TURN_FACTOR: Final = 2.0
+WINDOW_FACTOR: Final = 2.0
 
 #: For how long no gang keeps room after a turn, in seconds: some rounds of
 #: placement fall into it.
-PAUSE_S: Final = 2.0
+COOLDOWN_S: Final = 2.0
 
 
-class _Turn(NamedTuple):
+class _Window(NamedTuple):
     """A time for which room is kept; a pause follows.
 
     :param job: that of the gang for which it began.
@@ -44,17 +44,17 @@
         """
         age_s = now_s - self.since_s
         served = self.member in self.job.runs or self.job.ended
-        return served or age_s < 0 or age_s >= self.length_s + PAUSE_S
+        return served or age_s < 0 or age_s >= self.length_s + COOLDOWN_S
 
 
-class ReservationTurns:
+class ReservationWindows:
     """The turns of all services."""
 
     def __init__(self) -> None:
         """Start with no room kept."""
-        self._turns: dict[str, _Turn] = {}
+        self._windows: dict[str, _Window] = {}
 
-    def may_keep(
+    def may_reserve(
         self,
         service: str,
         job: 'ActiveJob',
@@ -68,12 +68,12 @@
         :param now_s: wall-clock seconds.
         :param wait_s: how long the gang waits for that room, by estimates.
         """
-        turn = self._turns.get(service)
-        if turn is None or turn.is_over(now_s):
-            length_s = max(SHORTEST_TURN_S, TURN_FACTOR * wait_s)
-            turn = _Turn(job, member, now_s, length_s)
-            self._turns[service] = turn
-        return now_s - turn.since_s < turn.length_s
+        window = self._windows.get(service)
+        if window is None or window.is_over(now_s):
+            length_s = max(MIN_WINDOW_S, WINDOW_FACTOR * wait_s)
+            window = _Window(job, member, now_s, length_s)
+            self._windows[service] = window
+        return now_s - window.since_s < window.length_s
 
 
-__all__ = ('PAUSE_S', 'SHORTEST_TURN_S', 'TURN_FACTOR', 'ReservationTurns')
+__all__ = ('COOLDOWN_S', 'MIN_WINDOW_S', 'WINDOW_FACTOR', 'ReservationWindows')
--- a/src/curranthill/placement/reservations.py
+++ b/src/curranthill/placement/reservations.py
@@ -39,9 +39,9 @@
     for group in groups:
         free_gpus = sum(max(worker.soon.gpus, 0) for worker in group)
         if free_gpus > most_gpus:
-            kept = _workers_to_reserve(ready, group)
-            if kept:
-                best = kept
+            reserved = _workers_to_reserve(ready, group)
+            if reserved:
+                best = reserved
                 most_gpus = free_gpus
     return best
 
@@ -54,7 +54,7 @@
     )
 
 
-def keep(
+def reserve(
     ready: ReadyStep, workers: Sequence[WorkerCapacity], *, of_workers: int
 ) -> None:
     """Keep room for a task in each of the rooms.
@@ -63,13 +63,13 @@
         from a gang that needs most of them.
     """
     needs = resources_needed(ready.step)
-    kept = len({worker.entry.worker_id for worker in workers})
-    wide = kept > WIDE_SHARE * of_workers
+    reserved = len({worker.entry.worker_id for worker in workers})
+    wide = reserved > WIDE_SHARE * of_workers
     for worker in workers:
         if wide:
             worker.claim(needs)
         else:
-            worker.keep(needs)
+            worker.reserve(needs)
 
 
 def _workers_to_reserve(
@@ -77,17 +77,17 @@
 ) -> list[WorkerCapacity]:
     """Return a room for each task, the emptiest first; empty if too few."""
     wanted = len(ready.tasks)
-    kept: list[WorkerCapacity] = []
+    reserved: list[WorkerCapacity] = []
     for worker in sorted(workers, key=lambda one: -one.soon.gpus):
-        if len(kept) >= wanted:
+        if len(reserved) >= wanted:
             break
-        kept.extend(repeat(worker, copies_once_free(worker, ready.step)))
-    return kept[:wanted] if len(kept) >= wanted else []
+        reserved.extend(repeat(worker, copies_once_free(worker, ready.step)))
+    return reserved[:wanted] if len(reserved) >= wanted else []
 
 
 __all__ = (
     'RESERVATIONS',
     'find_workers_to_reserve',
-    'keep',
+    'reserve',
     'wait_for_capacity_s',
 )
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -9,8 +9,8 @@
 
 from curranthill.placement import ActiveJob, Planner, Run, WorkerCapacity
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.suspects import TRIED_S
-from curranthill.placement.turns import ReservationTurns
 from curranthill.tasks import JobSpec, Step, TaskKey
 from tests.domain import ROOM, SERVICE, make_spec
 from tests.test_planner import (
@@ -117,7 +117,7 @@
     """
     front = {spec.job_id: make_job(spec) for spec in in_front}
     over_s = dict.fromkeys(front, math.inf)
-    turns = ReservationTurns()
+    windows = ReservationWindows()
     backlog = BacklogCursor()
     for number in range(round(within_s / ROUND_S)):
         now_s = NOW_S + number * ROUND_S
@@ -127,7 +127,7 @@
             guaranteed={},
             now_s=now_s,
             tickets=lambda ready_job, ready: {},
-            turns=turns,
+            windows=windows,
             backlog=backlog,
         )
         found = placed(planner.plan([*waiting, job]))
@@ -159,14 +159,14 @@
     return job.keys_of(0, 0)[0]
 
 
-def may_keep(
-    turns: ReservationTurns,
+def may_reserve(
+    windows: ReservationWindows,
     job: ActiveJob,
     now_s: float,
     wait_s: float,
 ) -> bool:
     """Return whether a job's only gang may keep room."""
-    return turns.may_keep(SERVICE, job, member_of(job), now_s, wait_s)
+    return windows.may_reserve(SERVICE, job, member_of(job), now_s, wait_s)
 
 
 class ReservationTest(unittest.TestCase):
@@ -288,38 +288,38 @@
 
     def test_a_turn_lasts_for_as_long_as_the_wait_asks_for(self) -> None:
         """A short pause follows, and then another turn."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         job = small_job()
         kept_s = [
             second
             for second in range(20)
-            if may_keep(turns, job, NOW_S + second, 4.0)
+            if may_reserve(windows, job, NOW_S + second, 4.0)
         ]
         self.assertEqual(kept_s, [*range(8), *range(10, 18)])
 
     def test_a_pause_holds_for_all_gangs_of_a_service(self) -> None:
         """Others would keep the room in it."""
-        turns = ReservationTurns()
-        may_keep(turns, small_job(), NOW_S, 0.0)
-        self.assertFalse(may_keep(turns, small_job(), NOW_S + 6, 0.0))
+        windows = ReservationWindows()
+        may_reserve(windows, small_job(), NOW_S, 0.0)
+        self.assertFalse(may_reserve(windows, small_job(), NOW_S + 6, 0.0))
 
     def test_a_gang_that_starts_passes_the_turn_on_at_once(self) -> None:
         """The next one has as long."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         first = small_job()
-        may_keep(turns, first, NOW_S, 0.0)
+        may_reserve(windows, first, NOW_S, 0.0)
         first.runs[member_of(first)] = make_run('a0', 1)
-        self.assertTrue(may_keep(turns, small_job(), NOW_S + 4, 0.0))
-        self.assertTrue(may_keep(turns, small_job(), NOW_S + 8, 0.0))
+        self.assertTrue(may_reserve(windows, small_job(), NOW_S + 4, 0.0))
+        self.assertTrue(may_reserve(windows, small_job(), NOW_S + 8, 0.0))
 
     def test_a_clock_that_is_set_back_does_not_prolong_a_pause(self) -> None:
         """The time passed is not known; another turn begins."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         job = small_job()
-        may_keep(turns, job, NOW_S, 0.0)
-        self.assertFalse(may_keep(turns, job, NOW_S + 6.0, 0.0))
-        self.assertTrue(may_keep(turns, job, NOW_S - 60.0, 0.0))
-        self.assertFalse(may_keep(turns, job, NOW_S - 54.0, 0.0))
+        may_reserve(windows, job, NOW_S, 0.0)
+        self.assertFalse(may_reserve(windows, job, NOW_S + 6.0, 0.0))
+        self.assertTrue(may_reserve(windows, job, NOW_S - 60.0, 0.0))
+        self.assertFalse(may_reserve(windows, job, NOW_S - 54.0, 0.0))
 
 
 class SuspectRoomTest(unittest.TestCase):
@@ -391,7 +391,7 @@
             running[name][0].age_s = 15.0 + index / 2
         waiting: list[ActiveJob] = []
         came = 0
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         for number in range(round(60.0 / ROUND_S)):
             passed_s = number * ROUND_S
             while came * every_s <= passed_s:
@@ -409,7 +409,7 @@
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda job, ready: {},
-                turns=turns,
+                windows=windows,
             )
             found = placed(planner.plan([front, *waiting]))
             if 'front' in found:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -50,7 +50,7 @@
     *rooms: WorkerCapacity,
     beyond: bool = False,
     alone: bool = False,
-    kept: bool = True,
+    reserved: bool = True,
     advised: bool = False,
     patient: bool = True,
 ) -> str:
@@ -63,7 +63,7 @@
         ready._replace(alone=alone),
         rooms,
         beyond_guarantee=beyond,
-        kept=kept,
+        reserved=reserved,
         advised=advised,
         patient=patient,
     )
@@ -124,7 +124,7 @@
             'room that is kept for others',
         )
         self.assertEqual(
-            reason(pair, *workers, patient=False, kept=False),
+            reason(pair, *workers, patient=False, reserved=False),
             'its turn, it fits and no room is kept',
         )
 
@@ -140,11 +140,11 @@
     def test_room_that_is_kept_for_nobody(self) -> None:
         """It fits: the advisor has not allowed it, or it is not its turn."""
         self.assertEqual(
-            reason(GANG, worker(8), kept=False, advised=True),
+            reason(GANG, worker(8), reserved=False, advised=True),
             'workers that its advisor allows',
         )
         self.assertEqual(
-            reason(GANG, worker(8), kept=False),
+            reason(GANG, worker(8), reserved=False),
             'its turn, it fits and no room is kept',
         )
 
