--- a/src/curranthill/dispatch/learning.py
+++ b/src/curranthill/dispatch/learning.py
@@ -5,12 +5,12 @@
 
 from curranthill.placement import (
     ActiveJob,
-    DurationBook,
+    DurationEstimator,
     Observation,
     Run,
     Speed,
-    SpeedBook,
-    level_of,
+    SpeedEstimator,
+    speed_level,
 )
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -33,22 +33,22 @@
 
     def __init__(self) -> None:
         """Start with nothing known."""
-        self.durations = DurationBook()
-        self.speeds = SpeedBook(durations=self.durations)
+        self.durations = DurationEstimator()
+        self.speeds = SpeedEstimator(durations=self.durations)
         self._refreshed_s = 0.0
         self._told: dict[str, int] = {}
 
     def note(self, session: 'WorkerSession', job: ActiveJob, run: Run) -> None:
         """Learn from a run's pace, if its report tells of one."""
-        if not run.pace or run.incarnation != session.incarnation:
+        if not run.progress_rate or run.incarnation != session.incarnation:
             return
-        self.speeds.note(
+        self.speeds.record(
             Observation(
                 worker_id=session.worker_id,
                 incarnation=session.incarnation,
                 queue=job.spec.queue.name,
                 task=run.key,
-                pace=run.pace,
+                progress_rate=run.progress_rate,
             ),
         )
 
@@ -79,7 +79,7 @@
         unlike: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
-            level = level_of(speed.factor)
+            level = speed_level(speed.factor)
             if level:
                 unlike[session.worker_id] = level
             if level != self._told.get(session.worker_id, 0):
--- a/src/curranthill/dispatch/runlist.py
+++ b/src/curranthill/dispatch/runlist.py
@@ -136,14 +136,14 @@
             run = self._adopt_stray(report, now_s)
         if run.state in {ORDERED, UNKNOWN}:
             run.state = RUNNING
-            run.settled_s = now_s
+            run.confirmed_s = now_s
         if report.done_percent != run.done_percent:
             run.percent_changed_s = now_s
         run.done_percent = report.done_percent
         run.age_s = now_s - run.started_s
         if report.checkpoint:
             run.checkpoint = report.checkpoint
-        run.read_pace(clock_s)
+        run.update_progress_rate(clock_s)
         if run.stop_wanted:
             if now_s - run.stop_sent_s > STOP_REPEAT_S:
                 run.stop_sent_s = now_s
@@ -180,7 +180,7 @@
             if run.ordered_token < order.token:
                 reason = WORKER_RESTARTED if outlived else 'never started'
                 self.vanish(run, reason)
-        elif run.state == RUNNING and run.settled_s < sent_s:
+        elif run.state == RUNNING and run.confirmed_s < sent_s:
             self.vanish(run, WORKER_RESTARTED if outlived else 'not listed')
 
     def _is_outlived(self, run: Run) -> bool:
@@ -212,7 +212,7 @@
         for end in ends:
             run = self.runs.get((end.task, end.attempt))
             if run is not None and prompt:
-                run.read_end(clock_s)
+                run.update_final_rate(clock_s)
             self._owner.run_ended(self._session, end)
             self.runs.pop((end.task, end.attempt), None)
             self.ends.note(end)
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -295,11 +295,11 @@
             self.raise_token()
         else:
             self._read_clock(clock_s, known_clock_s)
-            run.settled_s = self._clock.monotonic_s()
-            run.begin(clock_s)
+            run.confirmed_s = self._clock.monotonic_s()
+            run.set_start_clock(clock_s)
             self._list.start_answered(run)
-            metrics.start_order_s.record(run.settled_s - sent_s)
-            run.percent_changed_s = run.settled_s
+            metrics.start_order_s.record(run.confirmed_s - sent_s)
+            run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
                 run.state = RUNNING
             self._urgent.set()
@@ -401,7 +401,7 @@
         """
         if not self.synced or not self._list.ends.all_stored:
             return 0.0
-        if any(run.awaits_sign for run in self.runs.values()):
+        if any(run.awaits_progress for run in self.runs.values()):
             return FIRST_SIGN_WAIT_S
         return RENEWAL_WAIT_S if self.runs else 0.0
 
--- a/src/curranthill/dispatch/watch.py
+++ b/src/curranthill/dispatch/watch.py
@@ -167,7 +167,7 @@
     worker.
     """
     whole_s = run.reported_s - job.whole_since_s(run.key)
-    return whole_s >= run.shortest_stall_s
+    return whole_s >= run.min_stall_s
 
 
 def _has_room(session: WorkerSession, run: Run) -> bool:
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -6,10 +6,10 @@
 from curranthill.placement.backlog import BacklogCursor
 from curranthill.placement.capacity import (
     WorkerCapacity,
-    level_of,
     resources_needed,
+    speed_level,
 )
-from curranthill.placement.durations import DurationBook, Ratio
+from curranthill.placement.durations import DurationEstimator, Ratio
 from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
 from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
 from curranthill.placement.mechanisms import (
@@ -44,7 +44,7 @@
     RunState,
     kind_of,
 )
-from curranthill.placement.speeds import Observation, Speed, SpeedBook
+from curranthill.placement.speeds import Observation, Speed, SpeedEstimator
 from curranthill.placement.stragglers import (
     SLOW,
     STALLED,
@@ -76,7 +76,7 @@
     'URGENT',
     'ActiveJob',
     'BacklogCursor',
-    'DurationBook',
+    'DurationEstimator',
     'Move',
     'MoveReason',
     'Observation',
@@ -91,7 +91,7 @@
     'RunKind',
     'RunState',
     'Speed',
-    'SpeedBook',
+    'SpeedEstimator',
     'WorkerEntry',
     'checked',
     'checkpoint_of',
@@ -100,7 +100,7 @@
     'in_service_order',
     'late_jobs',
     'kind_of',
-    'level_of',
+    'speed_level',
     'mechanisms',
     'move_of',
     'resources_needed',
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -76,7 +76,7 @@
         self.runs = list(runs)
         self.failure_score = failure_score
         self.speed = speed
-        self.level = level_of(speed)
+        self.level = speed_level(speed)
         self.version = 0
         self._keys = [run.key for run in self.runs]
         suspects = [run for run in self.runs if run.alone]
@@ -254,7 +254,7 @@
         return False
 
 
-def level_of(speed: float) -> int:
+def speed_level(speed: float) -> int:
     """Return a speed in levels above that of a typical worker."""
     return round(math.log(speed) / LEVEL)
 
@@ -323,6 +323,6 @@
     'ServiceCapacity',
     'copies',
     'copies_once_free',
-    'level_of',
+    'speed_level',
     'resources_needed',
 )
--- a/src/curranthill/placement/durations.py
+++ b/src/curranthill/placement/durations.py
@@ -51,7 +51,7 @@
 UNKNOWN: Final = Ratio(0.0, UNKNOWN_SPREAD)
 
 
-class DurationBook:
+class DurationEstimator:
     """Ratios of run time to estimate, by queue."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         self._steps: dict[str, OrderedDict[Hashable, float]] = {}
         self._known: dict[str, Ratio] = {}
 
-    def note(self, queue: str, step: Hashable, log_ratio: float) -> None:
+    def record(self, queue: str, step: Hashable, log_ratio: float) -> None:
         """Take note of a step's ratio; it takes the place of a former one."""
         steps = self._steps.setdefault(queue, OrderedDict())
         steps[step] = log_ratio
@@ -87,4 +87,4 @@
     return Ratio(middle, math.sqrt(weighed / (len(found) + PRIOR_STEPS)))
 
 
-__all__ = ('UNKNOWN', 'DurationBook', 'Ratio')
+__all__ = ('UNKNOWN', 'DurationEstimator', 'Ratio')
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -185,7 +185,7 @@
             run = self.runs.get(member)
             if run is None or run.state != RUNNING:
                 return math.inf
-            since_s = max(since_s, run.settled_s)
+            since_s = max(since_s, run.confirmed_s)
         return since_s
 
     def is_alone(self, key: TaskKey) -> bool:
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -34,11 +34,11 @@
 
 #: A run whose percentage stays the same for so long stands still, in seconds:
 #: just under the interval of reports when nothing ends.
-SHORTEST_STALL_S: Final = 1.4
+MIN_STALL_S: Final = 1.4
 
 #: The same for an urgent run that has shown no progress at all, in seconds:
 #: early enough for quick work to start elsewhere and still be in time.
-FIRST_SIGN_S: Final = 0.65
+FIRST_PROGRESS_S: Final = 0.65
 
 #: The same, as a share of the estimated run time: far from its data and on a
 #: slow worker a task still shows one percent more in that time.
@@ -49,10 +49,10 @@
 
 #: A run's pace is told from this progress on, in percent: they come in whole
 #: numbers.
-LEAST_PROGRESS_PERCENT: Final = 5
+MIN_PROGRESS_PERCENT: Final = 5
 
 #: It is told again when the time worked has grown by this factor.
-PACE_EVERY: Final = 2.0
+RATE_GROWTH: Final = 2.0
 
 
 class Run:
@@ -69,19 +69,19 @@
     :param incarnation: that of the worker when it was placed there.
     :param alone: nothing else may run on its worker.
     :param age_s: how long it has run, as of the newest report.
-    :param began_clock_s: its worker's clock at the first known progress; 0 as
+    :param first_clock_s: its worker's clock at the first known progress; 0 as
         long as none is known.
-    :param began_percent: that progress.
-    :param pace: the estimated work done in a second, if the newest report
-        tells anything new of it, else 0.
+    :param first_percent: that progress.
+    :param progress_rate: estimated seconds of work done per second; 0 unless
+        the newest report gives a new value.
     """
 
     __slots__ = (
         'age_s',
         'alone',
         'attempt',
-        'began_clock_s',
-        'began_percent',
+        'first_clock_s',
+        'first_percent',
         'checkpoint',
         'checkpointable',
         'done_percent',
@@ -91,11 +91,11 @@
         'ordered_token',
         'kind',
         'perpetual',
-        'pace',
-        'paced_s',
+        'progress_rate',
+        'rated_s',
         'percent_changed_s',
         'priority',
-        'settled_s',
+        'confirmed_s',
         'estimate_s',
         'started_s',
         'state',
@@ -138,13 +138,13 @@
         self.checkpoint = ''
         self.ticket = ''
         self.done_percent = 0.0
-        self.began_clock_s = 0.0
-        self.began_percent = 0.0
-        self.pace = 0.0
-        self.paced_s = 0.0
+        self.first_clock_s = 0.0
+        self.first_percent = 0.0
+        self.progress_rate = 0.0
+        self.rated_s = 0.0
         self.started_s = now_s
         self.percent_changed_s = now_s
-        self.settled_s = now_s
+        self.confirmed_s = now_s
         self.stop_wanted = False
         self.stop_sent_s = 0.0
         self.ordered_token = 0
@@ -177,12 +177,12 @@
         if self.state != RUNNING or not watched:
             return 0.0
         stalled_s = self.reported_s - self.percent_changed_s
-        return stalled_s if stalled_s >= self.shortest_stall_s else 0.0
+        return stalled_s if stalled_s >= self.min_stall_s else 0.0
 
     @property
-    def shortest_stall_s(self) -> float:
+    def min_stall_s(self) -> float:
         """Return how long without progress a run that works may be."""
-        shortest_s = FIRST_SIGN_S if self.awaits_sign else SHORTEST_STALL_S
+        shortest_s = FIRST_PROGRESS_S if self.awaits_progress else MIN_STALL_S
         return max(shortest_s, STALL_SHARE * self.estimate_s)
 
     @property
@@ -191,52 +191,52 @@
         return self.started_s + self.age_s
 
     @property
-    def awaits_sign(self) -> bool:
+    def awaits_progress(self) -> bool:
         """Return whether an urgent run has shown no progress yet."""
         quick = self.priority == URGENT and self.estimate_s > 0
         return quick and not self.done_percent and not self.stop_wanted
 
-    def begin(self, clock_s: float) -> None:
+    def set_start_clock(self, clock_s: float) -> None:
         """Take its worker's clock at its start, if it starts with no work done.
 
         One with a checkpoint begins with its first report.
         """
-        if not self.checkpoint and not self.began_clock_s:
-            self.began_clock_s = clock_s
+        if not self.checkpoint and not self.first_clock_s:
+            self.first_clock_s = clock_s
 
-    def read_pace(self, clock_s: float) -> None:
-        """Set the pace by the newest report; to 0 if it tells nothing new.
+    def update_progress_rate(self, clock_s: float) -> None:
+        """Set the progress rate by the newest report; 0 without a new value.
 
         Both ends are read off the worker's clock, so it does not matter how
         long a report was on its way.
 
         :param clock_s: the worker's clock at that report.
         """
-        self.pace = 0.0
+        self.progress_rate = 0.0
         done = self.done_percent
-        if not self.began_clock_s:
-            self.began_clock_s = clock_s
-            self.began_percent = done
-        worked_s = clock_s - self.began_clock_s
-        gained = done - self.began_percent
+        if not self.first_clock_s:
+            self.first_clock_s = clock_s
+            self.first_percent = done
+        worked_s = clock_s - self.first_clock_s
+        gained = done - self.first_percent
         known = self.estimate_s > 0 and done < ALL_DONE_PERCENT
-        if not known or gained < LEAST_PROGRESS_PERCENT:
+        if not known or gained < MIN_PROGRESS_PERCENT:
             return
-        if worked_s > 0 and worked_s >= PACE_EVERY * self.paced_s:
-            self.paced_s = worked_s
+        if worked_s > 0 and worked_s >= RATE_GROWTH * self.rated_s:
+            self.rated_s = worked_s
             share = gained / ALL_DONE_PERCENT
-            self.pace = share * self.estimate_s / worked_s
+            self.progress_rate = share * self.estimate_s / worked_s
 
-    def read_end(self, clock_s: float) -> None:
-        """Set the pace of a run that is done; a gang's members wait.
+    def update_final_rate(self, clock_s: float) -> None:
+        """Set the progress rate of a run that is done, over all its time.
 
         :param clock_s: the worker's clock right after the end.
         """
-        self.pace = 0.0
-        worked_s = clock_s - self.began_clock_s
-        if self.began_clock_s and self.estimate_s > 0 and worked_s > 0:
-            share = 1 - self.began_percent / ALL_DONE_PERCENT
-            self.pace = share * self.estimate_s / worked_s
+        self.progress_rate = 0.0
+        worked_s = clock_s - self.first_clock_s
+        if self.first_clock_s and self.estimate_s > 0 and worked_s > 0:
+            share = 1 - self.first_percent / ALL_DONE_PERCENT
+            self.progress_rate = share * self.estimate_s / worked_s
 
     @property
     def name(self) -> tuple[TaskKey, int]:
--- a/src/curranthill/placement/speeds.py
+++ b/src/curranthill/placement/speeds.py
@@ -14,7 +14,7 @@
 from statistics import median
 from typing import Any, Final, NamedTuple, TypeVar
 
-from curranthill.placement.durations import DurationBook, Ratio
+from curranthill.placement.durations import DurationEstimator, Ratio
 from curranthill.tasks import TaskKey
 
 #: How far tasks of one step differ, as a logarithm: by about a third.
@@ -71,13 +71,13 @@
 
     :param factor: of a typical worker's; 1.0 if it is not known to differ.
     :param spread: how uncertain the learnt speed is, as a logarithm.
-    :param learnt: what the factor would be were it sure.
+    :param estimate: what the factor would be were it sure.
     :param steps: how many steps told of it.
     """
 
     factor: float = 1.0
     spread: float = WORKER_SPREAD
-    learnt: float = 1.0
+    estimate: float = 1.0
     steps: int = 0
 
 
@@ -88,14 +88,15 @@
 class Observation(NamedTuple):
     """How fast one run comes on.
 
-    :param pace: estimated work done in a second, so 1.0 if it is as estimated.
+    :param progress_rate: estimated seconds of work done per second: 1.0 if the
+        run takes as long as estimated.
     """
 
     worker_id: str
     incarnation: int
     queue: str
     task: TaskKey
-    pace: float
+    progress_rate: float
 
 
 class _Cell:
@@ -119,7 +120,7 @@
         """Return how uncertain the median is by the tasks' own part."""
         return TASK_SPREAD**2 / len(self._logs)
 
-    def note(self, rank: int, log: float) -> None:
+    def record(self, rank: int, log: float) -> None:
         self._logs[rank] = log
         if len(self._logs) > RUNS_A_CELL:
             self._logs.popitem(last=False)
@@ -211,13 +212,13 @@
         return _Part((self._sum - pulled) / left, 1 / left)
 
 
-class SpeedBook:
+class SpeedEstimator:
     """What is known of all workers' speeds.
 
     :param durations: is told the ratio of each step.
     """
 
-    def __init__(self, *, durations: DurationBook) -> None:
+    def __init__(self, *, durations: DurationEstimator) -> None:
         """Start with nothing known."""
         self._durations = durations
         self._workers: dict[str, _Worker] = {}
@@ -227,9 +228,9 @@
         self._typical = 0.0
         self._speeds: dict[str, Speed] = {}
 
-    def note(self, observation: Observation) -> None:
+    def record(self, observation: Observation) -> None:
         """Take note of a run's pace; it takes the place of a former one."""
-        if observation.pace <= 0:
+        if observation.progress_rate <= 0:
             return
         name = observation.task[:3]
         worker = self._worker(observation)
@@ -241,8 +242,8 @@
             step.cells[observation.worker_id] = cell
             _drop_oldest(worker.cells, STEPS_A_WORKER)
             _drop_oldest(step.cells, WORKERS_A_STEP)
-        log = math.log(observation.pace)
-        cell.note(observation.task.rank, max(-MOST_LOG, min(log, MOST_LOG)))
+        log = math.log(observation.progress_rate)
+        cell.record(observation.task.rank, max(-MOST_LOG, min(log, MOST_LOG)))
         self._stale_steps[name] = None
         self._stale_workers[observation.worker_id] = None
 
@@ -254,7 +255,7 @@
             step = self._steps.get(name)
             if step is not None:
                 step.refresh(self._durations.ratio_of(step.queue))
-                self._durations.note(step.queue, name, -step.log)
+                self._durations.record(step.queue, name, -step.log)
         for worker_id in _taken(self._stale_workers):
             worker = self._workers.get(worker_id)
             if worker is not None:
@@ -304,10 +305,10 @@
         unlike = worker.log - self._typical
         spread = math.sqrt(worker.variance)
         steps = len(worker.cells)
-        learnt = math.exp(unlike)
+        estimate = math.exp(unlike)
         sure = abs(unlike) > max(SURE_DEVIATIONS * spread, LEAST_UNLIKE)
-        factor = learnt if sure and steps >= SURE_STEPS else 1.0
-        return Speed(factor, spread, learnt, steps)
+        factor = estimate if sure and steps >= SURE_STEPS else 1.0
+        return Speed(factor, spread, estimate, steps)
 
 
 def _balance(
@@ -359,4 +360,4 @@
     return chosen
 
 
-__all__ = ('UNKNOWN', 'Observation', 'Speed', 'SpeedBook')
+__all__ = ('UNKNOWN', 'Observation', 'Speed', 'SpeedEstimator')
--- a/src/curranthill/placement/stragglers.py
+++ b/src/curranthill/placement/stragglers.py
@@ -69,7 +69,7 @@
 
 def _if_slow(run: Run, speed: float, left_s: float) -> Move | None:
     """Return a move if its worker alone makes a run miss its objective."""
-    gained = run.done_percent - run.began_percent
+    gained = run.done_percent - run.first_percent
     if gained <= 0 or run.age_s <= 0:
         return None
     left = ALL_DONE_PERCENT - run.done_percent
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curranthill.placement.durations import DurationBook
-from curranthill.placement.speeds import Observation, Speed, SpeedBook
+from curranthill.placement.durations import DurationEstimator
+from curranthill.placement.speeds import Observation, Speed, SpeedEstimator
 from curranthill.tasks import TaskKey
 
 #: Tasks of the drawn steps, and how far their estimates are off.
@@ -35,8 +35,8 @@
     def __init__(self, speeds: Sequence[float], seed: int) -> None:
         """Start with nothing run."""
         self.speeds = speeds
-        self.durations = DurationBook()
-        self.book = SpeedBook(durations=self.durations)
+        self.durations = DurationEstimator()
+        self.estimator = SpeedEstimator(durations=self.durations)
         self._source = random.Random(seed)
         self._steps = 0
 
@@ -50,18 +50,22 @@
                 own = self._source.gauss(0, uneven)
                 if not self._source.randrange(LONG_EVERY):
                     own += math.log(LONG_FACTOR)
-                pace = self.speeds[number] * math.exp(-mistake - own)
-                self.note(number, pace, rank)
-            self.book.refresh()
+                progress_rate = self.speeds[number] * math.exp(-mistake - own)
+                self.record(number, progress_rate, rank)
+            self.estimator.refresh()
 
-    def note(self, number: int, pace: float, rank: int, job: str = '') -> None:
+    def record(
+        self, number: int, progress_rate: float, rank: int, job: str = ''
+    ) -> None:
         """Tell of one run."""
         key = TaskKey(job or f'j{self._steps}', 0, 0, rank)
-        self.book.note(Observation(f'w{number}', 1, 'batch', key, pace))
+        self.estimator.record(
+            Observation(f'w{number}', 1, 'batch', key, progress_rate)
+        )
 
     def speed(self, number: int) -> Speed:
         """Return what is known of a worker."""
-        return self.book.speed_of(f'w{number}', 1)
+        return self.estimator.speed_of(f'w{number}', 1)
 
 
 class SpeedTest(unittest.TestCase):
@@ -69,9 +73,9 @@
 
     def test_nothing_is_known_of_a_new_worker(self) -> None:
         """It counts as a typical one."""
-        book = SpeedBook(durations=DurationBook())
-        book.refresh()
-        self.assertEqual(book.speed_of('w0', 1).factor, 1.0)
+        estimator = SpeedEstimator(durations=DurationEstimator())
+        estimator.refresh()
+        self.assertEqual(estimator.speed_of('w0', 1).factor, 1.0)
 
     def test_workers_that_are_slow_for_good_are_known(self) -> None:
         """A quarter is half as fast; estimates are off by half."""
@@ -96,12 +100,12 @@
         """Its worker did well before, and even one that is new."""
         load = Load(alike(10), 3)
         load.run(20, uneven=0.1)
-        before = load.speed(0).learnt
-        load.note(0, 1 / 20, 0, 'long')
-        load.note(10, 1 / 20, 1, 'long')
-        load.book.refresh()
+        before = load.speed(0).estimate
+        load.record(0, 1 / 20, 0, 'long')
+        load.record(10, 1 / 20, 1, 'long')
+        load.estimator.refresh()
         self.assertEqual(load.speed(0).factor, 1.0)
-        self.assertGreater(load.speed(0).learnt, 0.9 * before)
+        self.assertGreater(load.speed(0).estimate, 0.9 * before)
         self.assertEqual(load.speed(10).factor, 1.0)
 
     def test_a_step_that_was_estimated_short_makes_no_worker_slow(self) -> None:
@@ -110,8 +114,8 @@
         load.run(20, off=0.9)
         for number in range(3):
             for rank in range(8):
-                load.note(0, 0.25, rank, f'short{number}')
-        load.book.refresh()
+                load.record(0, 0.25, rank, f'short{number}')
+        load.estimator.refresh()
         self.assertGreater(load.speed(0).factor, 0.6)
 
     def test_a_spell_of_seconds_is_not_for_good(self) -> None:
@@ -119,29 +123,29 @@
         load = Load(alike(20), 5)
         load.run(60, uneven=0.15)
         for number in range(4):
-            load.note(0, 0.2, 0, f'spell{number}')
+            load.record(0, 0.2, 0, f'spell{number}')
             for worker in range(1, 8):
-                load.note(worker, 1.0, worker, f'spell{number}')
-        load.book.refresh()
-        self.assertGreater(load.speed(0).learnt, 0.7)
+                load.record(worker, 1.0, worker, f'spell{number}')
+        load.estimator.refresh()
+        self.assertGreater(load.speed(0).estimate, 0.7)
 
     def test_another_incarnation_is_not_known(self) -> None:
         """A worker that started again may be another machine."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
         self.assertLess(load.speed(0).factor, 0.6)
-        self.assertEqual(load.book.speed_of('w0', 2).factor, 1.0)
+        self.assertEqual(load.estimator.speed_of('w0', 2).factor, 1.0)
         key = TaskKey('new', 0, 0, 0)
-        load.book.note(Observation('w0', 2, 'batch', key, 1.0))
-        load.book.refresh()
-        self.assertEqual(load.book.speed_of('w0', 2).factor, 1.0)
+        load.estimator.record(Observation('w0', 2, 'batch', key, 1.0))
+        load.estimator.refresh()
+        self.assertEqual(load.estimator.speed_of('w0', 2).factor, 1.0)
         self.assertEqual(load.speed(0).factor, 1.0)
 
     def test_workers_that_are_gone_are_forgotten(self) -> None:
         """What is kept is bounded by the workers there are."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
-        load.book.forget_except(['w1', 'w2', 'w3'])
+        load.estimator.forget_except(['w1', 'w2', 'w3'])
         self.assertEqual(load.speed(0).steps, 0)
 
     def test_the_ratio_of_a_queue_is_learnt(self) -> None:
@@ -149,8 +153,8 @@
         load = Load(alike(20), 7)
         for number in range(30):
             for rank in range(WIDTH):
-                load.note(rank, 0.5, rank, f'half{number}')
-        load.book.refresh()
+                load.record(rank, 0.5, rank, f'half{number}')
+        load.estimator.refresh()
         ratio = load.durations.ratio_of('batch')
         self.assertAlmostEqual(ratio.factor, 2.0, delta=0.3)
 
@@ -174,7 +178,7 @@
         speeds = [1.0 if one % share else slow for one in range(24)]
         load = Load(speeds, seed)
         load.run(60)
-        ranked = sorted(range(24), key=lambda one: load.speed(one).learnt)
+        ranked = sorted(range(24), key=lambda one: load.speed(one).estimate)
         first = ranked[: speeds.count(slow)]
         wrong = [one for one in first if speeds[one] != slow]
         self.assertLessEqual(len(wrong), 1)
@@ -193,5 +197,5 @@
         load = Load([lie, *alike(15)], seed)
         load.run(60)
         for number in range(1, 16):
-            learnt = load.speed(number).learnt
-            self.assertAlmostEqual(math.log(learnt), 0.0, delta=0.35)
+            estimate = load.speed(number).estimate
+            self.assertAlmostEqual(math.log(estimate), 0.0, delta=0.35)
