--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -17,7 +17,7 @@
 BEYOND_GUARANTEE: Final = 'no room, and beyond its guarantee'
 RACK: Final = 'room in one rack'
 RESERVED: Final = 'room that is kept for others'
-ALONE: Final = 'an empty worker, as a suspect'
+EXCLUSIVE: Final = 'an empty worker, as a suspect'
 ADVISED: Final = 'workers that its advisor allows'
 TURN: Final = 'its turn, it fits and no room is kept'
 
@@ -29,7 +29,7 @@
     beyond_guarantee: bool,
     reserved: bool = True,
     advised: bool = False,
-    patient: bool = True,
+    wait_for_rack: bool = True,
 ) -> str:
     """Return what a step waits for that may start by its turn.
 
@@ -38,17 +38,19 @@
         guarantee is in use.
     :param reserved: whether room is kept for other jobs of the service.
     :param advised: whether only workers that an advisor allows may run it.
-    :param patient: whether it goes on waiting for the right rack.
+    :param wait_for_rack: whether it goes on waiting for the right rack.
     """
     step = ready.step
     wanted = len(ready.tasks) if step.gang else 1
     if sum(copies(worker, step) for worker in workers) < wanted:
         return NO_WORKER
-    groups = groups_of(ready, ServiceCapacity(workers=workers), patient=patient)
+    groups = groups_of(
+        ready, ServiceCapacity(workers=workers), wait_for_rack=wait_for_rack
+    )
     if any(_fits(ready, group) for group in groups):
         return _reason_of_fit(reserved=reserved, advised=advised)
-    if ready.alone and _fits(ready._replace(alone=False), workers):
-        return ALONE
+    if ready.exclusive and _fits(ready._replace(exclusive=False), workers):
+        return EXCLUSIVE
     if _fits(ready, workers):
         return RACK
     return BEYOND_GUARANTEE if beyond_guarantee else NO_ROOM
@@ -70,7 +72,7 @@
 
 __all__ = (
     'ADVISED',
-    'ALONE',
+    'EXCLUSIVE',
     'BEYOND_GUARANTEE',
     'RESERVED',
     'NO_ROOM',
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -30,7 +30,7 @@
     ReservationWindows,
     Run,
     WorkerCapacity,
-    checkpoint_of,
+    newest_checkpoint,
 )
 from curranthill.tasks import QUEUED, RUNNING, JobSpec, Revision
 from curranthill.telemetry import metrics
@@ -261,7 +261,7 @@
         shared = job.next_attempt(tasks)
         checkpoint = ''
         if gang:
-            checkpoint = checkpoint_of(
+            checkpoint = newest_checkpoint(
                 [job.progress.task(key) for key in tasks],
             )
         runs = self._mark_runs(placement, shared, checkpoint)
@@ -301,7 +301,7 @@
             session = self._work.sessions[worker_id]
             task.incarnation = session.incarnation
             run = self._work.new_run(job, key, attempt, session)
-            run.alone = placement.ready.alone
+            run.exclusive = placement.ready.exclusive
             run.checkpoint = checkpoint if gang else task.checkpoint
             run.ticket = (placement.ready.tickets or {}).get(worker_id, '')
             runs.append(run)
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -9,7 +9,7 @@
 from curranthill.dispatch.unready import UnreadyJobs
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
-    MOST_SKEW_S,
+    MAX_SKEW_S,
     ActiveJob,
     ReadyStep,
     WorkerCapacity,
@@ -94,7 +94,9 @@
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
                     reserved=bool(kept_for),
                     advised=job.spec.queue.advisor,
-                    patient=waits_for_rack(job, ready, self._clock.wall_s()),
+                    wait_for_rack=waits_for_rack(
+                        job, ready, self._clock.wall_s()
+                    ),
                 )
                 self._tell(
                     job,
@@ -138,7 +140,7 @@
         found: dict[int, int] = defaultdict(int)
         for job in jobs:
             waited_s = now_s - job.spec.accepted_at_s
-            if -MOST_SKEW_S <= waited_s < LOGGED_FROM_S:
+            if -MAX_SKEW_S <= waited_s < LOGGED_FROM_S:
                 continue
             if found[job.spec.queue.priority] >= LOGGED_JOBS:
                 continue
@@ -182,7 +184,7 @@
             listed=len(listed),
             usable=len(rooms),
             empty=sum(1 for room in rooms if not room.runs),
-            with_suspect=sum(1 for room in rooms if room.held_alone),
+            with_suspect=sum(1 for room in rooms if room.held_exclusively),
         )
 
     def _tell(
--- a/src/curranthill/dispatch/watch.py
+++ b/src/curranthill/dispatch/watch.py
@@ -166,7 +166,7 @@
     Members wait for each other until then, so a stall tells nothing of a
     worker.
     """
-    whole_s = run.reported_s - job.whole_since_s(run.key)
+    whole_s = run.reported_s - job.gang_running_since_s(run.key)
     return whole_s >= run.min_stall_s
 
 
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/work.py
@@ -276,7 +276,7 @@
             kind=kind_of(step),
             incarnation=session.incarnation,
         )
-        job.end_wait(key)
+        job.reset_wait(key)
         session.runs[run.name] = run
         job.runs[key] = run
         return run
@@ -291,7 +291,7 @@
         task = job.progress.task(key)
         run = self.new_run(job, key, task.attempt, session)
         run.state = UNKNOWN
-        run.alone = job.is_alone(key)
+        run.exclusive = job.is_exclusive(key)
         run.incarnation = task.incarnation
         run.checkpoint = task.checkpoint
         session.wake()
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -10,8 +10,8 @@
     speed_level,
 )
 from curranthill.placement.durations import DurationEstimator, Ratio
-from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
-from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
+from curranthill.placement.fitting import MAX_SKEW_S, waits_for_rack
+from curranthill.placement.jobs import ActiveJob, ReadyStep, newest_checkpoint
 from curranthill.placement.mechanisms import (
     FAILURE_SCORE,
     LOAD_SHEDDING,
@@ -61,7 +61,7 @@
     'FILLING',
     'MAX_LATE_FACTOR',
     'ASSIGNED',
-    'MOST_SKEW_S',
+    'MAX_SKEW_S',
     'ORDERED',
     'PLAIN',
     'RUNNING',
@@ -94,7 +94,7 @@
     'SpeedEstimator',
     'WorkerEntry',
     'checked',
-    'checkpoint_of',
+    'newest_checkpoint',
     'covered_jobs',
     'infeasible_jobs',
     'in_service_order',
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -13,7 +13,7 @@
     RunKind,
     kind_of,
 )
-from curranthill.placement.suspects import TRIED_S
+from curranthill.placement.suspects import SUSPECT_TRIAL_S
 from curranthill.placement.workers import WorkerEntry
 from curranthill.tasks import Resources, Step, TaskKey
 
@@ -39,10 +39,10 @@
     :param failure_score: recent failures and stalled runs here; 0 if none.
     :param speed: of a typical worker's; 1.0 if it is not known to differ.
     :param level: that speed in levels above the typical one.
-    :param held_alone: whether a suspect has just started here alone, so that
-        only its own gang may start beside it.
-    :param shared_with_suspect: whether a suspect started here alone and may
-        have others beside it by now.
+    :param held_exclusively: whether a suspect has just started here alone, so
+        that only its own gang may start beside it.
+    :param shared_with_suspect: whether a suspect started here alone, so long
+        ago that other tasks may start beside it.
     :param runs: what runs here, less what this round stops.
     :param version: grows with each change of this room.
     """
@@ -53,7 +53,7 @@
         'failure_score',
         'entry',
         'free',
-        'held_alone',
+        'held_exclusively',
         'reserved',
         'level',
         'runs',
@@ -79,9 +79,11 @@
         self.level = speed_level(speed)
         self.version = 0
         self._keys = [run.key for run in self.runs]
-        suspects = [run for run in self.runs if run.alone]
-        self.held_alone = any(run.age_s < TRIED_S for run in suspects)
-        self.shared_with_suspect = bool(suspects) and not self.held_alone
+        suspects = [run for run in self.runs if run.exclusive]
+        self.held_exclusively = any(
+            run.age_s < SUSPECT_TRIAL_S for run in suspects
+        )
+        self.shared_with_suspect = bool(suspects) and not self.held_exclusively
         self._kinds: list[RunKind] = [
             run.kind for run in self.runs if run.kind != PLAIN
         ]
@@ -107,15 +109,15 @@
         key: TaskKey,
         step: Step,
         *,
-        alone: bool = False,
+        exclusive: bool = False,
         starving: bool = False,
     ) -> bool:
         """Return whether a step's own limits let a task run here.
 
-        :param alone: only beside members of its own gang.
+        :param exclusive: only beside members of its own gang.
         :param starving: also beside a suspect that has just started.
         """
-        closed = alone or (self.held_alone and not starving)
+        closed = exclusive or (self.held_exclusively and not starving)
         if closed and not self._only_gang_of(key, step):
             return False
         if step.label and step.label not in self.entry.labels:
@@ -141,10 +143,10 @@
         key: TaskKey,
         step: Step,
         *,
-        alone: bool = False,
+        exclusive: bool = False,
     ) -> None:
         """Take room for a task that starts now."""
-        self.held_alone = self.held_alone or alone
+        self.held_exclusively = self.held_exclusively or exclusive
         needs = resources_needed(step)
         self.version += 1
         self.free = self.free.minus(needs)
@@ -161,7 +163,7 @@
         self.soon = self.soon.plus(needs)
         self._keys.remove(key)
         if not self._keys:
-            self.held_alone = False
+            self.held_exclusively = False
         if kind_of(step) != PLAIN:
             self._kinds.remove(kind_of(step))
 
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -20,11 +20,11 @@
 
 #: A task waits so many of its estimated run times for room in the right rack:
 #: away from it, it runs longer by about as much.
-PATIENCE_FOR_RACK: Final = 2.0
+RACK_WAIT_FACTOR: Final = 2.0
 
 #: The clocks of the host that accepted a job and of the leader differ by no
 #: more than this unless one was set, in seconds.
-MOST_SKEW_S: Final = 5.0
+MAX_SKEW_S: Final = 5.0
 
 Fit = list[tuple[TaskKey, WorkerCapacity]]
 
@@ -46,24 +46,24 @@
 def waits_for_rack(job: ActiveJob, ready: ReadyStep, now_s: float) -> bool:
     """Return whether a job goes on waiting for the right rack."""
     waited_s = now_s - job.spec.accepted_at_s
-    if waited_s < -MOST_SKEW_S:
+    if waited_s < -MAX_SKEW_S:
         # Clocks that differ so much were set; nobody knows the wait.
         return False
-    return waited_s <= PATIENCE_FOR_RACK * ready.step.estimate_s
+    return waited_s <= RACK_WAIT_FACTOR * ready.step.estimate_s
 
 
 def groups_of(
     ready: ReadyStep,
     workers: ServiceCapacity,
     *,
-    patient: bool,
+    wait_for_rack: bool,
 ) -> list[Sequence[WorkerCapacity]]:
     """Return the sets of rooms that a step may be placed in, best first.
 
     Tasks that run longer away from a rack wait for it, unless it could never
     hold them.
 
-    :param patient: whether to go on waiting for the right rack.
+    :param wait_for_rack: whether to go on waiting for the right rack.
     """
     racks = _near_racks(ready, workers)
     if racks is None:
@@ -71,7 +71,7 @@
     groups: list[Sequence[WorkerCapacity]] = [
         workers.in_rack(rack) for rack in racks
     ]
-    if not groups or not patient:
+    if not groups or not wait_for_rack:
         groups.append(workers.workers)
     return groups
 
@@ -131,7 +131,7 @@
             break
         index = heapq.heappop(queue).position
         worker = workers[index]
-        worker.place(key, ready.step, alone=ready.alone)
+        worker.place(key, ready.step, exclusive=ready.exclusive)
         chosen.append((key, worker))
         if _takes(worker, ready, key):
             heapq.heappush(queue, _rank(worker, needs, index, pace))
@@ -148,7 +148,7 @@
     return worker.fits_now(needs, starving=ready.starving) and worker.allows(
         key,
         ready.step,
-        alone=ready.alone,
+        exclusive=ready.exclusive,
         # Two suspects side by side would not tell which one crashes.
         starving=ready.starving and not ready.suspect,
     )
@@ -218,8 +218,8 @@
 
 
 __all__ = (
-    'MOST_SKEW_S',
-    'PATIENCE_FOR_RACK',
+    'MAX_SKEW_S',
+    'RACK_WAIT_FACTOR',
     'Fit',
     'choose_group',
     'choose_workers',
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -6,9 +6,9 @@
 
 from curranthill.placement.runs import RUNNING, Run
 from curranthill.placement.suspects import (
-    ALONE_PATIENCE_S,
-    LASTING_PATIENCE_S,
-    TRIED_S,
+    EXCLUSIVE_MAX_WAIT_S,
+    PERPETUAL_MAX_WAIT_S,
+    SUSPECT_TRIAL_S,
     is_suspect,
 )
 from curranthill.tasks import (
@@ -26,7 +26,7 @@
     """Tasks of one step whose turn has come and of which no run can exist.
 
     :param tickets: by worker, for queues whose policy allows only some.
-    :param alone: nothing else may run on their workers.
+    :param exclusive: nothing else may run on their workers.
     :param suspect: one of the tasks may be what crashed its workers.
     :param starving: their job has waited for long while most room is free, and
         takes room that is kept.
@@ -37,7 +37,7 @@
     step: Step
     tasks: tuple[TaskKey, ...]
     tickets: dict[str, str] | None = None
-    alone: bool = False
+    exclusive: bool = False
     suspect: bool = False
     starving: bool = False
 
@@ -76,7 +76,7 @@
         self.suspects: set[TaskKey] = set()
         self._waits_since_s: dict[TaskKey, float] = {}
         self._idle_since_s: float | None = None
-        self._made_way: set[tuple[int, int]] = set()
+        self._preempted_for: set[tuple[int, int]] = set()
         self._done_steps: set[tuple[int, int]] = set()
         self._keys: dict[tuple[int, int], tuple[TaskKey, ...]] = {}
         for name, task in progress.tasks.items():
@@ -168,14 +168,14 @@
         self.progress.ended_at_s = now_s
         return True
 
-    def note_losses(self, key: TaskKey) -> None:
+    def update_suspect(self, key: TaskKey) -> None:
         """Take note of what a task's losses make it."""
         if is_suspect(self.progress.task(key)):
             self.suspects.add(key)
         else:
             self.suspects.discard(key)
 
-    def whole_since_s(self, key: TaskKey) -> float:
+    def gang_running_since_s(self, key: TaskKey) -> float:
         """Return since when a task and all its fellows run, if they do.
 
         A gang works only from then on. Infinite as long as one does not run.
@@ -188,7 +188,7 @@
             since_s = max(since_s, run.confirmed_s)
         return since_s
 
-    def is_alone(self, key: TaskKey) -> bool:
+    def is_exclusive(self, key: TaskKey) -> bool:
         """Return whether a task's run is to have its worker for itself."""
         if not self.suspects:
             return False
@@ -219,53 +219,53 @@
             yield ready
             return
         if ready.step.gang:
-            alone = self._waits_alone(suspects[0], now_s)
-            yield ready._replace(alone=alone, suspect=True)
+            exclusive = self._awaits_exclusive(suspects[0], now_s)
+            yield ready._replace(exclusive=exclusive, suspect=True)
             return
         others = tuple(key for key in ready.tasks if key not in self.suspects)
         if others:
             yield ready._replace(tasks=others)
-        if self._is_trying() and not ready.step.perpetual:
+        if self._is_on_trial() and not ready.step.perpetual:
             return
-        alone = self._waits_alone(suspects[0], now_s)
+        exclusive = self._awaits_exclusive(suspects[0], now_s)
         first = (suspects[0],)
-        yield ready._replace(tasks=first, alone=alone, suspect=True)
+        yield ready._replace(tasks=first, exclusive=exclusive, suspect=True)
 
-    def _is_trying(self) -> bool:
+    def _is_on_trial(self) -> bool:
         """Return whether a suspect runs that may yet crash its worker."""
         return any(
-            run.age_s < TRIED_S
+            run.age_s < SUSPECT_TRIAL_S
             for key, run in self.runs.items()
             if key in self.suspects
         )
 
-    def may_make_way(self, ready: ReadyStep) -> bool:
+    def claim_preemption(self, ready: ReadyStep) -> bool:
         """Use up a step's one preemption for speed; return whether it was left.
 
         A gang would stop others again in each round otherwise.
         """
         place = (ready.occurrence, ready.number)
-        if place in self._made_way:
+        if place in self._preempted_for:
             return False
-        self._made_way.add(place)
+        self._preempted_for.add(place)
         return True
 
-    def end_wait(self, key: TaskKey) -> None:
+    def reset_wait(self, key: TaskKey) -> None:
         """Have a job, and a suspect of it, wait anew the next time."""
         self._waits_since_s.pop(key, None)
         self._idle_since_s = None
 
-    def _waits_alone(self, key: TaskKey, now_s: float) -> bool:
+    def _awaits_exclusive(self, key: TaskKey, now_s: float) -> bool:
         """Return whether a suspect still waits for a worker of its own."""
-        patience_s = ALONE_PATIENCE_S
+        max_wait_s = EXCLUSIVE_MAX_WAIT_S
         if self.step_of(key).perpetual:
-            patience_s = LASTING_PATIENCE_S
+            max_wait_s = PERPETUAL_MAX_WAIT_S
         since_s = self._waits_since_s.setdefault(key, now_s)
         if now_s < since_s:
             # The clock was set back; it is not known by how much.
             self._waits_since_s[key] = now_s
             return True
-        return now_s - since_s < patience_s
+        return now_s - since_s < max_wait_s
 
     def _note_step_done(self, place: tuple[int, int]) -> None:
         self._done_steps.add(place)
@@ -300,9 +300,9 @@
         return ReadyStep(occurrence, number, step, waiting)
 
 
-def checkpoint_of(tasks: list[TaskProgress]) -> str:
+def newest_checkpoint(tasks: list[TaskProgress]) -> str:
     """Return the newest checkpoint that any of the tasks has."""
     return max((task.checkpoint for task in tasks), default='')
 
 
-__all__ = ('ActiveJob', 'ReadyStep', 'checkpoint_of')
+__all__ = ('ActiveJob', 'ReadyStep', 'newest_checkpoint')
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -45,8 +45,8 @@
     wait_for_capacity_s,
 )
 from curranthill.placement.runs import Run
-from curranthill.placement.starvation import PATIENCE_S, is_mostly_free
-from curranthill.placement.suspects import ALONE_SHARE
+from curranthill.placement.starvation import MAX_IDLE_S, is_mostly_free
+from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
 #: An urgent job that no guarantee covers may throw away at most so many times
@@ -207,7 +207,7 @@
             chosen = choose_group(ready, groups, pace)
         self._place(job, ready, chosen)
         missing = ready.tasks[len(chosen) :]
-        if not missing or ready.alone:
+        if not missing or ready.exclusive:
             return
         if urgent:
             self._preempt_for(job, ready, missing, groups, pace)
@@ -229,7 +229,7 @@
         None are taken for suspects that have their share of workers.
         """
         chosen = choose_group(ready, groups, pace)
-        if ready.alone and chosen and self._are_too_many_alone(job):
+        if ready.exclusive and chosen and self._too_many_exclusive(job):
             give_back(ready, chosen)
             chosen = []
         if chosen or not self._starves(job):
@@ -237,7 +237,7 @@
         return choose_group(ready._replace(starving=True), groups, pace)
 
     def _starves(self, job: ActiveJob) -> bool:
-        if job.idle_s(self._now_s) < PATIENCE_S:
+        if job.idle_s(self._now_s) < MAX_IDLE_S:
             return False
         service = job.spec.queue.service
         if service not in self._mostly_free:
@@ -245,10 +245,10 @@
             self._mostly_free[service] = is_mostly_free(workers)
         return self._mostly_free[service]
 
-    def _are_too_many_alone(self, job: ActiveJob) -> bool:
+    def _too_many_exclusive(self, job: ActiveJob) -> bool:
         workers = self._services[job.spec.queue.service].workers
-        held = sum(worker.held_alone for worker in workers)
-        return held > math.ceil(ALONE_SHARE * len(workers))
+        held = sum(worker.held_exclusively for worker in workers)
+        return held > math.ceil(EXCLUSIVE_SHARE * len(workers))
 
     def _workers_of(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
@@ -303,9 +303,11 @@
         workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
         if ready.tickets is not None:
             workers = workers.limited_to(ready.tickets)
-        return groups_of(ready, workers, patient=self._is_patient(job, ready))
+        return groups_of(
+            ready, workers, wait_for_rack=self._waits_for_rack(job, ready)
+        )
 
-    def _is_patient(self, job: ActiveJob, ready: ReadyStep) -> bool:
+    def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
         """Return whether a job goes on waiting for the right rack."""
         if RACK_PATIENCE in self._disabled:
             return False
@@ -331,7 +333,7 @@
         )
         best = self._best_eviction(ready.tasks, step, groups, most_loss)
         # Only an eviction with victims uses up the step's one preemption.
-        if best is None or (best.victims and not job.may_make_way(ready)):
+        if best is None or (best.victims and not job.claim_preemption(ready)):
             return False
         self._evict(best, job, resources_needed(step))
         return True
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -67,7 +67,7 @@
     :param perpetual: it runs until its job is cancelled.
     :param kind: whether it answers users of its own, or fills what is left.
     :param incarnation: that of the worker when it was placed there.
-    :param alone: nothing else may run on its worker.
+    :param exclusive: nothing else may run on its worker.
     :param age_s: how long it has run, as of the newest report.
     :param first_clock_s: its worker's clock at the first known progress; 0 as
         long as none is known.
@@ -78,7 +78,7 @@
 
     __slots__ = (
         'age_s',
-        'alone',
+        'exclusive',
         'attempt',
         'first_clock_s',
         'first_percent',
@@ -133,7 +133,7 @@
         self.priority = priority
         self.checkpointable = checkpointable
         self.age_s = 0.0
-        self.alone = False
+        self.exclusive = False
         self.state: RunState = state
         self.checkpoint = ''
         self.ticket = ''
@@ -228,7 +228,9 @@
             self.progress_rate = share * self.estimate_s / worked_s
 
     def update_final_rate(self, clock_s: float) -> None:
-        """Set the progress rate of a run that is done, over all its time.
+        """Set the progress rate of a run that is done.
+
+        The members of a gang end together, so the wait for the slowest counts.
 
         :param clock_s: the worker's clock right after the end.
         """
--- a/src/curranthill/placement/starvation.py
+++ b/src/curranthill/placement/starvation.py
@@ -13,7 +13,7 @@
 
 #: A job has nothing running for so long before it takes room that is kept, in
 #: seconds: with its start the wait stays below the 3 s that callers may see.
-PATIENCE_S: Final = 2.0
+MAX_IDLE_S: Final = 2.0
 
 #: Most room is free if less than this share of the accelerators is in use.
 BUSY_SHARE: Final = 0.5
@@ -42,4 +42,4 @@
     return not have or used < busy_share * have
 
 
-__all__ = ('PATIENCE_S', 'is_mostly_free')
+__all__ = ('MAX_IDLE_S', 'is_mostly_free')
--- a/src/curranthill/placement/suspects.py
+++ b/src/curranthill/placement/suspects.py
@@ -15,20 +15,20 @@
 
 #: The share of a service's workers that suspects may have for themselves at
 #: one moment, rounded up. Others start where there is room.
-ALONE_SHARE: Final = 0.5
+EXCLUSIVE_SHARE: Final = 0.5
 
 #: How long a suspect waits for a worker of its own, in seconds: with its start
 #: it has nothing running for less than the 3 s that callers may see while most
 #: room is free.
-ALONE_PATIENCE_S: Final = 2.0
+EXCLUSIVE_MAX_WAIT_S: Final = 2.0
 
 #: The same for a task that lasts, in seconds: its users wait meanwhile.
-LASTING_PATIENCE_S: Final = 0.5
+PERPETUAL_MAX_WAIT_S: Final = 0.5
 
 #: A suspect that has worked for so long holds up neither another one of its job
 #: nor others that its worker has room for, in seconds: most crashes come
 #: sooner, and many innocent ones must go on.
-TRIED_S: Final = 5.0
+SUSPECT_TRIAL_S: Final = 5.0
 
 
 def is_suspect(task: TaskProgress) -> bool:
@@ -37,10 +37,10 @@
 
 
 __all__ = (
-    'ALONE_PATIENCE_S',
-    'ALONE_SHARE',
-    'LASTING_PATIENCE_S',
+    'EXCLUSIVE_MAX_WAIT_S',
+    'EXCLUSIVE_SHARE',
+    'PERPETUAL_MAX_WAIT_S',
     'SUSPECT_LOSSES',
-    'TRIED_S',
+    'SUSPECT_TRIAL_S',
     'is_suspect',
 )
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -11,7 +11,7 @@
 
 import unittest
 
-from curranthill.placement.suspects import ALONE_PATIENCE_S
+from curranthill.placement.suspects import EXCLUSIVE_MAX_WAIT_S
 from curranthill.tasks import Resources, Step, TaskKey
 from tests.domain import AWAY_S, ONE_GPU, ROOM, Domain, in_domain, make_spec
 
@@ -320,7 +320,7 @@
             await host.accept(make_spec('n1', Step(width=1, needs=HALF)))
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
-                within_s=AWAY_S + ALONE_PATIENCE_S + 1,
+                within_s=AWAY_S + EXCLUSIVE_MAX_WAIT_S + 1,
             )
 
         in_domain(case, workers=1, run_s=40)
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -10,7 +10,7 @@
 from curranthill.placement import ActiveJob, Planner, Run, WorkerCapacity
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
 from curranthill.placement.reservation_windows import ReservationWindows
-from curranthill.placement.suspects import TRIED_S
+from curranthill.placement.suspects import SUSPECT_TRIAL_S
 from curranthill.tasks import JobSpec, Step, TaskKey
 from tests.domain import ROOM, SERVICE, make_spec
 from tests.test_planner import (
@@ -86,7 +86,7 @@
 
     def runs(worker_id: str) -> Sequence[Run]:
         run = make_run(worker_id, 1, age_s=age_s)
-        run.alone = True
+        run.exclusive = True
         return (run,)
 
     return runs
@@ -150,7 +150,7 @@
     job = make_job(make_spec(job_id, step))
     key = TaskKey(job_id, 0, 0, 0)
     job.progress.task(key).losses = 2
-    job.note_losses(key)
+    job.update_suspect(key)
     return job
 
 
@@ -336,7 +336,7 @@
     def test_a_suspect_that_has_just_started_is_alone(self) -> None:
         """A crash would hit what starts beside it."""
         decided = plan(
-            [make_room('a1', 'r1', *suspect(TRIED_S / 2)('a1'))],
+            [make_room('a1', 'r1', *suspect(SUSPECT_TRIAL_S / 2)('a1'))],
             make_spec('small', SMALL, priority=2),
         )
         self.assertEqual(placed(decided), {})
@@ -477,7 +477,7 @@
         """A job that was stopped right away waits anew."""
         job = small_job()
         job.idle_s(NOW_S)
-        job.end_wait(member_of(job))
+        job.reset_wait(member_of(job))
         self.assertEqual(job.idle_s(NOW_S + 9.0), 0.0)
 
     def test_a_clock_that_is_set_back_begins_the_wait_anew(self) -> None:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -49,10 +49,10 @@
     step: Step,
     *rooms: WorkerCapacity,
     beyond: bool = False,
-    alone: bool = False,
+    exclusive: bool = False,
     reserved: bool = True,
     advised: bool = False,
-    patient: bool = True,
+    wait_for_rack: bool = True,
 ) -> str:
     """Return what a step waits for."""
     spec = make_spec('a1', step)
@@ -60,12 +60,12 @@
     ready = next(job.ready_steps(spec.accepted_at_s))
     free = [room.free for room in rooms]
     found = waits_for(
-        ready._replace(alone=alone),
+        ready._replace(exclusive=exclusive),
         rooms,
         beyond_guarantee=beyond,
         reserved=reserved,
         advised=advised,
-        patient=patient,
+        wait_for_rack=wait_for_rack,
     )
     assert [room.free for room in rooms] == free
     return found
@@ -120,11 +120,11 @@
         full = (worker(0, 'r1'), worker(0, 'r2'))
         workers = (worker(8, 'r1'), worker(8, 'r2'), *full)
         self.assertEqual(
-            reason(pair, *workers, patient=False),
+            reason(pair, *workers, wait_for_rack=False),
             'room that is kept for others',
         )
         self.assertEqual(
-            reason(pair, *workers, patient=False, reserved=False),
+            reason(pair, *workers, wait_for_rack=False, reserved=False),
             'its turn, it fits and no room is kept',
         )
 
@@ -132,10 +132,10 @@
         """Free capacity beside others does not do."""
         step = Step(width=1, needs=ONE_GPU, estimate_s=1.0)
         self.assertEqual(
-            reason(step, worker(3), alone=True),
+            reason(step, worker(3), exclusive=True),
             'an empty worker, as a suspect',
         )
-        self.assertEqual(reason(step, worker(0), alone=True), 'no room')
+        self.assertEqual(reason(step, worker(0), exclusive=True), 'no room')
 
     def test_room_that_is_kept_for_nobody(self) -> None:
         """It fits: the advisor has not allowed it, or it is not its turn."""
@@ -275,7 +275,7 @@
             leader = host.leader
             assert leader is not None
             for run in leader.work.jobs['alone'].runs.values():
-                run.alone = True
+                run.exclusive = True
                 name = run.worker_id
             other = next(one for one in domain.workers if one != name)
             entry = domain.workers[other].entry
