--- a/bench/door.py
+++ b/bench/door.py
@@ -98,8 +98,8 @@
         tries = self._tries.get(spec.job_id, 0) + 1
         self._tries[spec.job_id] = tries
         if tries <= MORE_TRIES:
-            spread_s = refusal.spread_s * self._source.random()
-            back_s = self._now_s + refusal.return_s + spread_s
+            jitter_s = refusal.jitter_s * self._source.random()
+            back_s = self._now_s + refusal.retry_delay_s + jitter_s
             self._at(back_s, partial(self._accept, spec))
 
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -32,7 +32,7 @@
     Run,
     WorkerCapacity,
     WorkerEntry,
-    checked,
+    validate_mechanisms,
 )
 from curranthill.tasks import (
     JobProgress,
@@ -706,7 +706,9 @@
         ]
         typer.echo(f'{name}: {", ".join(fields)}')
         for mechanism in filter(None, without.split(',')):
-            others = compare(LOADS[name], workers, seeds, checked([mechanism]))
+            others = compare(
+                LOADS[name], workers, seeds, validate_mechanisms([mechanism])
+            )
             mean, error = difference(base, others)
             typer.echo(f'  {mechanism}: worth {mean:+.4f} +- {error:.4f}')
     if out:
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,8 +1,8 @@
 """How work is turned away: decisions only, no input or output, no clock."""
 
 from curranthill.admission.forecast import ServiceResources, make_forecast
-from curranthill.admission.reasons import RESERVED, waits_for
-from curranthill.admission.returns import return_after_s
+from curranthill.admission.reasons import RESERVED, waiting_reason
+from curranthill.admission.retries import retry_delay_s
 from curranthill.admission.shedding import (
     FULL,
     MAX_FORECAST_AGE_S,
@@ -30,6 +30,6 @@
     'ServiceResources',
     'check_admission',
     'make_forecast',
-    'return_after_s',
-    'waits_for',
+    'retry_delay_s',
+    'waiting_reason',
 )
--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -22,7 +22,7 @@
 TURN: Final = 'its turn, it fits and no room is kept'
 
 
-def waits_for(
+def waiting_reason(
     ready: ReadyStep,
     workers: Sequence[WorkerCapacity],
     *,
@@ -79,5 +79,5 @@
     'NO_WORKER',
     'RACK',
     'TURN',
-    'waits_for',
+    'waiting_reason',
 )
--- a/src/curranthill/commands/host.py
+++ b/src/curranthill/commands/host.py
@@ -8,7 +8,7 @@
 
 from curranthill.commands.options import EPILOG, WRONG_USE, Version, fail
 from curranthill.errors import SettingsError
-from curranthill.placement import checked, mechanisms
+from curranthill.placement import mechanisms, validate_mechanisms
 from curranthill.platform import PATH_VARIABLE, read_platform_settings
 from curranthill.platform.program import run_host, settings_path
 
@@ -38,7 +38,7 @@
     read = partial(read_platform_settings, settings or settings_path())
     try:
         read()
-        switched_off = checked(without or ())
+        switched_off = validate_mechanisms(without or ())
     except SettingsError as error:
         fail(error.message, WRONG_USE)
     if check_settings:
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from curranthill.admission import RESERVED, waits_for
+from curranthill.admission import RESERVED, waiting_reason
 from curranthill.clock import Clock
 from curranthill.dispatch.unready import UnreadyJobs
 from curranthill.dispatch.work import Work
@@ -88,7 +88,7 @@
                 urgent = not job.spec.queue.priority
                 service_rooms = rooms.get(job.spec.queue.service, [])
                 kept_for = self._others_of(job, reserved_for)
-                reason = waits_for(
+                reason = waiting_reason(
                     ready,
                     service_rooms,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
--- a/src/curranthill/entry/desk.py
+++ b/src/curranthill/entry/desk.py
@@ -8,7 +8,7 @@
     Forecast,
     Refusal,
     check_admission,
-    return_after_s,
+    retry_delay_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -288,14 +288,14 @@
                 'reason': refusal.reason,
             },
         )
-        spread_s = random.uniform(0, refusal.spread_s)
+        spread_s = random.uniform(0, refusal.jitter_s)
         return RefusedError(
             f'Job {spec.job_id} is not accepted and does not run: '
             f'{refusal.reason}.',
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.return_s + spread_s,
+            retry_after_s=refusal.retry_delay_s + spread_s,
             peer='leader',
         )
 
@@ -320,9 +320,9 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=return_after_s(
+            retry_after_s=retry_delay_s(
                 spec,
-                spread_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
+                jitter_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
             ),
             peer=peer,
         )
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -19,8 +19,8 @@
     SLOW_MOVES,
     SPEEDS,
     STALLED_MOVES,
-    checked,
     mechanisms,
+    validate_mechanisms,
 )
 from curranthill.placement.order import (
     covered_jobs,
@@ -93,7 +93,7 @@
     'Speed',
     'SpeedEstimator',
     'WorkerEntry',
-    'checked',
+    'validate_mechanisms',
     'newest_checkpoint',
     'covered_jobs',
     'infeasible_jobs',
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -43,7 +43,7 @@
 NONE_DISABLED: Final[frozenset[str]] = frozenset()
 
 
-def checked(names: Iterable[str]) -> frozenset[str]:
+def validate_mechanisms(names: Iterable[str]) -> frozenset[str]:
     """Return names of mechanisms.
 
     :raises SettingsError: if there is no such mechanism.
@@ -65,6 +65,6 @@
     'SPEEDS',
     'STALLED_MOVES',
     'LOAD_SHEDDING',
-    'checked',
+    'validate_mechanisms',
     'mechanisms',
 )
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -12,7 +12,7 @@
 from curranthill.admission import MAX_WAITING, TOO_LATE, check_admission
 from curranthill.dispatch.leadership import LeaderRow, leader_row_of
 from curranthill.errors import NOT_RUN, RefusedError
-from curranthill.placement import checked
+from curranthill.placement import validate_mechanisms
 from curranthill.storage.rows import RowPut
 from curranthill.tasks import JobSpec, Step, decode, encode, tables
 from tests.domain import ONE_GPU, Domain, TestHost, in_domain, make_spec
@@ -181,7 +181,7 @@
         """By name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
-            domain.disabled = checked(('turning-away',))
+            domain.disabled = validate_mechanisms(('turning-away',))
             _, second = await overload(domain)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -19,7 +19,7 @@
     RunKind,
     WorkerCapacity,
     WorkerEntry,
-    checked,
+    validate_mechanisms,
 )
 from curranthill.tasks import JobProgress, JobSpec, Resources, Step, TaskKey
 from tests.domain import ROOM, SERVICE, make_spec
@@ -91,7 +91,7 @@
         guaranteed=guaranteed or {},
         now_s=NOW_S,
         tickets=lambda job, ready: {},
-        disabled=checked(disabled),
+        disabled=validate_mechanisms(disabled),
     )
     return planner.plan([*running, *(make_job(spec) for spec in specs)])
 
@@ -510,4 +510,4 @@
     def test_an_unknown_name_is_refused(self) -> None:
         """The error names those that are known."""
         with self.assertRaisesRegex(SettingsError, 'rack-patience'):
-            checked(['rack-patients'])
+            validate_mechanisms(['rack-patients'])
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -4,7 +4,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from curranthill.admission import waits_for
+from curranthill.admission import waiting_reason
 from curranthill.commands.trace import told
 from curranthill.dispatch import waiting
 from curranthill.entry import desk
@@ -59,7 +59,7 @@
     job = ActiveJob(spec=spec, progress=JobProgress('q', tasks={}))
     ready = next(job.ready_steps(spec.accepted_at_s))
     free = [room.free for room in rooms]
-    found = waits_for(
+    found = waiting_reason(
         ready._replace(exclusive=exclusive),
         rooms,
         beyond_guarantee=beyond,
