--- a/bench/door.py
+++ b/bench/door.py
@@ -99,7 +99,7 @@
         self._tries[spec.job_id] = tries
         if tries <= MORE_TRIES:
             jitter_s = refusal.jitter_s * self._source.random()
-            back_s = self._now_s + refusal.retry_delay_s + jitter_s
+            back_s = self._now_s + refusal.retry_after_s + jitter_s
             self._at(back_s, partial(self._accept, spec))
 
 
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -2,7 +2,7 @@
 
 from curranthill.admission.forecast import ServiceResources, make_forecast
 from curranthill.admission.reasons import RESERVED, waiting_reason
-from curranthill.admission.retries import retry_delay_s
+from curranthill.admission.retries import retry_after_s
 from curranthill.admission.shedding import (
     FULL,
     MAX_FORECAST_AGE_S,
@@ -30,6 +30,6 @@
     'ServiceResources',
     'check_admission',
     'make_forecast',
-    'retry_delay_s',
+    'retry_after_s',
     'waiting_reason',
 )
--- a/src/curranthill/admission/retries.py
+++ b/src/curranthill/admission/retries.py
@@ -20,7 +20,7 @@
 SLACK_SHARE: Final = 1 / 6
 
 
-def retry_delay_s(spec: JobSpec, *, jitter_s: float) -> float:
+def retry_after_s(spec: JobSpec, *, jitter_s: float) -> float:
     """Return when to come back, in seconds.
 
     :param jitter_s: added within the bounds, drawn by whoever asks, so that
@@ -32,4 +32,4 @@
     return min(max(wait_s, MIN_DELAY_S), MAX_DELAY_S)
 
 
-__all__ = ('MAX_DELAY_S', 'MIN_DELAY_S', 'retry_delay_s')
+__all__ = ('MAX_DELAY_S', 'MIN_DELAY_S', 'retry_after_s')
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -36,7 +36,7 @@
 
 #: The shortest time after which a caller comes back, in seconds: the header
 #: has whole seconds.
-MIN_RETRY_DELAY_S: Final = 1.0
+MIN_RETRY_AFTER_S: Final = 1.0
 
 #: A refused caller is asked back early enough for so many more tries.
 TRIES: Final = 4
@@ -110,14 +110,14 @@
     """Why a job is not accepted.
 
     :param wait_s: the wait that is expected of it.
-    :param retry_delay_s: when its caller should come back at the earliest.
+    :param retry_after_s: when its caller should come back at the earliest.
     :param jitter_s: how much later some callers should, so that they do not
         come back together.
     """
 
     reason: str
     wait_s: float
-    retry_delay_s: float
+    retry_after_s: float
     jitter_s: float
 
 
@@ -142,8 +142,8 @@
     # The same wait for all of a queue: the earlier the objective the less of
     # it is left, and the sooner the caller comes back.
     latest_s = (earns_until_s(spec) - spec.chain_s) / TRIES
-    retry_delay_s = max(min(wait_s, latest_s), MIN_RETRY_DELAY_S)
-    return Refusal(reason, wait_s, retry_delay_s, jitter_s=retry_delay_s / 2)
+    retry_after_s = max(min(wait_s, latest_s), MIN_RETRY_AFTER_S)
+    return Refusal(reason, wait_s, retry_after_s, jitter_s=retry_after_s / 2)
 
 
 def has_objective(queue: Queue) -> bool:
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -113,7 +113,7 @@
         if reason != LEASE_LAPSED and run.age_s < PROMPT_S:
             task.prompt_crashes += 1
         metrics.runs_lost.add(1)
-        job.update_suspect(run.key)
+        job.record_losses(run.key)
         self._judge(job, run, reason)
 
     def settle(self, run: Run, *, crashed: bool) -> None:
@@ -124,11 +124,11 @@
             return
         if not crashed:
             task.losses = max(0, task.losses - 1)
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._journal.note(job)
         elif run.age_s < PROMPT_S:
             task.prompt_crashes += 1
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._judge(job, run, 'crashed after all')
 
     def clear_if_lasting(self, run: Run) -> None:
@@ -140,7 +140,7 @@
         if task.losses:
             task.losses = 0
             task.prompt_crashes = 0
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._journal.note(job)
 
     def _judge(self, job: ActiveJob, run: Run, reason: str) -> None:
--- a/src/curranthill/entry/desk.py
+++ b/src/curranthill/entry/desk.py
@@ -8,7 +8,7 @@
     Forecast,
     Refusal,
     check_admission,
-    retry_delay_s,
+    retry_after_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -295,7 +295,7 @@
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.retry_delay_s + spread_s,
+            retry_after_s=refusal.retry_after_s + spread_s,
             peer='leader',
         )
 
@@ -320,7 +320,7 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=retry_delay_s(
+            retry_after_s=retry_after_s(
                 spec,
                 jitter_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
             ),
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -15,7 +15,7 @@
     resources_needed,
 )
 from curranthill.placement.jobs import ActiveJob, ReadyStep
-from curranthill.placement.paces import ANY, Pace
+from curranthill.placement.required_speed import ANY, RequiredSpeed
 from curranthill.tasks import Resources, TaskKey
 
 #: A task waits so many of its estimated run times for room in the right rack:
@@ -78,11 +78,11 @@
 
 def in_time(
     groups: Sequence[Sequence[WorkerCapacity]],
-    pace: Pace,
+    required: RequiredSpeed,
 ) -> list[Sequence[WorkerCapacity]]:
     """Return each group without the workers that would delay the gang."""
     return [
-        [worker for worker in group if not pace.holds_up(worker)]
+        [worker for worker in group if not required.holds_up(worker)]
         for group in groups
     ]
 
@@ -90,7 +90,7 @@
 def choose_group(
     ready: ReadyStep,
     groups: Sequence[Sequence[WorkerCapacity]],
-    pace: Pace = ANY,
+    required: RequiredSpeed = ANY,
 ) -> Fit:
     """Take rooms of one group: the first without fault, or the least faulty.
 
@@ -99,28 +99,29 @@
     """
     best: tuple[float, Sequence[WorkerCapacity]] | None = None
     for group in groups:
-        chosen = _choose_alike(ready, group, pace)
+        chosen = _choose_alike(ready, group, required)
         # Recent failures and levels too slow: one of each weighs the same.
         fault = sum(
-            worker.failure_score + pace.excess(worker) for _, worker in chosen
+            worker.failure_score + required.excess(worker)
+            for _, worker in chosen
         )
         if chosen and not fault:
             return chosen
         give_back(ready, chosen)
         if chosen and (best is None or fault < best[0]):
             best = (fault, group)
-    return _choose_alike(ready, best[1], pace) if best else []
+    return _choose_alike(ready, best[1], required) if best else []
 
 
 def choose_workers(
     ready: ReadyStep,
     workers: Sequence[WorkerCapacity],
-    pace: Pace = ANY,
+    required: RequiredSpeed = ANY,
 ) -> Fit:
     """Take rooms for the tasks, in order; a gang takes all or none."""
     needs = resources_needed(ready.step)
     queue = [
-        _rank(worker, needs, index, pace)
+        _rank(worker, needs, index, required)
         for index, worker in enumerate(workers)
         if _takes(worker, ready, ready.tasks[0])
     ]
@@ -134,7 +135,7 @@
         worker.place(key, ready.step, exclusive=ready.exclusive)
         chosen.append((key, worker))
         if _takes(worker, ready, key):
-            heapq.heappush(queue, _rank(worker, needs, index, pace))
+            heapq.heappush(queue, _rank(worker, needs, index, required))
     whole = ready.step.gang or ready.step.same_rack
     if whole and len(chosen) < len(ready.tasks):
         give_back(ready, chosen)
@@ -157,38 +158,41 @@
 def _choose_alike(
     ready: ReadyStep,
     workers: Sequence[WorkerCapacity],
-    pace: Pace,
+    required: RequiredSpeed,
 ) -> Fit:
     """Take rooms; for a gang ones that are alike, where these have room.
 
     Its members end together: on fast workers they would wait for those on slow
     ones.
     """
-    chosen = choose_workers(ready, workers, pace)
-    held_up = {pace.holds_up(worker) for _, worker in chosen}
+    chosen = choose_workers(ready, workers, required)
+    held_up = {required.holds_up(worker) for _, worker in chosen}
     if len(held_up) < 2 or not ready.step.gang:
         return chosen
     give_back(ready, chosen)
     slow = [
         worker
         for worker in workers
-        if pace.holds_up(worker) and worker.speed >= pace.needed
+        if required.holds_up(worker) and worker.speed >= required.needed
     ]
-    usual = [worker for worker in workers if not pace.holds_up(worker)]
+    usual = [worker for worker in workers if not required.holds_up(worker)]
     return (
-        choose_workers(ready, slow, pace)
-        or choose_workers(ready, usual, pace)
-        or choose_workers(ready, workers, pace)
+        choose_workers(ready, slow, required)
+        or choose_workers(ready, usual, required)
+        or choose_workers(ready, workers, required)
     )
 
 
 def _rank(
-    worker: WorkerCapacity, needs: Resources, index: int, pace: Pace
+    worker: WorkerCapacity,
+    needs: Resources,
+    index: int,
+    required: RequiredSpeed,
 ) -> _Rank:
     return _Rank(
         failure_score=worker.failure_score,
         shared_with_suspect=worker.shared_with_suspect,
-        speed=pace.rank(worker),
+        speed=required.rank(worker),
         left_gpus=worker.free.gpus - needs.gpus,
         left_cpu_millis=worker.free.cpu_millis,
         position=index,
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -168,7 +168,7 @@
         self.progress.ended_at_s = now_s
         return True
 
-    def update_suspect(self, key: TaskKey) -> None:
+    def record_losses(self, key: TaskKey) -> None:
         """Take note of what a task's losses make it."""
         if is_suspect(self.progress.task(key)):
             self.suspects.add(key)
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -36,7 +36,11 @@
     is_urgent,
     late_jobs,
 )
-from curranthill.placement.paces import ANY, Pace, pace_of
+from curranthill.placement.required_speed import (
+    ANY,
+    RequiredSpeed,
+    required_speed,
+)
 from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
     RESERVATIONS,
@@ -198,19 +202,19 @@
         if may_skip and shape in self._too_large:
             return
         groups = self._groups(job, ready)
-        pace = self._pace(job, ready)
-        chosen = self._choose(job, ready, groups, pace)
-        if urgent and _is_held_up(ready, chosen, pace):
+        required = self._required_speed(job, ready)
+        chosen = self._choose(job, ready, groups, required)
+        if urgent and _is_held_up(ready, chosen, required):
             give_back(ready, chosen)
-            if self._make_way(job, ready, in_time(groups, pace)):
+            if self._make_way(job, ready, in_time(groups, required)):
                 return
-            chosen = choose_group(ready, groups, pace)
+            chosen = choose_group(ready, groups, required)
         self._place(job, ready, chosen)
         missing = ready.tasks[len(chosen) :]
         if not missing or ready.exclusive:
             return
         if urgent:
-            self._preempt_for(job, ready, missing, groups, pace)
+            self._preempt_for(job, ready, missing, groups, required)
             return
         if not advised:
             self._too_large.add(shape)
@@ -222,19 +226,19 @@
         job: ActiveJob,
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
-        pace: Pace,
+        required: RequiredSpeed,
     ) -> Fit:
         """Take rooms, also ones that are kept if a job starves otherwise.
 
         None are taken for suspects that have their share of workers.
         """
-        chosen = choose_group(ready, groups, pace)
+        chosen = choose_group(ready, groups, required)
         if ready.exclusive and chosen and self._too_many_exclusive(job):
             give_back(ready, chosen)
             chosen = []
         if chosen or not self._starves(job):
             return chosen
-        return choose_group(ready._replace(starving=True), groups, pace)
+        return choose_group(ready._replace(starving=True), groups, required)
 
     def _starves(self, job: ActiveJob) -> bool:
         if job.idle_s(self._now_s) < MAX_IDLE_S:
@@ -287,12 +291,14 @@
             )
             self._placements.append(Placement(job, ready, workers))
 
-    def _pace(self, job: ActiveJob, ready: ReadyStep) -> Pace:
+    def _required_speed(
+        self, job: ActiveJob, ready: ReadyStep
+    ) -> RequiredSpeed:
         """Return what a step asks of its workers, if they differ at all."""
         if not self._unlike:
             return ANY
         ratio = self._ratio_of(job.spec.queue.name)
-        return pace_of(job, ready, ratio, self._now_s)
+        return required_speed(job, ready, ratio, self._now_s)
 
     def _groups(
         self,
@@ -344,7 +350,7 @@
         ready: ReadyStep,
         missing: tuple[TaskKey, ...],
         groups: list[Sequence[WorkerCapacity]],
-        pace: Pace,
+        required: RequiredSpeed,
     ) -> None:
         """Stop what is needed for urgent tasks, and keep what gets free."""
         needed = [missing] if ready.step.gang else [(key,) for key in missing]
@@ -354,13 +360,15 @@
             if best is None:
                 # The tasks that are left need the same.
                 return
-            if pace.is_met_somewhere and any(map(pace.holds_up, best.workers)):
+            if required.is_met_somewhere and any(
+                map(required.holds_up, best.workers)
+            ):
                 work_core_s = _work(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
                         tasks,
                         ready.step,
-                        in_time(groups, pace),
+                        in_time(groups, required),
                         min(most_loss, MOST_LOSS_SHARE * work_core_s),
                     )
                     or best
@@ -414,11 +422,11 @@
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
-def _is_held_up(ready: ReadyStep, chosen: Fit, pace: Pace) -> bool:
+def _is_held_up(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
     """Return whether slow workers make a gang late that could be in time."""
-    if not ready.step.gang or not pace.is_met_somewhere:
+    if not ready.step.gang or not required.is_met_somewhere:
         return False
-    return any(pace.holds_up(worker) for _, worker in chosen)
+    return any(required.holds_up(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
--- a/src/curranthill/placement/paces.py
+++ b/src/curranthill/placement/required_speed.py
@@ -24,7 +24,7 @@
 LEAST_TIME_SHARE: Final = 0.3
 
 
-class Pace(NamedTuple):
+class RequiredSpeed(NamedTuple):
     """The speed that a step requires, not the measured pace of a run.
 
     :param needed: the least speed, of a typical worker's, that ends a task
@@ -70,15 +70,15 @@
 
 
 #: Any speed is as good as another.
-ANY: Final = Pace()
+ANY: Final = RequiredSpeed()
 
 
-def pace_of(
+def required_speed(
     job: ActiveJob,
     ready: ReadyStep,
     ratio: float,
     now_s: float,
-) -> Pace:
+) -> RequiredSpeed:
     """Return what a step that starts now asks of its workers.
 
     :param ratio: run time over estimate in the job's queue.
@@ -90,7 +90,7 @@
     left_s = job.objective_s - now_s - _after_s(spec, ready.number)
     if left_s < LEAST_TIME_SHARE * expected_s:
         return ANY
-    return Pace(expected_s / left_s, not is_urgent(job))
+    return RequiredSpeed(expected_s / left_s, not is_urgent(job))
 
 
 def _after_s(spec: JobSpec, number: int) -> float:
@@ -103,4 +103,4 @@
     return max(ends_s.values())
 
 
-__all__ = ('ANY', 'Pace', 'pace_of')
+__all__ = ('ANY', 'Pace', 'required_speed')
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from curranthill.admission import retry_delay_s
+from curranthill.admission import retry_after_s
 from curranthill.tasks import JobSpec, Step
 from tests.domain import ONE_GPU, make_spec
 
@@ -34,7 +34,7 @@
     """Return the moments of all tries of a job that is refused each time."""
     moments = [sent_s]
     for _ in range(TRIES):
-        wait_s = retry_delay_s(spec, jitter_s=0.0)
+        wait_s = retry_after_s(spec, jitter_s=0.0)
         moments.append(moments[-1] + max(1, round(wait_s)))
     return moments
 
@@ -65,13 +65,13 @@
             Step(width=1, needs=ONE_GPU, estimate_s=9999.0),
         )
         waits = {
-            retry_delay_s(spec, jitter_s=jitter_s)
+            retry_after_s(spec, jitter_s=jitter_s)
             for jitter_s in (-0.5, 0.0, 0.5)
         }
         self.assertEqual(len(waits), 3)
         for one in (spec, huge, urgent_job()):
             for jitter_s in (-0.5, 0.5):
-                wait_s = retry_delay_s(one, jitter_s=jitter_s)
+                wait_s = retry_after_s(one, jitter_s=jitter_s)
                 self.assertGreaterEqual(wait_s, 1.0)
                 self.assertLessEqual(wait_s, 3.0)
 
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -166,8 +166,8 @@
         for estimate_s in (1.0, 2.0, 4.0, 8.0):
             spec = make_spec('a1', GANG._replace(estimate_s=estimate_s))
             refusal = refused(spec, told(1000.0))
-            returns_s.append(refusal.retry_delay_s)
-            latest_s = refusal.retry_delay_s + refusal.jitter_s
+            returns_s.append(refusal.retry_after_s)
+            latest_s = refusal.retry_after_s + refusal.jitter_s
             left_s = 3 * (spec.objective_s - spec.accepted_at_s)
             self.assertLess(latest_s, left_s - spec.chain_s)
         self.assertEqual(returns_s, sorted(returns_s))
@@ -177,7 +177,7 @@
         """The header has whole seconds."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         refusal = refused(make_spec(), forecast)
-        self.assertGreaterEqual(refusal.retry_delay_s, 1.0)
+        self.assertGreaterEqual(refusal.retry_after_s, 1.0)
         self.assertGreater(refusal.jitter_s, 0.0)
 
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -150,7 +150,7 @@
     job = make_job(make_spec(job_id, step))
     key = TaskKey(job_id, 0, 0, 0)
     job.progress.task(key).losses = 2
-    job.update_suspect(key)
+    job.record_losses(key)
     return job
 
 
