--- a/src/curranthill/placement/required_speed.py
+++ b/src/curranthill/placement/required_speed.py
@@ -103,4 +103,4 @@
     return max(ends_s.values())
 
 
-__all__ = ('ANY', 'Pace', 'required_speed')
+__all__ = ('ANY', 'RequiredSpeed', 'required_speed')
