--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -8,8 +8,8 @@
 from typing import Final
 
 from curranthill.placement import ReadyStep, WorkerCapacity
-from curranthill.placement.capacity import ServiceCapacity, copies
-from curranthill.placement.fitting import choose_workers, groups_of
+from curranthill.placement.capacity import ServiceCapacity, max_tasks
+from curranthill.placement.fitting import candidate_groups, choose_workers
 
 #: Why a step does not start now.
 NO_WORKER: Final = 'no worker is large enough'
@@ -42,9 +42,9 @@
     """
     step = ready.step
     wanted = len(ready.tasks) if step.gang else 1
-    if sum(copies(worker, step) for worker in workers) < wanted:
+    if sum(max_tasks(worker, step) for worker in workers) < wanted:
         return NO_WORKER
-    groups = groups_of(
+    groups = candidate_groups(
         ready, ServiceCapacity(workers=workers), wait_for_rack=wait_for_rack
     )
     if any(_fits(ready, group) for group in groups):
@@ -66,7 +66,7 @@
 def _fits(ready: ReadyStep, workers: Sequence[WorkerCapacity]) -> bool:
     chosen = choose_workers(ready, workers)
     for key, worker in chosen:
-        worker.unplace(key, ready.step)
+        worker.release(key, ready.step)
     return bool(chosen)
 
 
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of workers while one round of placements is worked out."""
+"""The capacity of workers, as one round of placement changes it."""
 
 import math
 from collections import defaultdict
@@ -17,34 +17,37 @@
 from curranthill.placement.workers import WorkerEntry
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: Kinds of runs that are not put on one worker: what fills slows what serves
-#: within seconds, by amounts that nobody knows before.
-_DISTURBED: Final[dict[RunKind, RunKind]] = {
+#: Kinds of runs that never share a worker: best-effort runs slow down
+#: latency-sensitive ones within seconds, by an amount that can't be predicted.
+_INTERFERING: Final[dict[RunKind, RunKind]] = {
     FILLING: SERVING,
     SERVING: FILLING,
 }
 
 
-#: Speeds within one level count as equal, as a logarithm: a quarter.
-LEVEL: Final = 0.22
+#: The width of a speed level, as a natural logarithm (about a quarter): speeds
+#: within one level count as equal.
+SPEED_LEVEL: Final = 0.22
 
 
 class WorkerCapacity:
-    """One worker's room in one round.
+    """The capacity of one worker during one round.
 
-    :param free: what no run takes now.
-    :param soon: what will be free once the runs being stopped have ended,
-        less what waiting urgent tasks have claimed of it.
-    :param reserved: what of that is kept for gangs that do not fit yet.
+    :param free: what no run uses now.
+    :param unclaimed: what will be free once the runs being stopped have ended,
+        less what is claimed for waiting tasks and gangs.
+    :param reserved: the part of these claims that is reserved for gangs that
+        do not fit yet.
     :param failure_score: recent failures and stalled runs here; 0 if none.
-    :param speed: of a typical worker's; 1.0 if it is not known to differ.
-    :param level: that speed in levels above the typical one.
-    :param held_exclusively: whether a suspect has just started here alone, so
-        that only its own gang may start beside it.
-    :param shared_with_suspect: whether a suspect started here alone, so long
-        ago that other tasks may start beside it.
-    :param runs: what runs here, less what this round stops.
-    :param version: grows with each change of this room.
+    :param speed: as a multiple of a typical worker's; 1.0 if it is not known
+        to differ.
+    :param level: the speed in levels above the typical one.
+    :param held_exclusively: whether a suspect started here exclusively and is
+        still on trial, so that only its own gang may start beside it.
+    :param shared_with_suspect: whether a suspect started here exclusively and
+        its trial is over, so that other tasks may start beside it.
+    :param runs: the runs here, less those that this round stops.
+    :param version: incremented with each change.
     """
 
     __slots__ = (
@@ -58,7 +61,7 @@
         'level',
         'runs',
         'shared_with_suspect',
-        'soon',
+        'unclaimed',
         'speed',
         'version',
     )
@@ -71,7 +74,7 @@
         failure_score: float,
         speed: float = 1.0,
     ) -> None:
-        """Add up the runs that take room."""
+        """Subtract the runs from the capacity of the worker."""
         self.entry = entry
         self.runs = list(runs)
         self.failure_score = failure_score
@@ -87,22 +90,26 @@
         self._kinds: list[RunKind] = [
             run.kind for run in self.runs if run.kind != PLAIN
         ]
-        self.free = _less(entry.capacity, self.runs)
+        self.free = _minus_runs(entry.capacity, self.runs)
         stopping = [run for run in self.runs if run.stop_wanted]
-        self.soon = _plus(self.free, stopping) if stopping else self.free
+        self.unclaimed = (
+            _plus_runs(self.free, stopping) if stopping else self.free
+        )
         self.reserved = Resources()
 
     def fits_now(self, needs: Resources, *, starving: bool = False) -> bool:
-        """Return whether a task fits without taking what others claimed.
+        """Return whether a task fits without using what is claimed for others.
 
-        :param starving: it may take what is kept for gangs.
+        :param starving: whether it may use what is reserved for gangs.
         """
         free = self.free
         if free.gpus < needs.gpus:
-            # Most rooms of a full cluster end here.
+            # Checked first: true of most workers of a full cluster.
             return False
-        soon = self.soon.plus(self.reserved) if starving else self.soon
-        return free.covers(needs) and soon.covers(needs)
+        unclaimed = (
+            self.unclaimed.plus(self.reserved) if starving else self.unclaimed
+        )
+        return free.covers(needs) and unclaimed.covers(needs)
 
     def allows(
         self,
@@ -112,30 +119,30 @@
         exclusive: bool = False,
         starving: bool = False,
     ) -> bool:
-        """Return whether a step's own limits let a task run here.
+        """Return whether the constraints of a step let its task run here.
 
         :param exclusive: only beside members of its own gang.
-        :param starving: also beside a suspect that has just started.
+        :param starving: also beside a suspect that is still on trial.
         """
         closed = exclusive or (self.held_exclusively and not starving)
-        if closed and not self._only_gang_of(key, step):
+        if closed and not self._runs_only_gang_of(key, step):
             return False
         if step.label and step.label not in self.entry.labels:
             return False
         if self._kinds:
-            disturbed = _DISTURBED.get(kind_of(step), PLAIN)
-            if disturbed in self._kinds:
+            interfering = _INTERFERING.get(kind_of(step), PLAIN)
+            if interfering in self._kinds:
                 return False
         return self.tasks_left(key, step) > 0
 
     def tasks_left(self, key: TaskKey, step: Step) -> float:
-        """Return how many more tasks of a step its own limit lets run here."""
+        """Return how many more tasks of a step its limit per worker allows."""
         if not step.max_per_worker:
             return math.inf
-        return step.max_per_worker - self._count(key)
+        return step.max_per_worker - self._tasks_of_step(key)
 
-    def near(self, rack: str) -> bool:
-        """Return whether this worker stands in a rack."""
+    def is_in_rack(self, rack: str) -> bool:
+        """Return whether this worker is in a rack."""
         return rack in self.entry.labels
 
     def place(
@@ -145,22 +152,22 @@
         *,
         exclusive: bool = False,
     ) -> None:
-        """Take room for a task that starts now."""
+        """Allocate the resources of a task that starts now."""
         self.held_exclusively = self.held_exclusively or exclusive
         needs = resources_needed(step)
         self.version += 1
         self.free = self.free.minus(needs)
-        self.soon = self.soon.minus(needs)
+        self.unclaimed = self.unclaimed.minus(needs)
         self._keys.append(key)
         if kind_of(step) != PLAIN:
             self._kinds.append(kind_of(step))
 
-    def unplace(self, key: TaskKey, step: Step) -> None:
-        """Give back what :meth:`place` took."""
+    def release(self, key: TaskKey, step: Step) -> None:
+        """Undo :meth:`place`."""
         needs = resources_needed(step)
         self.version += 1
         self.free = self.free.plus(needs)
-        self.soon = self.soon.plus(needs)
+        self.unclaimed = self.unclaimed.plus(needs)
         self._keys.remove(key)
         if not self._keys:
             self.held_exclusively = False
@@ -168,49 +175,49 @@
             self._kinds.remove(kind_of(step))
 
     def claim(self, needs: Resources) -> None:
-        """Claim room that is becoming free for a task that waits for it."""
+        """Claim capacity that is becoming free for a task that waits for it."""
         self.version += 1
-        self.soon = self.soon.minus(needs)
+        self.unclaimed = self.unclaimed.minus(needs)
 
     def reserve(self, needs: Resources) -> None:
-        """Claim room for a member of a gang, unless somebody starves."""
+        """Claim capacity for a gang member; a starving job may still use it."""
         self.claim(needs)
         self.reserved = self.reserved.plus(needs)
 
     def evict(self, run: Run) -> None:
-        """Count a run's room as becoming free."""
+        """Count the resources of a run that is stopped as becoming free."""
         if run in self.runs:
             self.version += 1
-            self.soon = self.soon.plus(run.needs)
+            self.unclaimed = self.unclaimed.plus(run.needs)
             self.runs.remove(run)
 
-    def _only_gang_of(self, key: TaskKey, step: Step) -> bool:
-        """Return whether nothing runs here but members of a task's gang."""
+    def _runs_only_gang_of(self, key: TaskKey, step: Step) -> bool:
+        """Return whether only members of a task's gang run here."""
         if not self._keys:
             return True
         return step.gang and all(one[:3] == key[:3] for one in self._keys)
 
-    def _count(self, key: TaskKey) -> int:
+    def _tasks_of_step(self, key: TaskKey) -> int:
         """Return how many tasks of a task's step run here."""
         step = key[:3]
         return sum(1 for one in self._keys if one[:3] == step)
 
 
 class ServiceCapacity:
-    """The rooms of one service, and which of them stand together.
+    """The workers of one service, indexed by rack.
 
-    :param workers: in the order in which equal ones are taken.
+    :param workers: in the order in which equally good ones are chosen.
     """
 
     def __init__(self, *, workers: Sequence[WorkerCapacity]) -> None:
-        """Start with no rack asked for."""
+        """Initialize with an empty index, filled on first use."""
         self.workers = workers
-        self._labelled: dict[str, list[WorkerCapacity]] = {}
+        self._by_label: dict[str, list[WorkerCapacity]] = {}
         self._racks: list[str] = []
-        self._holding: dict[tuple[Step, int], list[str]] = {}
+        self._fitting_racks: dict[tuple[Step, int], list[str]] = {}
 
     def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceCapacity':
-        """Return only the rooms of some workers."""
+        """Return a copy with only some of the workers."""
         wanted = set(worker_ids)
         workers = [
             worker
@@ -221,88 +228,96 @@
 
     @property
     def racks(self) -> list[str]:
-        """Return the racks in which the workers stand, by name."""
+        """Return the names of the workers' racks, sorted."""
         if not self._racks:
             self._racks = sorted({worker.entry.rack for worker in self.workers})
         return self._racks
 
     def in_rack(self, rack: str) -> list[WorkerCapacity]:
-        """Return the rooms of one rack."""
-        if not self._labelled:
-            labelled: dict[str, list[WorkerCapacity]] = defaultdict(list)
+        """Return the workers of one rack."""
+        if not self._by_label:
+            by_label: dict[str, list[WorkerCapacity]] = defaultdict(list)
             for worker in self.workers:
                 for label in set(worker.entry.labels):
-                    labelled[label].append(worker)
-            self._labelled = dict(labelled)
-        return self._labelled.get(rack, [])
+                    by_label[label].append(worker)
+            self._by_label = dict(by_label)
+        return self._by_label.get(rack, [])
 
-    def racks_that_hold(self, step: Step, wanted: int) -> list[str]:
+    def racks_fitting(self, step: Step, wanted: int) -> list[str]:
         """Return the racks that hold so many tasks once runs have ended."""
-        found = self._holding.get((step, wanted))
+        found = self._fitting_racks.get((step, wanted))
         if found is None:
             found = [
-                rack for rack in self.racks if self.holds_in(rack, step, wanted)
+                rack
+                for rack in self.racks
+                if self.rack_fits(rack, step, wanted)
             ]
-            self._holding[(step, wanted)] = found
+            self._fitting_racks[(step, wanted)] = found
         return found
 
-    def holds_in(self, rack: str, step: Step, wanted: int) -> bool:
+    def rack_fits(self, rack: str, step: Step, wanted: int) -> bool:
         """Return whether a rack holds so many tasks once runs have ended."""
         held = 0
         for worker in self.in_rack(rack):
-            held += copies_once_free(worker, step)
+            held += max_tasks_once_free(worker, step)
             if held >= wanted:
                 return True
         return False
 
 
 def speed_level(speed: float) -> int:
-    """Return a speed in levels above that of a typical worker."""
-    return round(math.log(speed) / LEVEL)
+    """Return a speed in levels above the speed of a typical worker."""
+    return round(math.log(speed) / SPEED_LEVEL)
 
 
-def copies(worker: WorkerCapacity, step: Step) -> int:
-    """Return how many tasks of a step an idle room holds."""
-    return _copies_in(worker.entry.capacity, worker, step)
+def max_tasks(worker: WorkerCapacity, step: Step) -> int:
+    """Return how many tasks of a step a worker holds when idle."""
+    return _max_tasks_in(worker.entry.capacity, worker, step)
 
 
-def copies_once_free(worker: WorkerCapacity, step: Step) -> int:
-    """Return how many tasks of a step a room holds once its runs have ended.
+def max_tasks_once_free(worker: WorkerCapacity, step: Step) -> int:
+    """Return how many tasks of a step a worker holds once its runs have ended.
 
-    Runs that last do not.
+    Perpetual runs are counted as running.
     """
     perpetual = [run for run in worker.runs if run.perpetual]
     if not perpetual:
-        return copies(worker, step)
-    disturbed = _DISTURBED.get(kind_of(step))
-    if disturbed and any(run.kind == disturbed for run in perpetual):
+        return max_tasks(worker, step)
+    interfering = _INTERFERING.get(kind_of(step))
+    if interfering and any(run.kind == interfering for run in perpetual):
         return 0
     return max(
-        _copies_in(_less(worker.entry.capacity, perpetual), worker, step), 0
+        _max_tasks_in(
+            _minus_runs(worker.entry.capacity, perpetual), worker, step
+        ),
+        0,
     )
 
 
-def _copies_in(free: Resources, worker: WorkerCapacity, step: Step) -> int:
-    """Return how many tasks of a step fit into what is free of a room."""
+def _max_tasks_in(free: Resources, worker: WorkerCapacity, step: Step) -> int:
+    """Return how many tasks of a step fit into the free part of a worker."""
     if step.label and step.label not in worker.entry.labels:
         return 0
     needs = resources_needed(step)
-    most = step.width
+    limit = step.width
     for have, need in zip(free, needs, strict=True):
         if need > 0:
-            most = min(most, have // need)
-    return min(most, step.max_per_worker or most)
+            limit = min(limit, have // need)
+    return min(limit, step.max_per_worker or limit)
 
 
 def resources_needed(step: Step) -> Resources:
-    """Return what a task of a step takes of a worker's room."""
+    """Return the resources that a task of a step takes up on a worker.
+
+    The processor time of a best-effort task is not counted.
+    """
     if step.fills:
         return step.needs._replace(cpu_millis=0)
     return step.needs
 
 
-def _less(capacity: Resources, runs: Iterable[Run]) -> Resources:
-    """Return what some runs leave of a capacity."""
+def _minus_runs(capacity: Resources, runs: Iterable[Run]) -> Resources:
+    """Return what some runs leave free of a capacity."""
     cpu_millis, memory_mb, gpus = capacity
     for run in runs:
         needs = run.needs
@@ -312,19 +327,19 @@
     return Resources(cpu_millis, memory_mb, gpus)
 
 
-def _plus(free: Resources, runs: Iterable[Run]) -> Resources:
-    """Return free capacity with what some runs release."""
+def _plus_runs(free: Resources, runs: Iterable[Run]) -> Resources:
+    """Return what is free once some runs have ended."""
     for run in runs:
         free = free.plus(run.needs)
     return free
 
 
 __all__ = (
-    'LEVEL',
+    'SPEED_LEVEL',
     'WorkerCapacity',
     'ServiceCapacity',
-    'copies',
-    'copies_once_free',
+    'max_tasks',
+    'max_tasks_once_free',
     'speed_level',
     'resources_needed',
 )
--- a/src/curranthill/placement/evictions.py
+++ b/src/curranthill/placement/evictions.py
@@ -1,8 +1,8 @@
-"""Which runs to stop so that urgent tasks find room, at the least loss.
+"""Which runs to evict so that urgent tasks fit, at the least loss.
 
-Answers a burst of urgent jobs on a full cluster: room is made where the least
-work is thrown away, and only what changed is looked at again between the
-tasks of one gang.
+Serves a burst of urgent jobs on a full cluster. Runs are evicted where the
+least work is lost, and between the tasks of one gang only the workers that
+changed are evaluated again.
 """
 
 import heapq
@@ -12,19 +12,20 @@
 from typing import Final, NamedTuple
 
 from curranthill.placement.capacity import WorkerCapacity, resources_needed
-from curranthill.placement.losses import Losses
+from curranthill.placement.lost_work import LostWork
 from curranthill.placement.runs import RUNNING, URGENT, Run
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: What a worker costs for each point of its failure score (recent failures),
-#: in core-seconds: the work of an urgent task of two accelerators and 2.5 s.
+#: The cost of a worker for each point of its failure score, that is for each
+#: recent failed or stalled run, in core-seconds: the work of an urgent task of
+#: two accelerators and 2.5 s.
 FAILURE_CORE_S: Final = 50.0
 
 
 class Eviction(NamedTuple):
-    """Rooms for tasks, one each, and the runs that must end first.
+    """Workers for some tasks, one each, and the runs that must end first.
 
-    :param loss: the work thrown away, in core-seconds.
+    :param loss: the work lost, in core-seconds.
     """
 
     workers: tuple[WorkerCapacity, ...]
@@ -32,109 +33,118 @@
     loss: float
 
 
-class _Way(NamedTuple):
-    """One way to make room for one task: stop these runs of one worker."""
+class _Option(NamedTuple):
+    """An eviction option for one task: which runs of one worker to stop.
+
+    :param cost: the work lost and the penalty for failures of the worker.
+    """
 
     cost: float
     victims: tuple[Run, ...]
 
 
-#: Ways by worker, each with the version of the room that it was found for.
-_WaysByWorker = dict[str, tuple[int, _Way | None]]
+#: Options by worker, each with the version of the worker it was found for.
+_OptionsByWorker = dict[str, tuple[int, _Option | None]]
+
 
+class EvictionFinder:
+    """Finds the cheapest evictions, caching the option of each worker.
 
-class Evictions:
-    """Ways to make room, kept per worker for as long as it does not change.
+    An option is valid until the worker's version changes.
 
-    :param losses: what stopping a run throws away.
+    :param lost_work: the work lost by stopping runs.
     """
 
-    def __init__(self, *, losses: Losses) -> None:
-        """Start with no worker looked at."""
-        self._losses = losses
+    def __init__(self, *, lost_work: LostWork) -> None:
+        """Initialize with an empty cache."""
+        self._lost_work = lost_work
         self._candidates: dict[str, tuple[int, list[Run]]] = {}
-        self._ways: dict[Resources, _WaysByWorker] = defaultdict(dict)
+        self._options: dict[Resources, _OptionsByWorker] = defaultdict(dict)
 
     def cheapest(
         self,
         tasks: Sequence[TaskKey],
         step: Step,
         workers: Sequence[WorkerCapacity],
-        most_loss: float = math.inf,
+        max_loss: float = math.inf,
     ) -> Eviction | None:
-        """Return room for all the tasks, or nothing if no stop makes enough.
+        """Return workers for all the tasks; nothing if no eviction suffices.
 
-        Tasks are given room one after the other, each where it costs the
-        least.
+        The tasks are assigned sequentially, each to the worker on which it
+        costs the least.
 
-        :param most_loss: a search that loses more is given up.
+        :param max_loss: the search is abandoned if it loses more than this, in
+            core-seconds.
         """
         search = _Search(
             key=tasks[0],
             step=step,
             workers=workers,
-            evictions=self,
-            losses=self._losses,
+            finder=self,
+            lost_work=self._lost_work,
         )
         chosen: list[WorkerCapacity] = []
         while len(chosen) < len(tasks):
-            worker = search.take_cheapest()
-            if worker is None or search.loss > most_loss:
+            worker = search.claim_cheapest()
+            if worker is None or search.loss > max_loss:
                 return None
             chosen.append(worker)
         return Eviction(tuple(chosen), search.victims, search.loss)
 
-    def way_in(self, worker: WorkerCapacity, needs: Resources) -> _Way | None:
-        """Return the cheapest way to room for a task on one worker."""
-        ways = self._ways[needs]
-        known = ways.get(worker.entry.worker_id)
+    def option_on(
+        self, worker: WorkerCapacity, needs: Resources
+    ) -> _Option | None:
+        """Return the cheapest option for a task on one worker, if any."""
+        options = self._options[needs]
+        known = options.get(worker.entry.worker_id)
         if known is not None and known[0] == worker.version:
             return known[1]
-        way = self.way_from(worker, needs, worker.soon, {})
-        ways[worker.entry.worker_id] = (worker.version, way)
-        return way
+        option = self.option_after(worker, needs, worker.unclaimed, {})
+        options[worker.entry.worker_id] = (worker.version, option)
+        return option
 
-    def way_from(
+    def option_after(
         self,
         worker: WorkerCapacity,
         needs: Resources,
-        soon: Resources,
+        unclaimed: Resources,
         ended: dict[Run, None],
-    ) -> _Way | None:
-        """Return the cheapest way once some runs have ended.
+    ) -> _Option | None:
+        """Return the cheapest option once some runs have ended, if any.
 
-        :param soon: what is free of the room by then.
+        :param unclaimed: what is unclaimed on the worker by then.
+        :param ended: the runs that are counted as ended.
         """
         failure_core_s = worker.failure_score * FAILURE_CORE_S
-        if soon.covers(needs):
-            return _Way(failure_core_s, ())
+        if unclaimed.covers(needs):
+            return _Option(failure_core_s, ())
         loss = 0.0
         victims: list[Run] = []
         for run in self._candidates_in(worker):
             if run in ended:
                 continue
-            soon = soon.plus(run.needs)
-            loss += self._losses.of(run)
+            unclaimed = unclaimed.plus(run.needs)
+            loss += self._lost_work.of(run)
             victims.append(run)
-            if soon.covers(needs):
-                return _Way(loss + failure_core_s, tuple(victims))
+            if unclaimed.covers(needs):
+                return _Option(loss + failure_core_s, tuple(victims))
         return None
 
     def _candidates_in(self, worker: WorkerCapacity) -> list[Run]:
-        """Return the runs that may be stopped, the least loss first."""
+        """Return the evictable runs, those with the least lost work first."""
         known = self._candidates.get(worker.entry.worker_id)
         if known is not None and known[0] == worker.version:
             return known[1]
-        runs = [run for run in worker.runs if may_stop(run)]
-        runs.sort(key=self._losses.of)
+        runs = [run for run in worker.runs if is_evictable(run)]
+        runs.sort(key=self._lost_work.of)
         self._candidates[worker.entry.worker_id] = (worker.version, runs)
         return runs
 
 
 class _Search:
-    """What would be free if the victims found so far had ended.
+    """The search for one step: its victims and what their end would free.
 
-    :param loss: the work thrown away so far, in core-seconds.
+    :param loss: the work lost so far, in core-seconds.
     """
 
     def __init__(
@@ -143,19 +153,19 @@
         key: TaskKey,
         step: Step,
         workers: Sequence[WorkerCapacity],
-        evictions: Evictions,
-        losses: Losses,
+        finder: EvictionFinder,
+        lost_work: LostWork,
     ) -> None:
-        """Look at each room once."""
+        """Evaluate each worker once."""
         self.loss = 0.0
         self._needs = resources_needed(step)
-        self._evictions = evictions
-        self._losses = losses
+        self._finder = finder
+        self._lost_work = lost_work
         self._workers: dict[str, tuple[int, WorkerCapacity]] = {}
         self._tasks_left: dict[str, float] = {}
-        self._soon: dict[str, Resources] = {}
+        self._unclaimed: dict[str, Resources] = {}
         self._ended: dict[Run, None] = {}
-        self._ways: dict[str, _Way] = {}
+        self._options: dict[str, _Option] = {}
         self._queue: list[tuple[float, int, str]] = []
         for index, worker in enumerate(workers):
             if not worker.allows(key, step):
@@ -163,10 +173,10 @@
             worker_id = worker.entry.worker_id
             self._workers[worker_id] = (index, worker)
             self._tasks_left[worker_id] = worker.tasks_left(key, step)
-            way = evictions.way_in(worker, self._needs)
-            if way is not None:
-                self._ways[worker_id] = way
-                self._queue.append((way.cost, index, worker_id))
+            option = finder.option_on(worker, self._needs)
+            if option is not None:
+                self._options[worker_id] = option
+                self._queue.append((option.cost, index, worker_id))
         heapq.heapify(self._queue)
 
     @property
@@ -174,62 +184,64 @@
         """Return the runs to stop."""
         return tuple(self._ended)
 
-    def take_cheapest(self) -> WorkerCapacity | None:
-        """Take room for a task where that costs the least, if anywhere."""
+    def claim_cheapest(self) -> WorkerCapacity | None:
+        """Claim the worker on which a task costs the least, if there is any."""
         while self._queue:
             cost, _, worker_id = heapq.heappop(self._queue)
-            way = self._ways.get(worker_id)
-            if way is not None and way.cost == cost:
-                return self._take(worker_id, way)
+            option = self._options.get(worker_id)
+            if option is not None and option.cost == cost:
+                return self._claim(worker_id, option)
         return None
 
-    def _take(self, worker_id: str, way: _Way) -> WorkerCapacity:
+    def _claim(self, worker_id: str, option: _Option) -> WorkerCapacity:
         worker = self._workers[worker_id][1]
         changed = {worker_id}
-        for victim in way.victims:
+        for victim in option.victims:
             if victim not in self._ended:
-                self.loss += self._losses.of(victim)
-                changed.update(self._end(self._losses.ending_with(victim)))
-        soon = self._soon.get(worker_id, worker.soon)
-        self._soon[worker_id] = soon.minus(self._needs)
+                self.loss += self._lost_work.of(victim)
+                changed.update(
+                    self._count_as_ended(self._lost_work.runs_ended_by(victim))
+                )
+        unclaimed = self._unclaimed.get(worker_id, worker.unclaimed)
+        self._unclaimed[worker_id] = unclaimed.minus(self._needs)
         self._tasks_left[worker_id] -= 1
         for one in changed:
-            self._look_again(one)
+            self._update_option(one)
         return worker
 
-    def _end(self, runs: Sequence[Run]) -> set[str]:
-        """Count runs as ended; return the workers whose room that changes."""
+    def _count_as_ended(self, runs: Sequence[Run]) -> set[str]:
+        """Count runs as ended; return the ids of the workers affected."""
         changed = set()
         for run in runs:
             self._ended[run] = None
             worker_id = run.worker_id
-            place = self._workers.get(worker_id)
-            if place is not None:
-                soon = self._soon.get(worker_id, place[1].soon)
-                self._soon[worker_id] = soon.plus(run.needs)
+            indexed = self._workers.get(worker_id)
+            if indexed is not None:
+                unclaimed = self._unclaimed.get(worker_id, indexed[1].unclaimed)
+                self._unclaimed[worker_id] = unclaimed.plus(run.needs)
                 changed.add(worker_id)
         return changed
 
-    def _look_again(self, worker_id: str) -> None:
+    def _update_option(self, worker_id: str) -> None:
         index, worker = self._workers[worker_id]
-        way = self._evictions.way_from(
+        option = self._finder.option_after(
             worker,
             self._needs,
-            self._soon[worker_id],
+            self._unclaimed[worker_id],
             self._ended,
         )
-        if way is None or self._tasks_left[worker_id] <= 0:
-            self._ways.pop(worker_id, None)
+        if option is None or self._tasks_left[worker_id] <= 0:
+            self._options.pop(worker_id, None)
             return
-        self._ways[worker_id] = way
-        heapq.heappush(self._queue, (way.cost, index, worker_id))
+        self._options[worker_id] = option
+        heapq.heappush(self._queue, (option.cost, index, worker_id))
 
 
-def may_stop(run: Run) -> bool:
-    """Return whether a run may be stopped for others."""
+def is_evictable(run: Run) -> bool:
+    """Return whether a run may be stopped for other tasks."""
     if run.stop_wanted or run.perpetual:
         return False
     return run.priority > URGENT and run.state == RUNNING
 
 
-__all__ = ('Eviction', 'Evictions', 'may_stop')
+__all__ = ('Eviction', 'EvictionFinder', 'is_evictable')
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -1,8 +1,8 @@
-"""Where the tasks of a step fit without stopping anything.
+"""Choice of workers for the tasks of a step, without stopping any run.
 
-Answers ordinary load: trusted workers first, then those on which a task ends in
-time, then those that it fills best, so that whole workers and racks stay free
-for large gangs.
+Workers without recent failures are preferred, then those on which a task ends
+in time, then those that it fills best (best fit), so that whole workers and
+racks stay free for large gangs.
 """
 
 import heapq
@@ -18,21 +18,24 @@
 from curranthill.placement.required_speed import ANY, RequiredSpeed
 from curranthill.tasks import Resources, TaskKey
 
-#: A task waits so many of its estimated run times for room in the right rack:
-#: away from it, it runs longer by about as much.
+#: How long a task waits for free capacity in the right rack, in estimated run
+#: times: in another rack it runs longer by about as much.
 RACK_WAIT_FACTOR: Final = 2.0
 
-#: The clocks of the host that accepted a job and of the leader differ by no
-#: more than this unless one was set, in seconds.
+#: The maximum clock skew between the leader and the host that accepted a job,
+#: in seconds, unless one of the clocks was set.
 MAX_SKEW_S: Final = 5.0
 
 Fit = list[tuple[TaskKey, WorkerCapacity]]
 
 
 class _Rank(NamedTuple):
-    """A worker's rank among those that a task fits on, the least first.
+    """A worker's rank among those that a task fits on; the lowest is first.
 
-    :param position: its place in the list of workers.
+    :param speed: the rank by the speed that the step requires.
+    :param left_gpus: the accelerators that stay free beside the task.
+    :param left_cpu_millis: the processor time that is free now.
+    :param position: its index in the list of workers.
     """
 
     failure_score: float
@@ -44,28 +47,31 @@
 
 
 def waits_for_rack(job: ActiveJob, ready: ReadyStep, now_s: float) -> bool:
-    """Return whether a job goes on waiting for the right rack."""
+    """Return whether a job continues to wait for the right rack.
+
+    :param now_s: wall-clock seconds.
+    """
     waited_s = now_s - job.spec.accepted_at_s
     if waited_s < -MAX_SKEW_S:
-        # Clocks that differ so much were set; nobody knows the wait.
+        # One of the clocks was set, so the wait is unknown.
         return False
     return waited_s <= RACK_WAIT_FACTOR * ready.step.estimate_s
 
 
-def groups_of(
+def candidate_groups(
     ready: ReadyStep,
     workers: ServiceCapacity,
     *,
     wait_for_rack: bool,
 ) -> list[Sequence[WorkerCapacity]]:
-    """Return the sets of rooms that a step may be placed in, best first.
+    """Return the sets of workers that a step may be placed on, best first.
 
-    Tasks that run longer away from a rack wait for it, unless it could never
+    Tasks that run longer outside of a rack wait for it, unless it could never
     hold them.
 
-    :param wait_for_rack: whether to go on waiting for the right rack.
+    :param wait_for_rack: whether to continue to wait for the right rack.
     """
-    racks = _near_racks(ready, workers)
+    racks = _fast_racks(ready, workers)
     if racks is None:
         return [workers.workers]
     groups: list[Sequence[WorkerCapacity]] = [
@@ -76,13 +82,13 @@
     return groups
 
 
-def in_time(
+def without_delaying_workers(
     groups: Sequence[Sequence[WorkerCapacity]],
     required: RequiredSpeed,
 ) -> list[Sequence[WorkerCapacity]]:
     """Return each group without the workers that would delay the gang."""
     return [
-        [worker for worker in group if not required.holds_up(worker)]
+        [worker for worker in group if not required.delays_gang(worker)]
         for group in groups
     ]
 
@@ -92,25 +98,25 @@
     groups: Sequence[Sequence[WorkerCapacity]],
     required: RequiredSpeed = ANY,
 ) -> Fit:
-    """Take rooms of one group: the first without fault, or the least faulty.
+    """Choose workers of one group: the first without penalty, or the lowest.
 
-    A gang with one member on a worker that fails all it starts fails whole,
-    each time it is put there, and with one on a slow worker it is late whole.
+    One member on a worker that fails every task fails the whole gang, each
+    time it is placed there, and one on a slow worker makes all of it late.
     """
     best: tuple[float, Sequence[WorkerCapacity]] | None = None
     for group in groups:
-        chosen = _choose_alike(ready, group, required)
-        # Recent failures and levels too slow: one of each weighs the same.
-        fault = sum(
-            worker.failure_score + required.excess(worker)
+        chosen = _choose_uniform(ready, group, required)
+        # A recent failure counts as much as one speed level too slow.
+        penalty = sum(
+            worker.failure_score + required.excess_lateness(worker)
             for _, worker in chosen
         )
-        if chosen and not fault:
+        if chosen and not penalty:
             return chosen
-        give_back(ready, chosen)
-        if chosen and (best is None or fault < best[0]):
-            best = (fault, group)
-    return _choose_alike(ready, best[1], required) if best else []
+        release_all(ready, chosen)
+        if chosen and (best is None or penalty < best[0]):
+            best = (penalty, group)
+    return _choose_uniform(ready, best[1], required) if best else []
 
 
 def choose_workers(
@@ -118,12 +124,12 @@
     workers: Sequence[WorkerCapacity],
     required: RequiredSpeed = ANY,
 ) -> Fit:
-    """Take rooms for the tasks, in order; a gang takes all or none."""
+    """Choose workers for the tasks, in order; for a gang all or none."""
     needs = resources_needed(ready.step)
     queue = [
         _rank(worker, needs, index, required)
         for index, worker in enumerate(workers)
-        if _takes(worker, ready, ready.tasks[0])
+        if _accepts_task(worker, ready, ready.tasks[0])
     ]
     heapq.heapify(queue)
     chosen: Fit = []
@@ -134,48 +140,50 @@
         worker = workers[index]
         worker.place(key, ready.step, exclusive=ready.exclusive)
         chosen.append((key, worker))
-        if _takes(worker, ready, key):
+        if _accepts_task(worker, ready, key):
             heapq.heappush(queue, _rank(worker, needs, index, required))
     whole = ready.step.gang or ready.step.same_rack
     if whole and len(chosen) < len(ready.tasks):
-        give_back(ready, chosen)
+        release_all(ready, chosen)
         return []
     return chosen
 
 
-def _takes(worker: WorkerCapacity, ready: ReadyStep, key: TaskKey) -> bool:
-    """Return whether a room takes one more task of a step now."""
+def _accepts_task(
+    worker: WorkerCapacity, ready: ReadyStep, key: TaskKey
+) -> bool:
+    """Return whether one more task of a step can start on a worker now."""
     needs = resources_needed(ready.step)
     return worker.fits_now(needs, starving=ready.starving) and worker.allows(
         key,
         ready.step,
         exclusive=ready.exclusive,
-        # Two suspects side by side would not tell which one crashes.
+        # If two suspects share a worker, a crash can be due to either.
         starving=ready.starving and not ready.suspect,
     )
 
 
-def _choose_alike(
+def _choose_uniform(
     ready: ReadyStep,
     workers: Sequence[WorkerCapacity],
     required: RequiredSpeed,
 ) -> Fit:
-    """Take rooms; for a gang ones that are alike, where these have room.
+    """Choose workers; for a gang ones of similar speed, if it fits there.
 
-    Its members end together: on fast workers they would wait for those on slow
-    ones.
+    Its members end together, so those on fast workers would wait for those on
+    slow ones.
     """
     chosen = choose_workers(ready, workers, required)
-    held_up = {required.holds_up(worker) for _, worker in chosen}
-    if len(held_up) < 2 or not ready.step.gang:
+    delaying = {required.delays_gang(worker) for _, worker in chosen}
+    if len(delaying) < 2 or not ready.step.gang:
         return chosen
-    give_back(ready, chosen)
+    release_all(ready, chosen)
     slow = [
         worker
         for worker in workers
-        if required.holds_up(worker) and worker.speed >= required.needed
+        if required.delays_gang(worker) and worker.speed >= required.min_speed
     ]
-    usual = [worker for worker in workers if not required.holds_up(worker)]
+    usual = [worker for worker in workers if not required.delays_gang(worker)]
     return (
         choose_workers(ready, slow, required)
         or choose_workers(ready, usual, required)
@@ -199,25 +207,25 @@
     )
 
 
-def give_back(ready: ReadyStep, chosen: Fit) -> None:
-    """Give back the rooms that were taken for tasks."""
+def release_all(ready: ReadyStep, chosen: Fit) -> None:
+    """Release the workers that were chosen for tasks."""
     for key, worker in chosen:
-        worker.unplace(key, ready.step)
+        worker.release(key, ready.step)
 
 
-def _near_racks(ready: ReadyStep, workers: ServiceCapacity) -> list[str] | None:
-    """Return the racks in which a step runs fast; nothing if it does anywhere.
+def _fast_racks(ready: ReadyStep, workers: ServiceCapacity) -> list[str] | None:
+    """Return the racks in which a step runs fast; nothing if it does in any.
 
-    Racks that could never hold what must start together are left out.
+    Racks that could never hold the tasks that start together are left out.
     """
     step = ready.step
     together = step.gang or step.same_rack
     wanted = len(ready.tasks) if together else 1
     if step.near_rack:
-        fits = workers.holds_in(step.near_rack, step, wanted)
+        fits = workers.rack_fits(step.near_rack, step, wanted)
         return [step.near_rack] if fits else []
     if step.same_rack and workers.racks:
-        return workers.racks_that_hold(step, wanted)
+        return workers.racks_fitting(step, wanted)
     return None
 
 
@@ -227,8 +235,8 @@
     'Fit',
     'choose_group',
     'choose_workers',
-    'give_back',
-    'groups_of',
-    'in_time',
+    'release_all',
+    'candidate_groups',
+    'without_delaying_workers',
     'waits_for_rack',
 )
--- a/src/curranthill/placement/losses.py
+++ b/src/curranthill/placement/lost_work.py
@@ -1,4 +1,7 @@
-"""What a stop throws away: a gang ends as a whole with any of its members."""
+"""The work that is lost when runs are stopped.
+
+Stopping one member of a gang ends the whole gang.
+"""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,23 +11,23 @@
 _Gang = tuple[str, int, int]
 
 
-class Losses:
-    """Work that stops throw away, in core-seconds; each gang is summed once.
+class LostWork:
+    """The work lost by stopping runs, in core-seconds, cached for each gang.
 
-    A round asks for every run that could be stopped, for every waiting urgent
-    task. Summed anew each time, that was nine tenths of a round's time.
+    A round asks for it once for every evictable run and waiting urgent task.
+    Without the cache, summing over gangs took nine tenths of a round's time.
 
-    :param jobs: all jobs of which runs may exist.
+    :param jobs: all jobs that may have runs.
     """
 
     def __init__(self, *, jobs: Iterable[ActiveJob]) -> None:
-        """Start with nothing summed."""
+        """Initialize with an empty cache."""
         self._jobs = {job.spec.job_id: job for job in jobs}
         self._members: dict[_Gang, Sequence[Run]] = {}
         self._gang_loss: dict[_Gang, float] = {}
 
-    def ending_with(self, run: Run) -> Sequence[Run]:
-        """Return the runs that end when a run is stopped, itself included."""
+    def runs_ended_by(self, run: Run) -> Sequence[Run]:
+        """Return the runs that end when a run is stopped, including itself."""
         gang = self._gang_of(run)
         if gang is None:
             return (run,)
@@ -37,19 +40,19 @@
         return members
 
     def of(self, run: Run) -> float:
-        """Return the core-seconds that stopping a run throws away."""
+        """Return the core-seconds of work lost by stopping a run."""
         gang = self._gang_of(run)
         if gang is None:
             return run.loss_core_s
         loss = self._gang_loss.get(gang)
         if loss is None:
-            members = self.ending_with(run)
+            members = self.runs_ended_by(run)
             loss = sum(one.loss_core_s for one in members)
             self._gang_loss[gang] = loss
         return loss
 
     def _gang_of(self, run: Run) -> _Gang | None:
-        """Return the gang that a run is part of; older runs of it are not."""
+        """Return the gang of a run; older runs of its task belong to none."""
         key = run.key
         job = self._jobs.get(key.job_id)
         if job is None or not job.step_of(key).gang:
@@ -59,4 +62,4 @@
         return (key.job_id, key.occurrence, key.step)
 
 
-__all__ = ('Losses',)
+__all__ = ('LostWork',)
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -10,17 +10,17 @@
     WorkerCapacity,
     resources_needed,
 )
-from curranthill.placement.evictions import Eviction, Evictions
+from curranthill.placement.evictions import Eviction, EvictionFinder
 from curranthill.placement.fitting import (
     Fit,
+    candidate_groups,
     choose_group,
-    give_back,
-    groups_of,
-    in_time,
+    release_all,
     waits_for_rack,
+    without_delaying_workers,
 )
 from curranthill.placement.jobs import ActiveJob, ReadyStep
-from curranthill.placement.losses import Losses
+from curranthill.placement.lost_work import LostWork
 from curranthill.placement.mechanisms import (
     BOUNDED_LOSS,
     IN_TIME_FIRST,
@@ -43,7 +43,7 @@
 )
 from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
-    RESERVATIONS,
+    MAX_RESERVATIONS,
     find_workers_to_reserve,
     reserve,
     wait_for_capacity_s,
@@ -55,7 +55,7 @@
 
 #: An urgent job that no guarantee covers may throw away at most so many times
 #: its own work: more of it would serve others worse than it serves its caller.
-MOST_LOSS_SHARE: Final = 3.0
+MAX_LOSS_FACTOR: Final = 3.0
 
 #: The rooms of a service that has no workers.
 _NO_WORKERS: Final = ServiceCapacity(workers=())
@@ -133,7 +133,7 @@
         self._unlike = len({one.speed for one in self._workers.values()}) > 1
         self._guaranteed = guaranteed
         self._now_s = now_s
-        self._evictions = Evictions(losses=Losses(jobs=()))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=()))
         self._placements: list[Placement] = []
         self._victims: list[Run] = []
         self._stopped_for: list[str] = []
@@ -142,13 +142,15 @@
         self._infeasible: set[str] = set()
         self._too_large: set[tuple[str, Step]] = set()
         self._mostly_free: dict[str, bool] = {}
-        self._reservations = 0 if RESERVATION in disabled else RESERVATIONS
+        self._reservations_left = (
+            0 if RESERVATION in disabled else MAX_RESERVATIONS
+        )
 
     def plan(self, jobs: Iterable[ActiveJob]) -> Plan:
         """Return the decisions for all jobs, in any order."""
         known = list(jobs)
         waiting = [job for job in known if not job.ended]
-        self._evictions = Evictions(losses=Losses(jobs=known))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
         later = self._place_first(self._in_service_order(waiting))
         for job in self._backlog.take(later):
@@ -204,9 +206,11 @@
         groups = self._groups(job, ready)
         required = self._required_speed(job, ready)
         chosen = self._choose(job, ready, groups, required)
-        if urgent and _is_held_up(ready, chosen, required):
-            give_back(ready, chosen)
-            if self._make_way(job, ready, in_time(groups, required)):
+        if urgent and _is_delayed(ready, chosen, required):
+            release_all(ready, chosen)
+            if self._preempt_for_speed(
+                job, ready, without_delaying_workers(groups, required)
+            ):
                 return
             chosen = choose_group(ready, groups, required)
         self._place(job, ready, chosen)
@@ -214,11 +218,11 @@
         if not missing or ready.exclusive:
             return
         if urgent:
-            self._preempt_for(job, ready, missing, groups, required)
+            self._preempt_for_capacity(job, ready, missing, groups, required)
             return
         if not advised:
             self._too_large.add(shape)
-        if ready.step.gang and self._reservations:
+        if ready.step.gang and self._reservations_left:
             self._reserve(job, ready, groups)
 
     def _choose(
@@ -234,7 +238,7 @@
         """
         chosen = choose_group(ready, groups, required)
         if ready.exclusive and chosen and self._too_many_exclusive(job):
-            give_back(ready, chosen)
+            release_all(ready, chosen)
             chosen = []
         if chosen or not self._starves(job):
             return chosen
@@ -254,7 +258,7 @@
         held = sum(worker.held_exclusively for worker in workers)
         return held > math.ceil(EXCLUSIVE_SHARE * len(workers))
 
-    def _workers_of(self, job: ActiveJob) -> int:
+    def _count_workers(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
         return len(self._services[job.spec.queue.service].workers)
 
@@ -276,8 +280,8 @@
             wait_for_capacity_s(workers),
         )
         if may_reserve:
-            self._reservations -= 1
-            reserve(ready, workers, of_workers=self._workers_of(job))
+            self._reservations_left -= 1
+            reserve(ready, workers, total_workers=self._count_workers(job))
             self._reserved_for[job.spec.job_id] = None
 
     def _may_preempt(self, job: ActiveJob) -> bool:
@@ -309,7 +313,7 @@
         workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
         if ready.tickets is not None:
             workers = workers.limited_to(ready.tickets)
-        return groups_of(
+        return candidate_groups(
             ready, workers, wait_for_rack=self._waits_for_rack(job, ready)
         )
 
@@ -319,7 +323,7 @@
             return False
         return waits_for_rack(job, ready, self._now_s)
 
-    def _make_way(
+    def _preempt_for_speed(
         self,
         job: ActiveJob,
         ready: ReadyStep,
@@ -333,18 +337,18 @@
         """
         step = ready.step
         tasks = len(ready.tasks)
-        most_loss = min(
+        max_loss = min(
             _work(step, tasks),
-            self._most_loss(job, step, tasks),
+            self._max_loss(job, step, tasks),
         )
-        best = self._best_eviction(ready.tasks, step, groups, most_loss)
+        best = self._best_eviction(ready.tasks, step, groups, max_loss)
         # Only an eviction with victims uses up the step's one preemption.
         if best is None or (best.victims and not job.claim_preemption(ready)):
             return False
         self._evict(best, job, resources_needed(step))
         return True
 
-    def _preempt_for(
+    def _preempt_for_capacity(
         self,
         job: ActiveJob,
         ready: ReadyStep,
@@ -353,23 +357,23 @@
         required: RequiredSpeed,
     ) -> None:
         """Stop what is needed for urgent tasks, and keep what gets free."""
-        needed = [missing] if ready.step.gang else [(key,) for key in missing]
-        for tasks in needed:
-            most_loss = self._most_loss(job, ready.step, len(tasks))
-            best = self._best_eviction(tasks, ready.step, groups, most_loss)
+        batches = [missing] if ready.step.gang else [(key,) for key in missing]
+        for tasks in batches:
+            max_loss = self._max_loss(job, ready.step, len(tasks))
+            best = self._best_eviction(tasks, ready.step, groups, max_loss)
             if best is None:
                 # The tasks that are left need the same.
                 return
-            if required.is_met_somewhere and any(
-                map(required.holds_up, best.workers)
+            if required.is_met_by_typical and any(
+                map(required.delays_gang, best.workers)
             ):
                 work_core_s = _work(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
                         tasks,
                         ready.step,
-                        in_time(groups, required),
-                        min(most_loss, MOST_LOSS_SHARE * work_core_s),
+                        without_delaying_workers(groups, required),
+                        min(max_loss, MAX_LOSS_FACTOR * work_core_s),
                     )
                     or best
                 )
@@ -380,25 +384,25 @@
         tasks: tuple[TaskKey, ...],
         step: Step,
         groups: list[Sequence[WorkerCapacity]],
-        most_loss: float,
+        max_loss: float,
     ) -> Eviction | None:
         """Return the eviction of the least loss over all groups, if any."""
         best: Eviction | None = None
         for group in groups:
-            found = self._evictions.cheapest(tasks, step, group, most_loss)
+            found = self._eviction_finder.cheapest(tasks, step, group, max_loss)
             if found is not None and (best is None or found.loss < best.loss):
                 best = found
-                most_loss = found.loss
+                max_loss = found.loss
         return best
 
-    def _most_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
+    def _max_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
         """Return the most work that room for tasks may throw away."""
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
         if BOUNDED_LOSS in self._disabled:
             return math.inf
-        return MOST_LOSS_SHARE * _work(step, tasks)
+        return MAX_LOSS_FACTOR * _work(step, tasks)
 
     def _evict(
         self,
@@ -422,11 +426,11 @@
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
-def _is_held_up(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
+def _is_delayed(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
     """Return whether slow workers make a gang late that could be in time."""
-    if not ready.step.gang or not required.is_met_somewhere:
+    if not ready.step.gang or not required.is_met_by_typical:
         return False
-    return any(required.holds_up(worker) for _, worker in chosen)
+    return any(required.delays_gang(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
--- a/src/curranthill/placement/reservation_windows.py
+++ b/src/curranthill/placement/reservation_windows.py
@@ -1,9 +1,10 @@
-"""For how long gangs may keep room that they do not get.
+"""Time limits on the reservations of gangs.
 
-Answers runs that outlast their estimates or stand still: the gang that waits
-for them would keep room from others for as long, and so would the next one. A
-gang keeps room for a while that its wait asks for; then no gang of the service
-does for a moment, in which all that fits starts.
+Runs may outlast their estimates or stall. The gang that waits for them would
+withhold capacity from other jobs for as long, and so would the next gang. So a
+gang reserves capacity for a window in proportion to its expected wait; then a
+cooldown follows in which no gang of the service reserves, and whatever fits
+starts.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple
@@ -12,22 +13,22 @@
     from curranthill.placement.jobs import ActiveJob
     from curranthill.tasks import TaskKey
 
-#: The shortest time for which a gang keeps room, in seconds.
+#: The shortest reservation window, in seconds.
 MIN_WINDOW_S: Final = 5.0
 
-#: A gang keeps room for so many times what is left of the runs that it waits
-#: for, by their estimates: some take longer.
+#: The length of a window, as a multiple of the estimated time until the runs
+#: that the gang waits for have ended: some take longer than estimated.
 WINDOW_FACTOR: Final = 2.0
 
-#: For how long no gang keeps room after a turn, in seconds: some rounds of
-#: placement fall into it.
+#: For how long no gang reserves capacity after a window, in seconds: long
+#: enough for several rounds of placement.
 COOLDOWN_S: Final = 2.0
 
 
 class _Window(NamedTuple):
-    """A time for which room is kept; a pause follows.
+    """A time in which gangs may reserve capacity; a cooldown follows.
 
-    :param job: that of the gang for which it began.
+    :param job: the job of the gang for which it was opened.
     :param member: a task of that gang.
     :param since_s: its start, in wall-clock seconds.
     """
@@ -38,20 +39,20 @@
     length_s: float
 
     def is_over(self, now_s: float) -> bool:
-        """Return whether another turn may begin.
+        """Return whether another window may be opened.
 
-        A start in the future is that of a clock that was set back.
+        A start in the future means that the clock was set back.
         """
         age_s = now_s - self.since_s
-        served = self.member in self.job.runs or self.job.ended
-        return served or age_s < 0 or age_s >= self.length_s + COOLDOWN_S
+        satisfied = self.member in self.job.runs or self.job.ended
+        return satisfied or age_s < 0 or age_s >= self.length_s + COOLDOWN_S
 
 
 class ReservationWindows:
-    """The turns of all services."""
+    """The current reservation window of each service."""
 
     def __init__(self) -> None:
-        """Start with no room kept."""
+        """Initialize with no open window."""
         self._windows: dict[str, _Window] = {}
 
     def may_reserve(
@@ -62,11 +63,11 @@
         now_s: float,
         wait_s: float,
     ) -> bool:
-        """Return whether a job's gang may keep room now.
+        """Return whether a job's gang may reserve capacity now.
 
         :param member: any task of the gang.
         :param now_s: wall-clock seconds.
-        :param wait_s: how long the gang waits for that room, by estimates.
+        :param wait_s: how long the gang waits for that capacity, by estimates.
         """
         window = self._windows.get(service)
         if window is None or window.is_over(now_s):
--- a/src/curranthill/placement/reservations.py
+++ b/src/curranthill/placement/reservations.py
@@ -1,9 +1,8 @@
-"""Capacity reserved for a gang that does not fit yet.
+"""Reservation of capacity for a gang that does not fit yet.
 
-Answers a stream of small jobs before a large gang: each would take the first
-worker that gets free, and the gang would wait for ever. Only room that runs
-will give back is kept: a gang that they cannot let in would keep it from others
-for ever.
+Without it a stream of small jobs starves a large gang: each takes the next
+worker that gets free. Capacity is reserved only if the gang fits once the
+current runs have ended; otherwise it would be withheld from others for ever.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,32 +11,32 @@
 
 from curranthill.placement.capacity import (
     WorkerCapacity,
-    copies_once_free,
+    max_tasks_once_free,
     resources_needed,
 )
 from curranthill.placement.jobs import ReadyStep
 
-#: How many gangs that do not fit keep room for themselves in one round; more
-#: would leave room unused that smaller jobs could fill.
-RESERVATIONS: Final = 1
+#: How many gangs that do not fit hold a reservation in one round; more would
+#: leave capacity idle that smaller jobs could use.
+MAX_RESERVATIONS: Final = 1
 
 #: A gang that needs more than this share of the workers could never start
-#: beside small jobs that come one after the other.
-WIDE_SHARE: Final = 0.5
+#: beside a continuous sequence of small jobs.
+WIDE_GANG_SHARE: Final = 0.5
 
 
 def find_workers_to_reserve(
     ready: ReadyStep,
     groups: Sequence[Sequence[WorkerCapacity]],
 ) -> list[WorkerCapacity]:
-    """Return a room for each task of a gang, in the group where most is free.
+    """Return a worker for each task of a gang, in the group with most free.
 
     Empty if no group can hold the gang, whatever ends there.
     """
     best: list[WorkerCapacity] = []
     most_gpus = -1
     for group in groups:
-        free_gpus = sum(max(worker.soon.gpus, 0) for worker in group)
+        free_gpus = sum(max(worker.unclaimed.gpus, 0) for worker in group)
         if free_gpus > most_gpus:
             reserved = _workers_to_reserve(ready, group)
             if reserved:
@@ -47,7 +46,7 @@
 
 
 def wait_for_capacity_s(workers: Iterable[WorkerCapacity]) -> float:
-    """Return how long what runs in rooms goes on, by its estimates."""
+    """Return how long the runs on some workers take to end, by estimates."""
     return max(
         (run.left_s for worker in workers for run in worker.runs),
         default=0.0,
@@ -55,16 +54,16 @@
 
 
 def reserve(
-    ready: ReadyStep, workers: Sequence[WorkerCapacity], *, of_workers: int
+    ready: ReadyStep, workers: Sequence[WorkerCapacity], *, total_workers: int
 ) -> None:
-    """Keep room for a task in each of the rooms.
+    """Reserve capacity for a task on each of the workers.
 
-    :param of_workers: how many workers there are; who starves takes nothing
-        from a gang that needs most of them.
+    :param total_workers: how many workers there are; a starving job can't use
+        what is reserved for a gang that needs most of them.
     """
     needs = resources_needed(ready.step)
     reserved = len({worker.entry.worker_id for worker in workers})
-    wide = reserved > WIDE_SHARE * of_workers
+    wide = reserved > WIDE_GANG_SHARE * total_workers
     for worker in workers:
         if wide:
             worker.claim(needs)
@@ -75,18 +74,18 @@
 def _workers_to_reserve(
     ready: ReadyStep, workers: Sequence[WorkerCapacity]
 ) -> list[WorkerCapacity]:
-    """Return a room for each task, the emptiest first; empty if too few."""
+    """Return a worker for each task, the emptiest first; empty if too few."""
     wanted = len(ready.tasks)
     reserved: list[WorkerCapacity] = []
-    for worker in sorted(workers, key=lambda one: -one.soon.gpus):
+    for worker in sorted(workers, key=lambda one: -one.unclaimed.gpus):
         if len(reserved) >= wanted:
             break
-        reserved.extend(repeat(worker, copies_once_free(worker, ready.step)))
+        reserved.extend(repeat(worker, max_tasks_once_free(worker, ready.step)))
     return reserved[:wanted] if len(reserved) >= wanted else []
 
 
 __all__ = (
-    'RESERVATIONS',
+    'MAX_RESERVATIONS',
     'find_workers_to_reserve',
     'reserve',
     'wait_for_capacity_s',
--- a/src/curranthill/placement/workers.py
+++ b/src/curranthill/placement/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the platform lists them."""
+"""Entries of the platform's list of workers."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,15 @@
 
 
 class WorkerEntry(NamedTuple):
-    """One worker as the platform lists it.
+    """A worker's entry in the platform's list.
 
     :param capacity: all that the worker has for tasks, used or not.
     :param labels: the worker's kind and its rack.
-    :param clock_s: the worker's steady clock when it wrote the entry.
-    :param remaining_s: the least time left while it is leaving.
-    :param incarnation: tells a start of the worker from those before under
-        the same id; 0 if not told.
+    :param leaving: whether the worker is draining.
+    :param clock_s: the worker's monotonic clock when it wrote the entry.
+    :param remaining_s: the least time left while the worker is draining.
+    :param incarnation: distinguishes starts of a worker under the same id; 0
+        if it is not given.
     """
 
     worker_id: str
@@ -29,7 +30,7 @@
 
     @property
     def rack(self) -> str:
-        """Return the rack, which stands last among the labels."""
+        """Return the rack, which is the last of the labels."""
         return self.labels[-1] if self.labels else ''
 
 
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -224,7 +224,7 @@
         step = Step(width=1, needs=needs(size), estimate_s=0.5)
         possible = any(movable(room).covers(step.needs) for room in found)
         # Stopped already: nothing more is to be stopped for it.
-        coming = any(room.soon.covers(step.needs) for room in found)
+        coming = any(room.unclaimed.covers(step.needs) for room in found)
         spec = make_spec('a', step, priority=0)
         decided = plan(found, spec, guaranteed={'alpha': size + extra})
         served = bool(decided.placements or decided.victims)
