--- a/bench/door.py
+++ b/bench/door.py
@@ -12,12 +12,12 @@
 
 from bench.replay import NOW_S, ROOM, SERVICE, Day, Load, Outcome, difference
 from curranthill.admission import (
-    Outlook,
-    ServiceRoom,
-    may_accept,
-    outlook_of,
+    Forecast,
+    ServiceResources,
+    check_admission,
+    make_forecast,
 )
-from curranthill.placement import ALL_ON, Room
+from curranthill.placement import NONE_DISABLED, WorkerCapacity
 from curranthill.tasks import JobSpec, Resources
 
 #: How often an outlook is made, and how long it takes to the hosts, in seconds.
@@ -44,11 +44,11 @@
             load=load,
             workers=workers,
             seed=seed,
-            without=ALL_ON,
+            disabled=NONE_DISABLED,
         )
         self.refused: set[str] = set()
         self.refusals = 0
-        self._outlook: Outlook | None = None
+        self._forecast: Forecast | None = None
         self._read_s = 0.0
         self._number = 0
         self._tries: dict[str, int] = {}
@@ -56,9 +56,9 @@
 
     def _make(self) -> None:
         self._number += 1
-        made = outlook_of(
+        made = make_forecast(
             self._jobs.values(),
-            rooms={SERVICE: self._room()},
+            resources={SERVICE: self._room()},
             guaranteed={f't{team}': len(self._runs) for team in range(4)},
             now_s=NOW_S + self._now_s,
             number=self._number,
@@ -66,18 +66,20 @@
         self._at(self._now_s + READ_AFTER_S, partial(self._read, made))
         self._at(self._now_s + MADE_EACH_S, self._make)
 
-    def _read(self, outlook: Outlook | None) -> None:
-        self._outlook = outlook
+    def _read(self, forecast: Forecast | None) -> None:
+        self._forecast = forecast
         self._read_s = self._now_s
 
-    def _room(self) -> ServiceRoom:
+    def _room(self) -> ServiceResources:
         held = len(self._runs) - len(self._leaving)
         total = Resources(*(held * part for part in ROOM))
-        return ServiceRoom(total, self._free_room)
+        return ServiceResources(total, self._free_room)
 
     def _free_room(self) -> Resources:
         free = [
-            Room(entry=self._entries[name], runs=runs, doubt=0.0).free
+            WorkerCapacity(
+                entry=self._entries[name], runs=runs, failure_score=0.0
+            ).free
             for name, runs in self._runs.items()
             if name not in self._leaving
         ]
@@ -86,7 +88,7 @@
     def _accept(self, spec: JobSpec) -> None:
         asked = spec._replace(accepted_at_s=NOW_S + self._now_s)
         age_s = self._now_s - self._read_s
-        refusal = may_accept(asked, self._outlook, age_s)
+        refusal = check_admission(asked, self._forecast, age_s)
         if refusal is None:
             self.refused.discard(spec.job_id)
             super()._accept(asked)
@@ -96,8 +98,8 @@
         tries = self._tries.get(spec.job_id, 0) + 1
         self._tries[spec.job_id] = tries
         if tries <= MORE_TRIES:
-            spread_s = refusal.spread_s * self._source.random()
-            back_s = self._now_s + refusal.return_s + spread_s
+            jitter_s = refusal.jitter_s * self._source.random()
+            back_s = self._now_s + refusal.retry_delay_s + jitter_s
             self._at(back_s, partial(self._accept, spec))
 
 
@@ -108,7 +110,7 @@
         """Return what a job earned."""
         return self._earned(job_id, self._drawn[job_id])
 
-    def hopeless(self) -> int:
+    def infeasible(self) -> int:
         """Return how many jobs earned nothing."""
         return sum(1 for job_id in self._drawn if not self.earned(job_id))
 
@@ -132,7 +134,9 @@
 def play(load: Load, workers: int, seed: int) -> DoorOutcome:
     """Play a day twice."""
     door = DoorDay(load=load, workers=workers, seed=seed)
-    plain = PlainDay(load=load, workers=workers, seed=seed, without=ALL_ON)
+    plain = PlainDay(
+        load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
+    )
     with_door = door.play()
     without = plain.play()
     return DoorOutcome(
@@ -141,7 +145,7 @@
         refused=len(door.refused),
         refusals=door.refusals,
         refused_worth=sum(plain.earned(one) for one in door.refused),
-        worthless=plain.hopeless(),
+        worthless=plain.infeasible(),
     )
 
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -28,11 +28,11 @@
     ActiveJob,
     BacklogCursor,
     Planner,
-    ReservationTurns,
-    Room,
+    ReservationWindows,
     Run,
+    WorkerCapacity,
     WorkerEntry,
-    checked,
+    validate_mechanisms,
 )
 from curranthill.tasks import (
     JobProgress,
@@ -291,7 +291,7 @@
         load: Load,
         workers: int,
         seed: int,
-        without: frozenset[str],
+        disabled: frozenset[str],
     ) -> None:
         """Draw the day."""
         self._source = random.Random(seed)  # noqa: S311
@@ -299,9 +299,9 @@
         self._workspaces = [f't{one}' for one in range(len(load.workspaces))]
         self._stops = 0
         self._looked_at_s: dict[str, float] = {}
-        self._turns = ReservationTurns()
+        self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
-        self._without = without
+        self._disabled = disabled
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
@@ -322,7 +322,7 @@
                 service=SERVICE,
                 address='',
                 data_centre='dc',
-                room=load.room,
+                capacity=load.room,
                 labels=('a', f'r{number // per_rack}'),
             )
             for number in range(workers)
@@ -434,7 +434,7 @@
 
     def _known_speed(self, name: str) -> float:
         """Return a worker's speed as a leader knows it that has learnt."""
-        if SPEEDS in self._without:
+        if SPEEDS in self._disabled:
             return 1.0
         return self._speeds[name] / self._typical
 
@@ -449,10 +449,10 @@
             for run in runs:
                 run.age_s = max(0.0, self._now_s - run.started_s)
         rooms = [
-            Room(
+            WorkerCapacity(
                 entry=self._entries[name],
                 runs=runs,
-                doubt=0.0,
+                failure_score=0.0,
                 speed=self._known_speed(name),
             )
             for name, runs in self._runs.items()
@@ -460,13 +460,13 @@
             and self._looked_at_s.get(name, 0.0) <= self._now_s
         ]
         planner = Planner(
-            rooms={SERVICE: rooms},
+            workers={SERVICE: rooms},
             guaranteed=self._guaranteed(),
             now_s=NOW_S + self._now_s,
             tickets=lambda job, ready: {},
-            turns=self._turns,
+            windows=self._windows,
             backlog=self._backlog,
-            without=self._without,
+            disabled=self._disabled,
         )
         plan = planner.plan(self._jobs.values())
         stopped = {run.key.job_id for run in plan.victims}
@@ -665,11 +665,11 @@
     load: Load,
     workers: int,
     seeds: int,
-    without: frozenset[str],
+    disabled: frozenset[str],
 ) -> list[Outcome]:
     """Return the outcomes of days with some mechanisms switched off."""
     return [
-        Day(load=load, workers=workers, seed=seed, without=without).play()
+        Day(load=load, workers=workers, seed=seed, disabled=disabled).play()
         for seed in range(seeds)
     ]
 
@@ -706,7 +706,9 @@
         ]
         typer.echo(f'{name}: {", ".join(fields)}')
         for mechanism in filter(None, without.split(',')):
-            others = compare(LOADS[name], workers, seeds, checked([mechanism]))
+            others = compare(
+                LOADS[name], workers, seeds, validate_mechanisms([mechanism])
+            )
             mean, error = difference(base, others)
             typer.echo(f'  {mechanism}: worth {mean:+.4f} +- {error:.4f}')
     if out:
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -17,20 +17,20 @@
 from curranthill.dispatch.watch import RunWatch
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
-    ALL_ON,
-    DOUBT,
+    FAILURE_SCORE,
+    LOAD_SHEDDING,
+    NONE_DISABLED,
     SPEEDS,
-    TURNING_AWAY,
     ActiveJob,
     BacklogCursor,
     Placement,
     Plan,
     Planner,
     ReadyStep,
-    ReservationTurns,
-    Room,
+    ReservationWindows,
     Run,
-    checkpoint_of,
+    WorkerCapacity,
+    newest_checkpoint,
 )
 from curranthill.tasks import QUEUED, RUNNING, JobSpec, Revision
 from curranthill.telemetry import metrics
@@ -74,18 +74,18 @@
         spawner: Spawner,
         revision: RevisionSource,
         office: TicketOffice,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Start without a round.
 
-        :param without: mechanisms that are switched off.
+        :param disabled: mechanisms that are switched off.
         """
-        self._without = without
+        self._disabled = disabled
         self._watch = RunWatch(
             clock=clock,
             work=work,
             journal=journal,
-            without=without,
+            disabled=disabled,
         )
         self._office = office
         self._asking = False
@@ -97,7 +97,7 @@
         self._revision = revision
         self._outlooks = OutlookMaker(clock=clock, work=work)
         self._board = WaitingBoard(clock=clock, work=work)
-        self._turns = ReservationTurns()
+        self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
         self._unused = UnusedWorkers(clock=clock, sessions=work.sessions)
         self._reserved_for: tuple[str, ...] = ()
@@ -133,13 +133,13 @@
             return
         self._questions.clear()
         planner = Planner(
-            rooms=self._rooms(),
+            workers=self._rooms(),
             guaranteed=self._guaranteed(),
             now_s=now_s,
             tickets=self._tickets,
-            turns=self._turns,
+            windows=self._windows,
             backlog=self._backlog,
-            without=self._without,
+            disabled=self._disabled,
             ratio_of=self._work.learning.ratio_of,
         )
         plan = planner.plan(self._work.jobs.values())
@@ -216,15 +216,15 @@
         self._office.forget_except(set(self._work.jobs))
         self._work.changed.set()
 
-    def _rooms(self) -> dict[str, list[Room]]:
-        rooms: dict[str, list[Room]] = {}
+    def _rooms(self) -> dict[str, list[WorkerCapacity]]:
+        rooms: dict[str, list[WorkerCapacity]] = {}
         for session in self._work.sessions.values():
             if not session.accepts_work:
                 continue
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=self._doubt(session),
+                failure_score=self._doubt(session),
                 speed=self._speed(session),
             )
             rooms.setdefault(session.entry.service, []).append(room)
@@ -232,13 +232,13 @@
 
     def _speed(self, session: WorkerSession) -> float:
         """Return a worker's speed, 1.0 if it is not known to differ."""
-        if SPEEDS in self._without:
+        if SPEEDS in self._disabled:
             return 1.0
         return self._work.learning.speed_of(session).factor
 
     def _doubt(self, session: WorkerSession) -> float:
         """Return how many runs failed or stood still at a worker of late."""
-        if DOUBT in self._without:
+        if FAILURE_SCORE in self._disabled:
             return 0.0
         if session.troubles_s:
             oldest_s = self._clock.monotonic_s() - TROUBLE_MEMORY_S
@@ -261,7 +261,7 @@
         shared = job.next_attempt(tasks)
         checkpoint = ''
         if gang:
-            checkpoint = checkpoint_of(
+            checkpoint = newest_checkpoint(
                 [job.progress.task(key) for key in tasks],
             )
         runs = self._mark_runs(placement, shared, checkpoint)
@@ -301,7 +301,7 @@
             session = self._work.sessions[worker_id]
             task.incarnation = session.incarnation
             run = self._work.new_run(job, key, attempt, session)
-            run.alone = placement.ready.alone
+            run.exclusive = placement.ready.exclusive
             run.checkpoint = checkpoint if gang else task.checkpoint
             run.ticket = (placement.ready.tickets or {}).get(worker_id, '')
             runs.append(run)
@@ -369,7 +369,7 @@
         if not self._outlooks.due:
             return
         outlook = self._outlooks.make(self._revision.current)
-        if TURNING_AWAY not in self._without:
+        if LOAD_SHEDDING not in self._disabled:
             told = msgspec.to_builtins(outlook, str_keys=True)
             self._journal.note_outlook(told)
         self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from curranthill.admission import KEPT, waits_for
+from curranthill.admission import RESERVED, waiting_reason
 from curranthill.clock import Clock
 from curranthill.dispatch.unready import UnreadyJobs
 from curranthill.dispatch.work import Work
 from curranthill.placement import (
-    MOST_SKEW_S,
+    MAX_SKEW_S,
     ActiveJob,
     ReadyStep,
-    Room,
+    WorkerCapacity,
     covered_jobs,
     waits_for_rack,
 )
@@ -64,7 +64,7 @@
     def show(
         self,
         guaranteed: Mapping[str, int],
-        rooms_now: Callable[[], Mapping[str, list[Room]]],
+        rooms_now: Callable[[], Mapping[str, list[WorkerCapacity]]],
         reserved_for: Sequence[str] = (),
     ) -> None:
         """Show who waits now.
@@ -88,19 +88,21 @@
                 urgent = not job.spec.queue.priority
                 service_rooms = rooms.get(job.spec.queue.service, [])
                 kept_for = self._others_of(job, reserved_for)
-                reason = waits_for(
+                reason = waiting_reason(
                     ready,
                     service_rooms,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
-                    kept=bool(kept_for),
+                    reserved=bool(kept_for),
                     advised=job.spec.queue.advisor,
-                    patient=waits_for_rack(job, ready, self._clock.wall_s()),
+                    wait_for_rack=waits_for_rack(
+                        job, ready, self._clock.wall_s()
+                    ),
                 )
                 self._tell(
                     job,
                     ready,
                     reason,
-                    kept_for if reason == KEPT else (),
+                    kept_for if reason == RESERVED else (),
                     self._count_workers(job, service_rooms),
                 )
 
@@ -138,7 +140,7 @@
         found: dict[int, int] = defaultdict(int)
         for job in jobs:
             waited_s = now_s - job.spec.accepted_at_s
-            if -MOST_SKEW_S <= waited_s < LOGGED_FROM_S:
+            if -MAX_SKEW_S <= waited_s < LOGGED_FROM_S:
                 continue
             if found[job.spec.queue.priority] >= LOGGED_JOBS:
                 continue
@@ -166,7 +168,7 @@
     def _count_workers(
         self,
         job: ActiveJob,
-        rooms: Sequence[Room],
+        rooms: Sequence[WorkerCapacity],
     ) -> WorkerCounts:
         """Return what the workers of a job's service are.
 
@@ -182,7 +184,7 @@
             listed=len(listed),
             usable=len(rooms),
             empty=sum(1 for room in rooms if not room.runs),
-            with_suspect=sum(1 for room in rooms if room.held_alone),
+            with_suspect=sum(1 for room in rooms if room.held_exclusively),
         )
 
     def _tell(
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -4,15 +4,15 @@
 from typing import Any
 from unittest.mock import patch
 
-from curranthill.admission import waits_for
+from curranthill.admission import waiting_reason
 from curranthill.commands.trace import told
 from curranthill.dispatch import waiting
 from curranthill.entry import desk
 from curranthill.placement import (
     RUNNING,
     ActiveJob,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
 )
 from curranthill.tasks import JobProgress, Resources, Step, TaskKey
@@ -22,14 +22,14 @@
 from tests.test_door import GANG, RUN_S, gang, is_refused, overload
 
 
-def worker(gpus: int, rack: str = 'r1') -> Room:
+def worker(gpus: int, rack: str = 'r1') -> WorkerCapacity:
     """Return a worker with some accelerators free."""
     entry = WorkerEntry(
         worker_id=rack,
         service=SERVICE,
         address='',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', rack),
     )
     run = Run(
@@ -42,30 +42,30 @@
         state=RUNNING,
         now_s=0.0,
     )
-    return Room(entry=entry, runs=(run,), doubt=0.0)
+    return WorkerCapacity(entry=entry, runs=(run,), failure_score=0.0)
 
 
 def reason(
     step: Step,
-    *rooms: Room,
+    *rooms: WorkerCapacity,
     beyond: bool = False,
-    alone: bool = False,
-    kept: bool = True,
+    exclusive: bool = False,
+    reserved: bool = True,
     advised: bool = False,
-    patient: bool = True,
+    wait_for_rack: bool = True,
 ) -> str:
     """Return what a step waits for."""
     spec = make_spec('a1', step)
     job = ActiveJob(spec=spec, progress=JobProgress('q', tasks={}))
     ready = next(job.ready_steps(spec.accepted_at_s))
     free = [room.free for room in rooms]
-    found = waits_for(
-        ready._replace(alone=alone),
+    found = waiting_reason(
+        ready._replace(exclusive=exclusive),
         rooms,
         beyond_guarantee=beyond,
-        kept=kept,
+        reserved=reserved,
         advised=advised,
-        patient=patient,
+        wait_for_rack=wait_for_rack,
     )
     assert [room.free for room in rooms] == free
     return found
@@ -120,31 +120,31 @@
         full = (worker(0, 'r1'), worker(0, 'r2'))
         workers = (worker(8, 'r1'), worker(8, 'r2'), *full)
         self.assertEqual(
-            reason(pair, *workers, patient=False),
+            reason(pair, *workers, wait_for_rack=False),
             'room that is kept for others',
         )
         self.assertEqual(
-            reason(pair, *workers, patient=False, kept=False),
+            reason(pair, *workers, wait_for_rack=False, reserved=False),
             'its turn, it fits and no room is kept',
         )
 
     def test_an_empty_worker_for_a_suspect(self) -> None:
-        """Room beside others does not do."""
+        """Free capacity beside others does not do."""
         step = Step(width=1, needs=ONE_GPU, estimate_s=1.0)
         self.assertEqual(
-            reason(step, worker(3), alone=True),
+            reason(step, worker(3), exclusive=True),
             'an empty worker, as a suspect',
         )
-        self.assertEqual(reason(step, worker(0), alone=True), 'no room')
+        self.assertEqual(reason(step, worker(0), exclusive=True), 'no room')
 
     def test_room_that_is_kept_for_nobody(self) -> None:
         """It fits: the advisor has not allowed it, or it is not its turn."""
         self.assertEqual(
-            reason(GANG, worker(8), kept=False, advised=True),
+            reason(GANG, worker(8), reserved=False, advised=True),
             'workers that its advisor allows',
         )
         self.assertEqual(
-            reason(GANG, worker(8), kept=False),
+            reason(GANG, worker(8), reserved=False),
             'its turn, it fits and no room is kept',
         )
 
@@ -275,7 +275,7 @@
             leader = host.leader
             assert leader is not None
             for run in leader.work.jobs['alone'].runs.values():
-                run.alone = True
+                run.exclusive = True
                 name = run.worker_id
             other = next(one for one in domain.workers if one != name)
             entry = domain.workers[other].entry
