--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -135,11 +135,11 @@
             try:
                 row = await self._store.read(tables.LEADER, tables.LEADER_KEY)
             except StorageError as error:
-                self._health.failed(error)
+                self._health.record_failure(error)
                 self.outlooks.missed()
                 pause_s = FAILED_POLL_S * random.uniform(0.8, 1.2)
             else:
-                self._health.answered()
+                self._health.record_reply()
                 self._note(row)
                 await self._consider(row)
                 pause_s = self._pause_s(asked_s)
@@ -243,7 +243,7 @@
             while not term.done():
                 # The leader's own writes tell whether the store answers.
                 if leadership.age_s < UNREACHABLE_S:
-                    self._health.answered()
+                    self._health.record_reply()
                 self._ask_for_successor(leadership)
                 self.outlooks.take(leadership.epoch, leadership.outlook)
                 await wait_at_most(term, timeout_s=POLL_S, clock=self._clock)
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -19,7 +19,7 @@
     UNANSWERED,
     open_store_call,
 )
-from curranthill.storage.absence import StoreAbsence
+from curranthill.storage.outage import StoreOutage
 from curranthill.storage.paths import StorePaths
 from curranthill.tasks import tables
 from curranthill.telemetry import metrics
@@ -80,12 +80,12 @@
         except _PeerGoneError:
             return _break_off(request, response)
         except StorageError as error:
-            self._paths.failed(direct)
+            self._paths.record_failure(direct)
             if response.prepared:
                 return _break_off(request, response)
             refused = isinstance(error, NotSentError)
             return web.Response(status=_REFUSED if refused else UNANSWERED)
-        self._paths.answered(direct)
+        self._paths.record_reply(direct)
         return response
 
 
@@ -139,13 +139,13 @@
         caller: Caller,
         paths: StorePaths,
         clock: Clock,
-        absence: StoreAbsence,
+        outage: StoreOutage,
     ) -> None:
         """Share the connections to the store."""
         self._caller = caller
         self._paths = paths
         self._clock = clock
-        self._absence = absence
+        self._outage = outage
 
     async def run(self) -> None:
         """Try the straight way while it is not known to be open."""
@@ -153,7 +153,7 @@
         try:
             while True:
                 await self._clock.sleep(self._interval_s)
-                if self._absence.is_away or not self._paths.is_direct:
+                if self._outage.is_ongoing or not self._paths.is_direct:
                     # Beside one that hangs: it may have been sent too early.
                     one = asyncio.ensure_future(self._try_direct())
                     tries.add(one)
@@ -164,7 +164,7 @@
 
     @property
     def _interval_s(self) -> float:
-        away = self._absence.is_away
+        away = self._outage.is_ongoing
         return AWAY_INTERVAL_S if away else PROBE_INTERVAL_S
 
     async def _try_direct(self) -> None:
@@ -186,8 +186,8 @@
         except StorageError:
             # Its way stays what it is; the change of way was logged.
             return
-        self._paths.answered(direct)
-        self._absence.answered()
+        self._paths.record_reply(direct)
+        self._outage.record_reply()
 
 
 __all__ = ('StoreProbe', 'StoreRelay')
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -25,7 +25,7 @@
 )
 from curranthill.platform.decoding import Count, decode_fields
 from curranthill.platform.scan import TablePage, TableScan
-from curranthill.storage.absence import StoreAbsence
+from curranthill.storage.outage import StoreOutage
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import (
     HistoryLostError,
@@ -99,7 +99,7 @@
     """Rows over the platform's HTTP calls.
 
     :param paths: the way that calls take, which changes when they fail.
-    :param absence: whether the store is away; each call tells.
+    :param outage: whether the store is away; each call tells.
     """
 
     def __init__(
@@ -112,10 +112,10 @@
         """Keep the paths."""
         self._caller = caller
         self._paths = paths
-        self.absence = StoreAbsence(clock=clock)
+        self.outage = StoreOutage(clock=clock)
         self._commit_timeout = ReplyTimeout()
         self._read_timeout = ReplyTimeout()
-        self._page_timeout = ReplyTimeout(shortest_s=PAGE_TIMEOUT_S)
+        self._page_timeout = ReplyTimeout(min_s=PAGE_TIMEOUT_S)
         self._feed_slack_s: dict[str, float] = {}
 
     async def commit(
@@ -245,13 +245,13 @@
             answer = await self._call(
                 method,
                 path,
-                timeout_s=timeout.seconds_s,
+                timeout_s=timeout.timeout_s,
                 **options,
             )
         except ReplyLostError:
-            timeout.lost()
+            timeout.record_loss()
             raise
-        timeout.replied(answer.began_after_s)
+        timeout.record_reply(answer.began_after_s)
         return answer
 
     async def _call(self, method: str, path: str, **options: Any) -> Answer:
@@ -265,13 +265,13 @@
         except StoreReturnedError:
             raise
         except StorageError:
-            self._paths.failed(address)
-            self.absence.failed()
+            self._paths.record_failure(address)
+            self.outage.record_failure()
             raise
         finally:
             call.cancel()
-        self._paths.answered(address)
-        self.absence.answered()
+        self._paths.record_reply(address)
+        self.outage.record_reply()
         return answer
 
     async def _receive(
@@ -299,7 +299,7 @@
         What was asked while it was away is not answered any more. An answer
         that has begun is on its way, and is received.
         """
-        back = asyncio.ensure_future(self.absence.ended())
+        back = asyncio.ensure_future(self.outage.wait_for_end())
         try:
             await asyncio.wait(
                 (call, back),
--- a/src/curranthill/storage/health.py
+++ b/src/curranthill/storage/health.py
@@ -19,18 +19,18 @@
         self._answered_s = -UNREACHABLE_S
         self._was_reachable = False
 
-    def answered(self) -> None:
+    def record_reply(self) -> None:
         """Take note of an answer."""
         self._answered_s = self._clock.monotonic_s()
         if not self._was_reachable:
             self._was_reachable = True
             events.log('store_reachable')
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Count as unreachable until the next answer."""
         self._answered_s = -UNREACHABLE_S
 
-    def failed(self, error: StorageError) -> None:
+    def record_failure(self, error: StorageError) -> None:
         """Take note of a failure."""
         if self._was_reachable and not self.reachable:
             self._was_reachable = False
--- a/src/curranthill/storage/paths.py
+++ b/src/curranthill/storage/paths.py
@@ -14,7 +14,7 @@
 #: How many peers are tried, one after the other, before the straight way is
 #: tried again: with two thirds of the hosts in reach of the store, one of
 #: three peers reaches it in 26 of 27 cases.
-PEERS_IN_TURN: Final = 3
+MAX_PEER_ATTEMPTS: Final = 3
 
 
 class StorePaths:
@@ -41,7 +41,7 @@
         """Return whether calls go straight to the store."""
         return self.address == self.direct
 
-    def answered(self, address: str) -> None:
+    def record_reply(self, address: str) -> None:
         """Take note of an answer that came from the store."""
         if address == self.direct and not self.is_direct:
             events.log('store_path', path='direct')
@@ -49,7 +49,7 @@
         if address == self.address:
             self._peers_tried = 0
 
-    def failed(self, address: str) -> None:
+    def record_failure(self, address: str) -> None:
         """Take another way if the one in use has failed.
 
         Calls that were under way together fail together; only the first of
@@ -65,7 +65,7 @@
 
     def _next(self) -> str:
         others = [peer for peer in self._peers() if peer != self.address]
-        if not others or self._peers_tried >= PEERS_IN_TURN:
+        if not others or self._peers_tried >= MAX_PEER_ATTEMPTS:
             self._peers_tried = 0
             return self.direct
         self._peers_tried += 1
--- a/src/curranthill/storage/timeouts.py
+++ b/src/curranthill/storage/timeouts.py
@@ -4,11 +4,11 @@
 
 #: The shortest wait, in seconds: sixty times the store's usual reply, so that
 #: a busy host does not take its own slowness for a lost reply.
-SHORTEST_S: Final = 0.3
+MIN_TIMEOUT_S: Final = 0.3
 
 #: The longest wait, in seconds: a store that is seventy times slower than
 #: usual, with a few calls queued before this one, still replies in time.
-LONGEST_S: Final = 1.5
+MAX_TIMEOUT_S: Final = 1.5
 
 #: The weights of a new reply in the mean and the deviation, and the number of
 #: deviations above the mean: those of TCP's retransmission timer (RFC 6298).
@@ -20,24 +20,24 @@
 class ReplyTimeout:
     """A retransmission timer: follows replies, doubles with each lost one.
 
-    :param shortest_s: the shortest wait, in seconds.
+    :param min_s: the shortest wait, in seconds.
     """
 
-    def __init__(self, *, shortest_s: float = SHORTEST_S) -> None:
+    def __init__(self, *, min_s: float = MIN_TIMEOUT_S) -> None:
         """Start with the shortest wait."""
-        self._shortest_s = shortest_s
+        self._min_s = min_s
         self._mean_s = 0.0
         self._deviation_s = 0.0
         self._backoff = 1
 
     @property
-    def seconds_s(self) -> float:
+    def timeout_s(self) -> float:
         """Return how long to wait for the next reply."""
         usual_s = self._mean_s + DEVIATIONS * self._deviation_s
-        waited_s = max(usual_s, self._shortest_s) * self._backoff
-        return min(waited_s, LONGEST_S)
+        waited_s = max(usual_s, self._min_s) * self._backoff
+        return min(waited_s, MAX_TIMEOUT_S)
 
-    def replied(self, took_s: float) -> None:
+    def record_reply(self, took_s: float) -> None:
         """Take note of a reply."""
         self._backoff = 1
         if not self._mean_s:
@@ -48,10 +48,10 @@
         self._deviation_s += DEVIATION_WEIGHT * (error_s - self._deviation_s)
         self._mean_s += MEAN_WEIGHT * (took_s - self._mean_s)
 
-    def lost(self) -> None:
+    def record_loss(self) -> None:
         """Take note of a reply that did not come in time."""
-        if self.seconds_s < LONGEST_S:
+        if self.timeout_s < MAX_TIMEOUT_S:
             self._backoff *= 2
 
 
-__all__ = ('LONGEST_S', 'SHORTEST_S', 'ReplyTimeout')
+__all__ = ('MAX_TIMEOUT_S', 'MIN_TIMEOUT_S', 'ReplyTimeout')
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -16,7 +16,7 @@
 from curranthill.platform.calls import Caller, CallNotSentError
 from curranthill.platform.relay import StoreProbe, StoreRelay
 from curranthill.platform.store import PlatformStore
-from curranthill.storage.paths import PEERS_IN_TURN, StorePaths
+from curranthill.storage.paths import MAX_PEER_ATTEMPTS, StorePaths
 from curranthill.storage.rows import RowCheck, RowConflictError, RowPut
 from curranthill.tasks import tables
 from tests.domain import Domain, in_domain
@@ -47,48 +47,48 @@
 
     def test_the_straight_way_is_kept_while_it_answers(self) -> None:
         """Whatever peers there are."""
-        self.paths.answered(DIRECT)
+        self.paths.record_reply(DIRECT)
         self.assertTrue(self.paths.is_direct)
 
     def test_a_failure_of_the_straight_way_leads_to_a_peer(self) -> None:
         """From the next call on."""
-        self.paths.failed(DIRECT)
+        self.paths.record_failure(DIRECT)
         self.assertIn(self.paths.address, PEERS)
 
     def test_calls_that_fail_together_change_the_way_once(self) -> None:
         """Ten calls were under way when the store fell silent."""
-        self.paths.failed(DIRECT)
+        self.paths.record_failure(DIRECT)
         chosen = self.paths.address
         for _ in range(9):
-            self.paths.failed(DIRECT)
+            self.paths.record_failure(DIRECT)
         self.assertEqual(self.paths.address, chosen)
 
     def test_a_peer_that_fails_is_followed_by_another(self) -> None:
         """It may have lost the store too."""
-        self.paths.failed(DIRECT)
+        self.paths.record_failure(DIRECT)
         first = self.paths.address
-        self.paths.failed(first)
+        self.paths.record_failure(first)
         self.assertIn(self.paths.address, set(PEERS) - {first})
 
     def test_the_straight_way_has_its_turn_when_peers_fail_too(self) -> None:
         """The store may be down for all, and come back."""
         taken = []
-        for _ in range(PEERS_IN_TURN + 2):
+        for _ in range(MAX_PEER_ATTEMPTS + 2):
             taken.append(self.paths.address)
-            self.paths.failed(self.paths.address)
+            self.paths.record_failure(self.paths.address)
         self.assertEqual(taken[0], DIRECT)
         self.assertEqual(taken.count(DIRECT), 2)
 
     def test_the_straight_way_is_taken_again_once_it_answers(self) -> None:
         """A call that tried it tells."""
-        self.paths.failed(DIRECT)
-        self.paths.answered(DIRECT)
+        self.paths.record_failure(DIRECT)
+        self.paths.record_reply(DIRECT)
         self.assertTrue(self.paths.is_direct)
 
     def test_without_peers_the_straight_way_stays(self) -> None:
         """A deployment of one host."""
         paths = StorePaths(direct=DIRECT, peers=tuple)
-        paths.failed(DIRECT)
+        paths.record_failure(DIRECT)
         self.assertTrue(paths.is_direct)
 
 
@@ -164,7 +164,7 @@
             hosts = TwoHosts(bench=bench)
             await hosts.open()
             await bench.store.commit(puts=(PUT,))
-            hosts.paths.failed(hosts.paths.direct)
+            hosts.paths.record_failure(hosts.paths.direct)
             with self.assertRaises(RowConflictError) as caught:
                 await hosts.store.commit(
                     checks=(RowCheck('t', 'k', 0),),
@@ -180,7 +180,7 @@
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
             await hosts.open()
-            hosts.paths.failed(hosts.paths.direct)
+            hosts.paths.record_failure(hosts.paths.direct)
             hosts.peer_paths.address = '127.0.0.1:1'
             with self.assertRaises(NotSentError):
                 await hosts.store.commit(puts=(PUT,))
@@ -194,7 +194,7 @@
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
             await hosts.open()
-            hosts.paths.failed(hosts.paths.direct)
+            hosts.paths.record_failure(hosts.paths.direct)
             bench.store_server.refuse_with = 504
             with self.assertRaises(ReplyLostError):
                 await hosts.store.commit(puts=(PUT,))
@@ -208,12 +208,12 @@
             hosts = TwoHosts(bench=bench)
             await hosts.open()
             hosts.own.refuse_with = 503
-            hosts.paths.failed(hosts.paths.direct)
+            hosts.paths.record_failure(hosts.paths.direct)
             probe = StoreProbe(
                 caller=bench.caller,
                 paths=hosts.paths,
                 clock=bench.clock,
-                absence=hosts.store.absence,
+                outage=hosts.store.outage,
             )
             probing = asyncio.ensure_future(probe.run())
             await asyncio.sleep(0.7)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -27,9 +27,9 @@
 )
 from curranthill.platform.relay import StoreRelay
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
-from curranthill.storage.absence import AWAY_S
 from curranthill.storage.follower import TableFollower
 from curranthill.storage.http import content_digest, http_platform
+from curranthill.storage.outage import OUTAGE_AFTER_S
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import RowPut, StoredRow
 from curranthill.tasks import JobProgress, TaskKey, tables
@@ -211,10 +211,10 @@
             host = hosts[0]
             size = put_configuration(bench, 4200, BEFORE + 1)
             arriving = asyncio.ensure_future(host.seconds_until(BEFORE + 1))
-            await asyncio.sleep(AWAY_S)
-            host.store.absence.failed()
-            await asyncio.sleep(AWAY_S)
-            host.store.absence.answered()
+            await asyncio.sleep(OUTAGE_AFTER_S)
+            host.store.outage.record_failure()
+            await asyncio.sleep(OUTAGE_AFTER_S)
+            host.store.outage.record_reply()
             self.assertLess(await arriving, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
