--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -11,7 +11,7 @@
 from curranthill.dispatch.work import Work
 from curranthill.dispatch.workers import WorkerConnector
 from curranthill.placement import ActiveJob, WorkerEntry
-from curranthill.storage.follower import RowsTaker, TableFollower
+from curranthill.storage.follower import RowsCallback, TableFollower
 from curranthill.storage.rows import MalformedRecordError, RowStore, StoredRow
 from curranthill.tasks import (
     JobProgress,
@@ -103,8 +103,8 @@
     def _follower(
         self,
         table: str,
-        take_all: RowsTaker,
-        take_changes: RowsTaker,
+        on_snapshot: RowsCallback,
+        on_changes: RowsCallback,
         *,
         gather_s: float = 0.0,
     ) -> TableFollower:
@@ -112,8 +112,8 @@
             store=self._store,
             clock=self._clock,
             table=table,
-            take_all=take_all,
-            take_changes=take_changes,
+            on_snapshot=on_snapshot,
+            on_changes=on_changes,
             gather_s=gather_s,
         )
 
--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -59,9 +59,9 @@
             store=store,
             clock=clock,
             table=table,
-            take_all=self._take_all,
-            take_changes=self._take_changes,
-            confirm=closures.confirm,
+            on_snapshot=self._take_all,
+            on_changes=self._take_changes,
+            on_confirmed=closures.confirm,
         )
 
     async def run(self) -> None:
--- a/src/curranthill/gateway/daemon.py
+++ b/src/curranthill/gateway/daemon.py
@@ -17,7 +17,7 @@
     choices,
 )
 from curranthill.settings import GatewaySettings
-from curranthill.storage import WriteBudget
+from curranthill.storage import WriteRateLimiter
 from curranthill.workers import WorkerClients, worker_clients
 
 #: Connections that a worker takes when no configuration says otherwise.
@@ -112,7 +112,7 @@
                 table=table,
                 clock=clock,
                 retention_s=self._settings.callers.key_retention_s,
-                budget=WriteBudget(
+                rate_limiter=WriteRateLimiter(
                     clock=clock,
                     per_s=self._settings.platform.writes_per_s,
                 ),
--- a/src/curranthill/jobs/store.py
+++ b/src/curranthill/jobs/store.py
@@ -20,7 +20,7 @@
     Row,
     Table,
     Write,
-    WriteBudget,
+    WriteRateLimiter,
 )
 
 PAGE_ROWS: Final = 200
@@ -50,7 +50,7 @@
     :param table: the platform's table.
     :param clock: for waits between two looks at a lost reply.
     :param retention_s: how long an ended job and its key are kept.
-    :param budget: bounds this process's writes.
+    :param rate_limiter: bounds this process's writes.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         table: Table,
         clock: Clock,
         retention_s: float = 86400,
-        budget: WriteBudget | None = None,
+        rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
         """Keep the table."""
         self._table = table
@@ -68,7 +68,7 @@
         self._committer = Committer(
             table=table,
             clock=clock,
-            budget=budget,
+            rate_limiter=rate_limiter,
         )
 
     async def accept(self, job: Job, key: KeyRecord | None) -> Stored:
--- a/src/curranthill/scheduler/daemon.py
+++ b/src/curranthill/scheduler/daemon.py
@@ -9,7 +9,7 @@
 from curranthill.scheduler.leader import Leader
 from curranthill.scheduler.service import SchedulerService
 from curranthill.settings import SchedulerSettings
-from curranthill.storage import WriteBudget
+from curranthill.storage import WriteRateLimiter
 from curranthill.workers import WorkerClients, worker_clients
 
 
@@ -84,7 +84,7 @@
             store=JobStore(
                 table=table,
                 clock=self.app.clock,
-                budget=WriteBudget(
+                rate_limiter=WriteRateLimiter(
                     clock=self.app.clock,
                     per_s=self._settings.platform.writes_per_s,
                 ),
--- a/src/curranthill/storage/__init__.py
+++ b/src/curranthill/storage/__init__.py
@@ -1,6 +1,5 @@
 """Clients of the platform's table, object store and host list."""
 
-from curranthill.storage.budget import WriteBudget
 from curranthill.storage.commit import Committer
 from curranthill.storage.directory import HostDirectory
 from curranthill.storage.http import content_digest, http_platform
@@ -12,6 +11,7 @@
     Table,
     platforms,
 )
+from curranthill.storage.rate_limit import WriteRateLimiter
 from curranthill.storage.records import (
     ABSENT,
     Check,
@@ -37,7 +37,7 @@
     'Table',
     'Transaction',
     'Write',
-    'WriteBudget',
+    'WriteRateLimiter',
     'content_digest',
     'http_platform',
     'platforms',
--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -10,8 +10,8 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.storage.budget import WriteBudget
 from curranthill.storage.interface import Table
+from curranthill.storage.rate_limit import WriteRateLimiter
 from curranthill.storage.records import Check, Transaction, Write
 from curranthill.telemetry.metrics import metrics
 
@@ -27,7 +27,7 @@
 
     :param table: the platform's table.
     :param clock: the clock of the waits between two looks.
-    :param budget: bounds the writes; without one they pass at once.
+    :param rate_limiter: bounds the writes; without one they pass at once.
     """
 
     def __init__(
@@ -35,10 +35,10 @@
         *,
         table: Table,
         clock: Clock,
-        budget: WriteBudget | None = None,
+        rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
         """Keep the table and the clock."""
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._table = table
         self._clock = clock
 
@@ -62,8 +62,8 @@
             writes=tuple(writes),
             checks=tuple(checks),
         )
-        if self._budget is not None:
-            await self._budget.take()
+        if self._rate_limiter is not None:
+            await self._rate_limiter.acquire()
         metrics.table_writes.add(1)
         try:
             return await self._table.transact(transaction)
--- a/src/curranthill/storage/follower.py
+++ b/src/curranthill/storage/follower.py
@@ -19,10 +19,10 @@
 #: The pause after a failed reading, in seconds.
 RETRY_S: Final = 0.2
 
-RowsTaker = Callable[[tuple[StoredRow, ...]], None]
+RowsCallback = Callable[[tuple[StoredRow, ...]], None]
 
 #: Is given a moment: all that was changed before it is known now.
-KnowledgeTaker = Callable[[float], None]
+TimeCallback = Callable[[float], None]
 
 
 class TableSource(Protocol):
@@ -43,10 +43,11 @@
 class TableFollower:
     """Reads a table anew whenever the feed's history is lost.
 
-    :param take_all: is given all rows of the table.
-    :param take_changes: is given changed and removed rows, in order.
-    :param confirm: is told after each reading, once its rows are taken, up to
-        when the table is known, in seconds of the clock.
+    :param on_snapshot: is given all rows of the table.
+    :param on_changes: is given changed and removed rows, in order.
+    :param on_confirmed: is called after each read, once its rows are handed
+        on, with the time up to which the table is known, in seconds of the
+        clock.
     :param gather_s: how long changes are gathered at the store after some
         were read, in seconds; the first change after a rest comes at once.
     """
@@ -57,18 +58,18 @@
         store: TableSource,
         clock: Clock,
         table: str,
-        take_all: RowsTaker,
-        take_changes: RowsTaker,
-        confirm: KnowledgeTaker | None = None,
+        on_snapshot: RowsCallback,
+        on_changes: RowsCallback,
+        on_confirmed: TimeCallback | None = None,
         gather_s: float = 0.0,
     ) -> None:
         """Start with nothing read."""
         self._store = store
         self._clock = clock
         self._table = table
-        self._take_all = take_all
-        self._take_changes = take_changes
-        self._confirm = confirm
+        self._on_snapshot = on_snapshot
+        self._on_changes = on_changes
+        self._on_confirmed = on_confirmed
         self._gather_s = gather_s
         self._version = 0
         self._readings = 0
@@ -90,7 +91,7 @@
                 continue
             self._version = listed.version
             self._readings += 1
-            self._take_all(listed.rows)
+            self._on_snapshot(listed.rows)
             self._note_known(asked_s)
             return
 
@@ -127,9 +128,11 @@
 
     def _take(self, changes: RowChanges) -> None:
         self._version = max(self._version, changes.version)
-        self._asks_at_once = bool(changes.rows) and self._confirm is not None
+        self._asks_at_once = (
+            bool(changes.rows) and self._on_confirmed is not None
+        )
         if changes.rows:
-            self._take_changes(changes.rows)
+            self._on_changes(changes.rows)
 
     async def _gather(self) -> None:
         if self._gather_s:
@@ -146,8 +149,8 @@
         return FEED_WAIT_S
 
     def _note_known(self, until_s: float) -> None:
-        if self._confirm is not None:
-            self._confirm(min(until_s, self._clock.monotonic_s()))
+        if self._on_confirmed is not None:
+            self._on_confirmed(min(until_s, self._clock.monotonic_s()))
 
     async def _wait_after(self, error: StorageError) -> None:
         """Log only the first failure of a series: an outage has hundreds."""
@@ -171,4 +174,4 @@
         self._failures = 0
 
 
-__all__ = ('FEED_WAIT_S', 'RowsTaker', 'TableFollower', 'TableSource')
+__all__ = ('FEED_WAIT_S', 'RowsCallback', 'TableFollower', 'TableSource')
--- a/src/curranthill/storage/budget.py
+++ b/src/curranthill/storage/rate_limit.py
@@ -4,10 +4,10 @@
 from curranthill.errors import NotSentError
 
 #: The longest that a write waits for its turn, in seconds.
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 
 
-class WriteBudget:
+class WriteRateLimiter:
     """Let so many writes a second pass; the rest wait their turn.
 
     The leader's heartbeat does not go through it: a burst of jobs must not
@@ -23,7 +23,7 @@
         # The moment at which the allowance is full again.
         self._full_s = clock.monotonic_s()
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait for one write's turn.
 
         :raises NotSentError: if it would come too late; nothing was sent.
@@ -31,7 +31,7 @@
         now_s = self._clock.monotonic_s()
         full_s = max(now_s, self._full_s) + 1 / self._per_s
         wait_s = full_s - now_s - 1
-        if wait_s > LONGEST_WAIT_S:
+        if wait_s > MAX_WAIT_S:
             raise NotSentError(
                 'Too many writes wait in this process.',
                 step='write budget',
@@ -41,4 +41,4 @@
             await self._clock.sleep(wait_s)
 
 
-__all__ = ('LONGEST_WAIT_S', 'WriteBudget')
+__all__ = ('MAX_WAIT_S', 'WriteRateLimiter')
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -527,9 +527,9 @@
             ),
             clock=self.clock,
             table=OPERATOR_TABLE,
-            take_all=self.closures.take_all,
-            take_changes=self.closures.take_changes,
-            confirm=self.closures.confirm,
+            on_snapshot=self.closures.take_all,
+            on_changes=self.closures.take_changes,
+            on_confirmed=self.closures.confirm,
         )
         await follower.read()
         await follower.follow()
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -27,8 +27,8 @@
             store=self.rows.client('h1'),
             clock=self.clock,
             table='t',
-            take_all=self._take,
-            take_changes=self._take,
+            on_snapshot=self._take,
+            on_changes=self._take,
         )
 
     async def follow(self) -> None:
@@ -138,8 +138,8 @@
             store=source,
             clock=ManualClock(),
             table='t',
-            take_all=taken.extend,
-            take_changes=taken.extend,
+            on_snapshot=taken.extend,
+            on_changes=taken.extend,
         )
         self.following = asyncio.ensure_future(self.follower.follow())
         return taken
@@ -199,9 +199,9 @@
                 store=self.source,
                 clock=clock,
                 table='t',
-                take_all=taken.extend,
-                take_changes=taken.extend,
-                confirm=lambda until_s: known_s.append(until_s - asked_s),
+                on_snapshot=taken.extend,
+                on_changes=taken.extend,
+                on_confirmed=lambda until_s: known_s.append(until_s - asked_s),
             )
             following = asyncio.ensure_future(follower.follow())
             await clock.advance(after_s)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,7 @@
 from curranthill.errors import ConflictError, FencedError, NotSentError
 from curranthill.jobs import ENDED, KeyRecord, birth_of, new_job_id
 from curranthill.standin import FaultSettings
-from curranthill.storage import Transaction, WriteBudget
+from curranthill.storage import Transaction, WriteRateLimiter
 from curranthill.workers import AttemptId, LeaseRequest, Task, Token
 from tests.harness import Site
 from tests.support import make_job, run
@@ -449,18 +449,18 @@
         on_site(case)
 
 
-class WriteBudgetTest(unittest.TestCase):
+class WriteRateLimiterTest(unittest.TestCase):
     """A burst of jobs must not cost the lease, nor storm the table."""
 
-    def test_writes_pass_at_the_budgets_rate(self) -> None:
+    def test_writes_pass_at_the_limiters_rate(self) -> None:
         """After the burst's second, so many a second and no more."""
 
         async def case(site: Site) -> None:
-            budget = WriteBudget(clock=site.clock, per_s=10)
+            limiter = WriteRateLimiter(clock=site.clock, per_s=10)
             passed: list[float] = []
 
             async def write() -> None:
-                await budget.take()
+                await limiter.acquire()
                 passed.append(site.clock.monotonic_s())
 
             begun_s = site.clock.monotonic_s()
@@ -476,8 +476,8 @@
         """The caller hears at once that nothing was written."""
 
         async def case(site: Site) -> None:
-            budget = WriteBudget(clock=site.clock, per_s=1)
-            tasks = [asyncio.create_task(budget.take()) for _ in range(10)]
+            limiter = WriteRateLimiter(clock=site.clock, per_s=1)
+            tasks = [asyncio.create_task(limiter.acquire()) for _ in range(10)]
             await site.clock.advance(20)
             refused = [task for task in tasks if task.exception()]
             self.assertEqual(len(refused), 4)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -349,8 +349,8 @@
                 store=bench.store,
                 clock=bench.clock,
                 table='t',
-                take_all=taken.extend,
-                take_changes=taken.extend,
+                on_snapshot=taken.extend,
+                on_changes=taken.extend,
             )
             await follower.read()
             self.assertEqual(len({row.key for row in taken}), count)
