--- a/src/curranthill/entry/__init__.py
+++ b/src/curranthill/entry/__init__.py
@@ -1,16 +1,19 @@
 """What any host does for callers, and the configuration it goes by."""
 
-from curranthill.entry.closures import ClosedDataCentre, Closures
-from curranthill.entry.desk import Desk
-from curranthill.entry.pauses import PauseWatch
+from curranthill.entry.closed_data_centres import (
+    ClosedDataCentre,
+    ClosedDataCentres,
+)
+from curranthill.entry.job_handler import JobHandler
 from curranthill.entry.peers import PeerList
 from curranthill.entry.revisions import RevisionFollower
+from curranthill.entry.suspension import SuspensionDetector
 
 __all__ = (
     'ClosedDataCentre',
-    'Closures',
-    'Desk',
-    'PauseWatch',
+    'ClosedDataCentres',
+    'JobHandler',
     'PeerList',
     'RevisionFollower',
+    'SuspensionDetector',
 )
--- a/src/curranthill/entry/closures.py
+++ b/src/curranthill/entry/closed_data_centres.py
@@ -38,7 +38,7 @@
     seen_s: float
 
 
-class Closures:
+class ClosedDataCentres:
     """Which data centres are closed, as far as this host knows.
 
     :param read_s: up to when all rows are known, in seconds of the clock.
@@ -78,14 +78,14 @@
         """Take note that all rows are known up to a moment."""
         self.read_s = max(self.read_s, until_s)
 
-    def take_all(self, rows: tuple[StoredRow, ...]) -> None:
+    def replace_all(self, rows: tuple[StoredRow, ...]) -> None:
         """Take the operators' rows in place of all before."""
         present = {self._name_of(row) for row in rows}
         for name in set(self.closed) - present:
             self._open(name)
-        self.take_changes(rows)
+        self.apply_changes(rows)
 
-    def take_changes(self, rows: tuple[StoredRow, ...]) -> None:
+    def apply_changes(self, rows: tuple[StoredRow, ...]) -> None:
         """Take rows that were written or removed, in order."""
         for row in rows:
             name = self._name_of(row)
@@ -144,4 +144,4 @@
         metrics.data_centres_closed.set(len(self.closed))
 
 
-__all__ = ('ClosedDataCentre', 'ClosureDecoder', 'Closures')
+__all__ = ('ClosedDataCentre', 'ClosedDataCentres', 'ClosureDecoder')
--- a/src/curranthill/entry/desk.py
+++ b/src/curranthill/entry/job_handler.py
@@ -76,7 +76,7 @@
         """Take note of a call of the store that had no answer."""
 
 
-class Desk:
+class JobHandler:
     """Callers' requests, answered from the store by any host."""
 
     def __init__(
@@ -338,4 +338,4 @@
         )
 
 
-__all__ = ('Desk',)
+__all__ = ('JobHandler',)
--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.entry.closures import Closures
+from curranthill.entry.closed_data_centres import ClosedDataCentres
 from curranthill.storage.follower import TableFollower
 from curranthill.storage.rows import (
     MalformedRecordError,
@@ -27,8 +27,8 @@
 class RevisionFollower:
     """Holds the configuration in force on this host.
 
-    :param closures: is given the same rows, of which some close data centres,
-        and knows how old the knowledge of them is.
+    :param closed_data_centres: is given the same rows, some of which close data
+        centres, and knows how old this information is.
     :param decode: returns a row's configuration, or nothing for other rows;
         raises :class:`MalformedRecordError` for one that can't be read, and
         what is in force stays so.
@@ -43,7 +43,7 @@
         clock: Clock,
         table: str,
         decode: RevisionDecoder,
-        closures: Closures,
+        closed_data_centres: ClosedDataCentres,
         in_force_s: float = 0.0,
     ) -> None:
         """Start without a configuration."""
@@ -52,28 +52,28 @@
         self._was_fresh = True
         self._clock = clock
         self._decode = decode
-        self._closures = closures
-        self._checked = asyncio.Event()
-        self._doubted = asyncio.Event()
+        self._closed_data_centres = closed_data_centres
+        self._confirmed = asyncio.Event()
+        self._invalidated = asyncio.Event()
         self._follower = TableFollower(
             store=store,
             clock=clock,
             table=table,
-            on_snapshot=self._take_all,
-            on_changes=self._take_changes,
-            on_confirmed=closures.confirm,
+            on_snapshot=self._replace_all,
+            on_changes=self._apply_changes,
+            on_confirmed=closed_data_centres.confirm,
         )
 
     async def run(self) -> None:
         """Follow until cancelled."""
         await self._follower.read()
-        self._checked.set()
+        self._confirmed.set()
         await asyncio.gather(self._follower.follow(), self._check_again())
 
     @property
     def is_fresh(self) -> bool:
         """Return whether every change that is due by now would be known."""
-        age_s = self._closures.age_s
+        age_s = self._closed_data_centres.age_s
         fresh = age_s < self._in_force_s
         if fresh != self._was_fresh:
             self._was_fresh = fresh
@@ -84,35 +84,35 @@
             )
         return fresh
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Read the configuration again: it may have changed unseen."""
-        self._checked.clear()
-        self._doubted.set()
+        self._confirmed.clear()
+        self._invalidated.set()
 
-    async def checked(self) -> bool:
+    async def wait_until_confirmed(self) -> bool:
         """Return whether no doubt is left, waiting a while for that."""
-        if self._checked.is_set():
+        if self._confirmed.is_set():
             return True
         return await wait_at_most(
-            self._checked.wait(),
+            self._confirmed.wait(),
             timeout_s=RECHECK_PATIENCE_S,
             clock=self._clock,
         )
 
     async def _check_again(self) -> None:
         while True:
-            await self._doubted.wait()
-            self._doubted.clear()
+            await self._invalidated.wait()
+            self._invalidated.clear()
             await self._follower.read()
-            if not self._doubted.is_set():
-                self._checked.set()
+            if not self._invalidated.is_set():
+                self._confirmed.set()
 
-    def _take_all(self, rows: tuple[StoredRow, ...]) -> None:
-        self._closures.take_all(rows)
+    def _replace_all(self, rows: tuple[StoredRow, ...]) -> None:
+        self._closed_data_centres.replace_all(rows)
         self._take(rows)
 
-    def _take_changes(self, rows: tuple[StoredRow, ...]) -> None:
-        self._closures.take_changes(rows)
+    def _apply_changes(self, rows: tuple[StoredRow, ...]) -> None:
+        self._closed_data_centres.apply_changes(rows)
         self._take(rows)
 
     def _take(self, rows: tuple[StoredRow, ...]) -> None:
--- a/src/curranthill/entry/pauses.py
+++ b/src/curranthill/entry/suspension.py
@@ -15,7 +15,7 @@
 PAUSE_S: Final = 1.0
 
 
-class PauseWatch:
+class SuspensionDetector:
     """Looks at the clock again and again, and before whatever matters.
 
     :param on_resume: is called once after each pause, before anything is
@@ -36,10 +36,10 @@
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            self.look()
+            self.check()
             await self._clock.sleep(TICK_S)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Tell of a pause, if there was one since the last look."""
         now_s = self._clock.monotonic_s()
         away_s = now_s - self._looked_s
@@ -51,4 +51,4 @@
         self._on_resume()
 
 
-__all__ = ('PauseWatch',)
+__all__ = ('SuspensionDetector',)
--- a/src/curranthill/platform/front.py
+++ b/src/curranthill/platform/front.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests, translated into calls of the desk."""
+"""Callers' HTTP requests, translated into calls of the job handler."""
 
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
@@ -7,7 +7,11 @@
 from aiohttp import web
 
 from curranthill.clock import Clock
-from curranthill.entry import Desk, PauseWatch, RevisionFollower
+from curranthill.entry import (
+    JobHandler,
+    RevisionFollower,
+    SuspensionDetector,
+)
 from curranthill.errors import NOT_RUN, RefusedError
 from curranthill.platform.configuration import SubmittedJob, step_from
 from curranthill.tasks import JobSpec, Queue, Revision, Step, faults_of
@@ -39,21 +43,21 @@
     """Answers callers.
 
     :param count_afresh: tells whether the leader's counts may be old.
-    :param pauses: is looked at before each request.
+    :param suspension: is checked before each request.
     """
 
     def __init__(
         self,
         *,
-        desk: Desk,
+        job_handler: JobHandler,
         revisions: RevisionFollower,
         clock: Clock,
         count_afresh: Callable[[], bool],
-        pauses: PauseWatch,
+        suspension: SuspensionDetector,
     ) -> None:
         """Keep what answers."""
-        self._pauses = pauses
-        self._desk = desk
+        self._suspension = suspension
+        self._job_handler = job_handler
         self._revisions = revisions
         self._clock = clock
         self._count_afresh = count_afresh
@@ -61,7 +65,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
-        self._pauses.look()
+        self._suspension.check()
         began_s = self._clock.monotonic_s()
         try:
             response = await self._answer(request)
@@ -92,15 +96,15 @@
         if request.method == 'POST' and target.job_id:
             return await self._submit(request, revision, target)
         if request.method == 'DELETE' and target.job_id:
-            found = await self._desk.cancel(target.job_id)
+            found = await self._job_handler.cancel(target.job_id)
             return _json({}) if found else _no_such_job(target)
         if request.method == 'GET' and target.job_id:
-            state = await self._desk.state(target.job_id)
+            state = await self._job_handler.state(target.job_id)
             if state is None:
                 return _no_such_job(target)
             return _json({'state': state})
         if request.method == 'GET':
-            count = await self._desk.pending(
+            count = await self._job_handler.pending(
                 target.queue,
                 count_afresh=self._count_afresh(),
             )
@@ -118,7 +122,7 @@
             if it may have been replaced for longer than changes may take.
         """
         revision = self._revisions.current
-        if revision is None or not await self._revisions.checked():
+        if revision is None or not await self._revisions.wait_until_confirmed():
             raise _unread('This host has not read its configuration yet.')
         if not self._revisions.is_fresh:
             raise _unread('The configuration of this host may be outdated.')
@@ -133,7 +137,7 @@
         body = await _read_body(request, revision.limits.body_bytes)
         spec = self._spec(body, target)
         began_s = self._clock.monotonic_s()
-        await self._desk.accept(spec, _patience_s(request))
+        await self._job_handler.accept(spec, _patience_s(request))
         took_s = self._clock.monotonic_s() - began_s
         metrics.accepted.add(1, {'queue': target.queue.name})
         metrics.accept_s.record(took_s)
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -12,11 +12,11 @@
 from curranthill.application import Application
 from curranthill.dispatch import Election, Leader, Leadership
 from curranthill.entry import (
-    Closures,
-    Desk,
-    PauseWatch,
+    ClosedDataCentres,
+    JobHandler,
     PeerList,
     RevisionFollower,
+    SuspensionDetector,
 )
 from curranthill.errors import SettingsError
 from curranthill.placement import ALL_ON
@@ -115,7 +115,7 @@
         # First: a call that fails asks who the peers are.
         await self._start_relay()
         self._connector = PlatformConnector(caller=self._caller)
-        self._closures = Closures(
+        self._closed_data_centres = ClosedDataCentres(
             clock=clock,
             decode=decode_closure,
             cease_s=settings.timing.evacuate_s,
@@ -125,7 +125,7 @@
             clock=clock,
             table=TABLE,
             decode=decode_revision,
-            closures=self._closures,
+            closed_data_centres=self._closed_data_centres,
             in_force_s=settings.timing.in_force_s,
         )
         self._health = StoreHealth(clock=clock)
@@ -136,12 +136,15 @@
             holder=settings.host,
             lead=self._lead,
             health=self._health,
-            operator_rows=self._closures,
+            operator_rows=self._closed_data_centres,
             others=lambda: len(self._peers.addresses),
         )
-        self._pauses = PauseWatch(clock=clock, on_resume=self._resumed)
+        self._suspension = SuspensionDetector(
+            clock=clock,
+            on_resume=self._resumed,
+        )
         self._front = Front(
-            desk=Desk(
+            job_handler=JobHandler(
                 store=self._store,
                 clock=clock,
                 health=self._health,
@@ -150,9 +153,9 @@
             revisions=self._revisions,
             clock=clock,
             count_afresh=self._may_count_wrongly,
-            pauses=self._pauses,
+            suspension=self._suspension,
         )
-        self.app.spawn(self._pauses.run(), name='pauses')
+        self.app.spawn(self._suspension.run(), name='pauses')
         self.app.spawn(self._revisions.run(), name='revisions')
         self._election_task = self.app.spawn(
             self._election.run(),
@@ -231,7 +234,7 @@
             worker_feed=RegisteredWorkers(),
             timing=self._settings.timing,
             revision=self._revisions,
-            closures=self._closures,
+            closures=self._closed_data_centres,
             advisor=PlatformAdvisor(
                 caller=self._caller,
                 address=self._settings.advisor_address,
@@ -258,7 +261,7 @@
         Leases, orders and ages need no help: they count the pause.
         """
         self._health.invalidate()
-        self._revisions.doubt()
+        self._revisions.invalidate()
 
     def _peer_addresses(self) -> tuple[str, ...]:
         return self._peers.addresses
@@ -269,7 +272,7 @@
         return self._election.leader_silent_s > COUNT_AFRESH_S
 
     async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._pauses.look()
+        self._suspension.check()
         return web.Response(status=200 if self.is_ready else 503)
 
 
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -17,7 +17,7 @@
     TaskWorker,
 )
 from curranthill.dispatch.session import WorkerSession
-from curranthill.entry import Closures, Desk
+from curranthill.entry import ClosedDataCentres, JobHandler
 from curranthill.errors import NotSentError, WorkerReplyLostError
 from curranthill.placement import ALL_ON, WorkerEntry
 from curranthill.standin.rows import RowModel
@@ -449,7 +449,7 @@
 
 
 class TestHost:
-    """One host: a desk, and an election that may make it the leader.
+    """One host: a job handler, and an election that may make it the leader.
 
     :param clock: the host's own, which can be suspended.
     :param orders: all orders that it sent to workers.
@@ -471,7 +471,7 @@
             clock=self.clock,
         )
         self.health = StoreHealth(clock=self.clock)
-        self.closures = Closures(
+        self.closures = ClosedDataCentres(
             clock=self.clock,
             decode=decode_closure,
             cease_s=Timing().evacuate_s,
@@ -485,7 +485,7 @@
             operator_rows=self.closures,
             others=lambda: domain.others,
         )
-        self.desk = Desk(
+        self.job_handler = JobHandler(
             store=self._store,
             clock=self.clock,
             health=self.health,
@@ -503,7 +503,7 @@
 
     async def accept(self, spec: JobSpec) -> None:
         """Accept a job while time moves on."""
-        await self.during(self.desk.accept(spec, 3.0))
+        await self.during(self.job_handler.accept(spec, 3.0))
 
     async def during(self, work: Awaitable[object]) -> object:
         """Move time on until some work is done; return its result."""
@@ -527,8 +527,8 @@
             ),
             clock=self.clock,
             table=OPERATOR_TABLE,
-            on_snapshot=self.closures.take_all,
-            on_changes=self.closures.take_changes,
+            on_snapshot=self.closures.replace_all,
+            on_changes=self.closures.apply_changes,
             on_confirmed=self.closures.confirm,
         )
         await follower.read()
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -9,7 +9,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from curranthill.entry import Closures
+from curranthill.entry import ClosedDataCentres
 from curranthill.platform.configuration import decode_closure
 from curranthill.storage.rows import StoredRow
 from curranthill.tasks import Step, TaskKey, Timing
@@ -221,18 +221,24 @@
 class RowsTest(unittest.TestCase):
     """What the operators' rows say."""
 
-    def closures(self) -> Closures:
+    def closures(self) -> ClosedDataCentres:
         """Return closures that have been read just now."""
         clock = ManualClock()
-        found = Closures(clock=clock, decode=decode_closure, cease_s=5.0)
+        found = ClosedDataCentres(
+            clock=clock,
+            decode=decode_closure,
+            cease_s=5.0,
+        )
         found.confirm(clock.monotonic_s())
         return found
 
     def test_several_are_closed_and_opened_one_by_one(self) -> None:
         """One is closed again the moment it was taken back."""
         found = self.closures()
-        found.take_changes((closing('evacuate/a', 1), closing('evacuate/b', 2)))
-        found.take_changes(
+        found.apply_changes(
+            (closing('evacuate/a', 1), closing('evacuate/b', 2)),
+        )
+        found.apply_changes(
             (
                 closing('evacuate/a', 3, removed=True),
                 closing('evacuate/a', 4),
@@ -245,22 +251,22 @@
     def test_a_whole_reading_opens_what_it_does_not_hold(self) -> None:
         """The feed's history was lost with the removal in it."""
         found = self.closures()
-        found.take_all((closing('evacuate/a', 1), closing('config', 2)))
-        found.take_all((closing('evacuate/c', 4),))
+        found.replace_all((closing('evacuate/a', 1), closing('config', 2)))
+        found.replace_all((closing('evacuate/c', 4),))
         self.assertEqual(list(found.closed), ['c'])
 
     def test_records_of_a_wrong_shape_stop_nothing(self) -> None:
         """One without a name is passed over; the key alone closes."""
         found = self.closures()
         broken = StoredRow('op', 'evacuate/b', b'[1, "no map"', 3)
-        found.take_changes((closing('evacuate/', 1), broken))
+        found.apply_changes((closing('evacuate/', 1), broken))
         self.assertEqual(list(found.closed), ['b'])
         self.assertTrue(found.allows_starts('a'))
 
     def test_a_data_centre_without_workers_may_be_closed(self) -> None:
         """It changes nothing elsewhere."""
         found = self.closures()
-        found.take_changes((closing('evacuate/nowhere', 1),))
+        found.apply_changes((closing('evacuate/nowhere', 1),))
         self.assertTrue(found.allows_starts('a'))
 
     def test_knowledge_lasts_three_fifths_of_the_bound(self) -> None:
@@ -268,7 +274,11 @@
 
         async def case() -> None:
             clock = ManualClock()
-            found = Closures(clock=clock, decode=decode_closure, cease_s=5.0)
+            found = ClosedDataCentres(
+                clock=clock,
+                decode=decode_closure,
+                cease_s=5.0,
+            )
             self.assertFalse(found.allows_starts('a'))
             found.confirm(clock.monotonic_s())
             await clock.advance(2.9)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -16,7 +16,7 @@
 from curranthill.dispatch.election import SILENCE_S
 from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.leadership import take_over
-from curranthill.entry import Closures, RevisionFollower
+from curranthill.entry import ClosedDataCentres, RevisionFollower
 from curranthill.errors import ReplyLostError
 from curranthill.placement import ActiveJob
 from curranthill.platform.calls import STALL_TIMEOUT_S
@@ -120,7 +120,11 @@
             clock=clock,
             table=TABLE,
             decode=decode_revision,
-            closures=Closures(clock=clock, decode=decode_closure, cease_s=0),
+            closed_data_centres=ClosedDataCentres(
+                clock=clock,
+                decode=decode_closure,
+                cease_s=0,
+            ),
         )
         following = asyncio.ensure_future(self.revisions.run())
 
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -15,7 +15,11 @@
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S
 from curranthill.dispatch.session import RAISES_PER_EPOCH
 from curranthill.dispatch.work import ORDER_FRESHNESS_S
-from curranthill.entry import Closures, PauseWatch, RevisionFollower
+from curranthill.entry import (
+    ClosedDataCentres,
+    RevisionFollower,
+    SuspensionDetector,
+)
 from curranthill.storage.rows import RowPut
 from curranthill.tasks import Revision, Step, TaskKey
 from tests.domain import (
@@ -159,7 +163,7 @@
             other = domain.start_host('h2')
             await domain.clock.advance(1)
             accepting = asyncio.ensure_future(
-                other.desk.accept(make_spec('a1'), 3.0),
+                other.job_handler.accept(make_spec('a1'), 3.0),
             )
             await domain.clock.advance(0.001)
             await suspended(domain, other, 10.0)
@@ -194,17 +198,17 @@
 
         async def case(domain: Domain) -> None:
             told: list[float] = []
-            watch = PauseWatch(
+            detector = SuspensionDetector(
                 clock=domain.clock,
                 on_resume=lambda: told.append(domain.clock.monotonic_s()),
             )
-            watch.look()
+            detector.check()
             await domain.clock.advance(0.9)
-            watch.look()
+            detector.check()
             self.assertEqual(told, [])
             await domain.clock.advance(5)
-            watch.look()
-            watch.look()
+            detector.check()
+            detector.check()
             self.assertEqual(len(told), 1)
 
         in_domain(case)
@@ -222,11 +226,13 @@
             domain.rows.down.add('h1')
             await domain.clock.advance(5)
             host.clock.resume()
-            revisions.doubt()
-            self.assertFalse(await host.during(revisions.checked()))
+            revisions.invalidate()
+            confirmed = await host.during(revisions.wait_until_confirmed())
+            self.assertFalse(confirmed)
             domain.rows.down.clear()
             await domain.clock.advance(2)
-            self.assertTrue(await host.during(revisions.checked()))
+            confirmed = await host.during(revisions.wait_until_confirmed())
+            self.assertTrue(confirmed)
             assert revisions.current is not None
             self.assertEqual(revisions.current.number, 2)
 
@@ -250,7 +256,7 @@
             queues=(),
             workspaces=(),
         ),
-        closures=Closures(
+        closed_data_centres=ClosedDataCentres(
             clock=host.clock,
             decode=decode_closure,
             cease_s=5.0,
--- a/tests/test_unread_operators.py
+++ b/tests/test_unread_operators.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from curranthill.entry import Closures
+from curranthill.entry import ClosedDataCentres
 from curranthill.platform import read_platform_settings
 from curranthill.platform.configuration import decode_closure
 from curranthill.tasks import Step
@@ -125,8 +125,12 @@
     def test_starts_do_not_wait_for_readings(self) -> None:
         """Nothing was read for a long time, and nothing is closed."""
         clock = ManualClock()
-        closures = Closures(clock=clock, decode=decode_closure, cease_s=0.0)
-        self.assertTrue(closures.allows_starts('dc'))
+        closed = ClosedDataCentres(
+            clock=clock,
+            decode=decode_closure,
+            cease_s=0.0,
+        )
+        self.assertTrue(closed.allows_starts('dc'))
 
     def test_the_settings_say_so(self) -> None:
         """The bound is none unless the platform names one."""
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,7 +7,7 @@
 from curranthill.admission import waits_for
 from curranthill.commands.trace import told
 from curranthill.dispatch import waiting
-from curranthill.entry import desk
+from curranthill.entry import job_handler
 from curranthill.placement import (
     RUNNING,
     ActiveJob,
@@ -316,7 +316,7 @@
                 self.assertEqual(len(gauge.values), 11)
                 self.assertEqual(sum(gauge.values.values()), 16)
                 for number in range(18):
-                    await host.during(host.desk.cancel(f'w{number}'))
+                    await host.during(host.job_handler.cancel(f'w{number}'))
                 await domain.clock.advance(3.0)
                 self.assertEqual(sum(gauge.values.values()), 0)
 
@@ -328,7 +328,7 @@
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             lines = Lines()
-            with patch.object(desk, 'events', lines):
+            with patch.object(job_handler, 'events', lines):
                 self.assertTrue(await is_refused(second, gang('a1', domain)))
             line = lines.of('turned_away')[0]
             self.assertEqual(len(lines.of('turned_away')), 1)
