--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -68,7 +68,7 @@
             await self._app.clock.sleep(REPORT_INTERVAL_S)
 
     async def _own_allotment(self, peak: int) -> list[AllottedWorker] | None:
-        scheduler = self._notifier.active(self._view.own.data_centre)
+        scheduler = self._notifier.active_scheduler(self._view.own.data_centre)
         if scheduler is None:
             return None
         return await self._report(scheduler, peak, spill=False)
@@ -84,7 +84,7 @@
             return []
         demand = waiting if own else peak
         for name in self._neighbours():
-            scheduler = self._notifier.active(name)
+            scheduler = self._notifier.active_scheduler(name)
             if scheduler is None:
                 continue
             workers = await self._report(scheduler, demand, spill=True)
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -279,7 +279,7 @@
         stays here while others cannot be heard.
         """
         own = data_centre == self._data_centre
-        leader = self._notifier.active(data_centre)
+        leader = self._notifier.active_scheduler(data_centre)
         if leader is None:
             return (0 if own else _UNHEARD, not own, data_centre)
         crowding = (leader.waiting_slots + 1) / (leader.free_slots + 1)
--- a/src/curranthill/membership/__init__.py
+++ b/src/curranthill/membership/__init__.py
@@ -2,7 +2,7 @@
 
 from curranthill.membership.node import Node, NodeSettings
 from curranthill.membership.prober import PeerService, Prober
-from curranthill.membership.spread import ConfigurationSpread
+from curranthill.membership.replication import ConfigurationReplicator
 from curranthill.membership.view import (
     ALIVE,
     DEAD,
@@ -18,7 +18,7 @@
     'DEAD',
     'LEFT',
     'SUSPECT',
-    'ConfigurationSpread',
+    'ConfigurationReplicator',
     'Load',
     'Member',
     'Node',
--- a/src/curranthill/membership/node.py
+++ b/src/curranthill/membership/node.py
@@ -10,7 +10,7 @@
 from curranthill.membership.notify import Notifier
 from curranthill.membership.operations import OperationsService
 from curranthill.membership.prober import PeerService, Prober
-from curranthill.membership.spread import ConfigurationSpread
+from curranthill.membership.replication import ConfigurationReplicator
 from curranthill.membership.view import Member, View
 from curranthill.protocol import Channels, InnerServer
 from curranthill.settings import (
@@ -82,7 +82,7 @@
             channels=self.channels,
             settings=settings.membership,
         )
-        self.spread = ConfigurationSpread(
+        self.replicator = ConfigurationReplicator(
             app=app,
             holder=self.configuration,
             revisions=RevisionStore(platform=self.platform, clock=app.clock),
@@ -100,7 +100,7 @@
 
     async def serve(self, handlers: Sequence[Any]) -> None:
         """Serve the inner protocol, with more handlers of the daemon's own."""
-        peers = PeerService(prober=self.prober, content=self.spread.content)
+        peers = PeerService(prober=self.prober, content=self.replicator.content)
         operations = OperationsService(
             view=self.view,
             configuration=self.configuration,
@@ -119,7 +119,7 @@
         """Read the host list, look for peers, follow the configuration."""
         await self.directory.start()
         await self.prober.start()
-        await self.spread.start()
+        await self.replicator.start()
 
     async def leave(self) -> None:
         """Tell peers that this process leaves."""
--- a/src/curranthill/membership/notify.py
+++ b/src/curranthill/membership/notify.py
@@ -33,19 +33,19 @@
         self._app = app
         self._view = view
         self._channels = channels
-        self._news: dict[str, list[str]] = {}
+        self._pending: dict[str, list[str]] = {}
 
     def notify(self, data_centre: str, job_id: str) -> None:
         """Tell the scheduler of a data centre of a job, soon."""
-        waiting = self._news.get(data_centre)
+        waiting = self._pending.get(data_centre)
         if waiting is not None:
             if len(waiting) < _BOUND:
                 waiting.append(job_id)
             return
-        self._news[data_centre] = [job_id]
+        self._pending[data_centre] = [job_id]
         self._app.spawn(self._send(data_centre), name='notify')
 
-    def active(self, data_centre: str) -> Member | None:
+    def active_scheduler(self, data_centre: str) -> Member | None:
         """Return the active scheduler of a data centre, as peers tell."""
         leaders = [
             member
@@ -58,20 +58,20 @@
         # A moment lets arrivals of one burst share a call.
         await asyncio.sleep(0)
         tries = 0
-        while self._news[data_centre] and tries < _TRIES:
-            batch = self._news[data_centre][:_BATCH]
+        while self._pending[data_centre] and tries < _TRIES:
+            batch = self._pending[data_centre][:_BATCH]
             if await self._tell(data_centre, batch):
                 # More may have come meanwhile; only what was told goes.
-                news = self._news[data_centre]
-                self._news[data_centre] = news[len(batch) :]
+                news = self._pending[data_centre]
+                self._pending[data_centre] = news[len(batch) :]
                 tries = 0
             else:
                 tries += 1
                 await self._app.clock.sleep(_RETRY_S)
-        self._news.pop(data_centre)
+        self._pending.pop(data_centre)
 
     async def _tell(self, data_centre: str, job_ids: list[str]) -> bool:
-        scheduler = self.active(data_centre)
+        scheduler = self.active_scheduler(data_centre)
         if scheduler is None:
             return False
         try:
--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -14,13 +14,13 @@
 from curranthill.settings import MembershipSettings
 
 #: Changes carried on one probe.
-NEWS_PER_PROBE = 6
+UPDATES_PER_PROBE = 6
 
 #: Peers asked to reach a silent one before it is doubted.
 RELAYS = 2
 
 #: One probe in this many goes to another data centre.
-REMOTE_EVERY = 4
+REMOTE_PROBE_INTERVAL = 4
 
 
 ContentSource = Callable[[int], inner_pb2.ConfigurationContent]
@@ -65,7 +65,7 @@
 
     async def probe(self, address: str, *, full_view: bool = False) -> bool:
         """Probe one address; return whether it answered."""
-        news = self._view.take_news(NEWS_PER_PROBE)
+        news = self._view.take_updates(UPDATES_PER_PROBE)
         request = inner_pb2.ProbeRequest(
             sender=message_of(self._view.own),
             news=[message_of(member) for member in news],
@@ -80,20 +80,20 @@
             )
         except PeerError:
             return False
-        learn_all(self._view, (reply.answerer, *reply.news))
+        apply_updates(self._view, (reply.answerer, *reply.news))
         return True
 
-    def answer(
+    def handle_probe(
         self,
         request: inner_pb2.ProbeRequest,
     ) -> inner_pb2.ProbeReply:
         """Take in a probe and answer with news of our own."""
         newcomer = self._view.get(request.sender.name) is None
-        learn_all(self._view, (request.sender, *request.news))
+        apply_updates(self._view, (request.sender, *request.news))
         if request.full_view or newcomer:
             members = self._view.alive()
         else:
-            members = self._view.take_news(NEWS_PER_PROBE)
+            members = self._view.take_updates(UPDATES_PER_PROBE)
         return inner_pb2.ProbeReply(
             answerer=message_of(self._view.own),
             news=[message_of(member) for member in members],
@@ -124,19 +124,19 @@
         target = self._next_target()
         if target is None or await self.probe(target.address):
             return
-        if not await self.ask_others(target):
+        if not await self.probe_indirectly(target):
             self._channels.forget(target.address)
             self._view.suspect(target.name)
 
     def _next_target(self) -> Member | None:
         """Return the next peer: each of a round once, in random order."""
-        if self._probes % REMOTE_EVERY == 0:
+        if self._probes % REMOTE_PROBE_INTERVAL == 0:
             remote = self._remote_contacts()
             if remote:
                 return self._random.choice(remote)
         while self._round:
             member = self._view.get(self._round.pop())
-            if member is not None and member.answers:
+            if member is not None and member.counts_as_alive:
                 return member
         own = self._view.own
         self._round = [
@@ -160,7 +160,7 @@
             )
         return contacts
 
-    async def ask_others(self, target: Member) -> bool:
+    async def probe_indirectly(self, target: Member) -> bool:
         """Return whether a third process reaches a silent one."""
         helpers = [
             member
@@ -207,7 +207,7 @@
     async def Probe(self, stream: Any) -> None:  # noqa: N802
         """Answer a probe."""
         request = await stream.recv_message()
-        await stream.send_message(self._prober.answer(request))
+        await stream.send_message(self._prober.handle_probe(request))
 
     async def Relay(self, stream: Any) -> None:  # noqa: N802
         """Probe a third process for a peer."""
@@ -221,10 +221,10 @@
         await stream.send_message(self._content(request.above_revision))
 
 
-def learn_all(view: View, messages: Iterable[inner_pb2.Member]) -> None:
+def apply_updates(view: View, messages: Iterable[inner_pb2.Member]) -> None:
     """Take in the news of a probe."""
     for message in messages:
-        view.learn(member_of(message))
+        view.apply(member_of(message))
 
 
 def _nearest_by_rank(
--- a/src/curranthill/membership/spread.py
+++ b/src/curranthill/membership/replication.py
@@ -23,7 +23,7 @@
 FETCH_TIMEOUT_S = 3.0
 
 
-class ConfigurationSpread:
+class ConfigurationReplicator:
     """Move the holder upwards from whichever source is first.
 
     :param interval_s: the time between two reads of the table's row.
@@ -87,7 +87,7 @@
 
     def _on_member(self, member: Member) -> None:
         behind = member.revision > self._holder.revision
-        if behind and member.answers and not self._fetching:
+        if behind and member.counts_as_alive and not self._fetching:
             self._fetching = True
             self._app.spawn(self._fetch(member), name='configuration fetch')
 
@@ -114,4 +114,4 @@
             self._holder.move(manifest, json.loads(content.merged_json))
 
 
-__all__ = ('ConfigurationSpread',)
+__all__ = ('ConfigurationReplicator',)
--- a/src/curranthill/membership/view.py
+++ b/src/curranthill/membership/view.py
@@ -13,7 +13,7 @@
 LEFT: Final = 3
 
 #: Each change is passed on this many times for each doubling of the view.
-NEWS_FACTOR: Final = 3
+TRANSMIT_FACTOR: Final = 3
 
 #: How long a dead or left member is kept, so that late news of it loses.
 TOMBSTONE_S: Final = 60.0
@@ -51,7 +51,7 @@
     waiting_slots: int = 0
 
     @property
-    def answers(self) -> bool:
+    def counts_as_alive(self) -> bool:
         """Return whether the member counts as one to talk to."""
         return self.status in {ALIVE, SUSPECT}
 
@@ -71,7 +71,7 @@
         self._clock = clock
         self._members: dict[str, Member] = {}
         self._changed_s: dict[str, float] = {}
-        self._news_left: dict[str, int] = {}
+        self._transmits_left: dict[str, int] = {}
         self._listeners: list[Listener] = []
 
     def __iter__(self) -> Iterator[Member]:
@@ -91,7 +91,7 @@
         return [
             member
             for member in (self.own, *self._members.values())
-            if member.answers
+            if member.counts_as_alive
             and role in {'', member.role}
             and data_centre in {'', member.data_centre}
         ]
@@ -119,9 +119,9 @@
         if own == self.own:
             return
         self.own = own._replace(incarnation=own.incarnation + 1)
-        self._make_news(own.name)
+        self._queue_update(own.name)
 
-    def learn(self, told: Member) -> bool:
+    def apply(self, told: Member) -> bool:
         """Take in news of a member; return whether it changed the view.
 
         Higher incarnations win; at the same one, the worse status wins.
@@ -131,11 +131,11 @@
         known = self._members.get(told.name)
         if known is not None and not _overrides(told, known):
             return False
-        if known is None and not told.answers:
+        if known is None and not told.counts_as_alive:
             return False
         self._members[told.name] = told
         self._changed_s[told.name] = self._clock.monotonic_s()
-        self._make_news(told.name)
+        self._queue_update(told.name)
         if known is None or known.status != told.status:
             logger.bind(step='membership', peer=told.name).info(
                 '{} is {}',
@@ -150,7 +150,7 @@
         """Doubt a member that did not answer."""
         member = self._members.get(name)
         if member is not None and member.status == ALIVE:
-            self.learn(member._replace(status=SUSPECT))
+            self.apply(member._replace(status=SUSPECT))
 
     def expire(self, suspicion_s: float) -> None:
         """Declare long doubted members dead and drop old tombstones."""
@@ -158,21 +158,21 @@
         for member in self:
             age_s = now_s - self._changed_s[member.name]
             if member.status == SUSPECT and age_s >= suspicion_s:
-                self.learn(member._replace(status=DEAD))
-            elif not member.answers and age_s >= TOMBSTONE_S:
+                self.apply(member._replace(status=DEAD))
+            elif not member.counts_as_alive and age_s >= TOMBSTONE_S:
                 self._members.pop(member.name)
                 self._changed_s.pop(member.name)
-                self._news_left.pop(member.name, None)
+                self._transmits_left.pop(member.name, None)
 
-    def take_news(self, limit: int) -> list[Member]:
+    def take_updates(self, limit: int) -> list[Member]:
         """Return up to ``limit`` changes to pass on, the freshest first."""
-        names = sorted(self._news_left, key=self._news_order)[:limit]
+        names = sorted(self._transmits_left, key=self._update_order)[:limit]
         news: list[Member] = []
         for name in names:
             member = self.get(name)
-            self._news_left[name] -= 1
-            if self._news_left[name] <= 0:
-                self._news_left.pop(name)
+            self._transmits_left[name] -= 1
+            if self._transmits_left[name] <= 0:
+                self._transmits_left.pop(name)
             if member is not None:
                 news.append(member)
         return news
@@ -185,15 +185,15 @@
         # Somebody doubts this process, or an earlier run of it was better
         # known: a higher incarnation settles both.
         self.own = self.own._replace(incarnation=told.incarnation + 1)
-        self._make_news(self.own.name)
+        self._queue_update(self.own.name)
         return True
 
-    def _make_news(self, name: str) -> None:
+    def _queue_update(self, name: str) -> None:
         size = max(2, len(self._members) + 1)
-        self._news_left[name] = NEWS_FACTOR * size.bit_length()
+        self._transmits_left[name] = TRANSMIT_FACTOR * size.bit_length()
 
-    def _news_order(self, name: str) -> int:
-        return -self._news_left[name]
+    def _update_order(self, name: str) -> int:
+        return -self._transmits_left[name]
 
 
 def _overrides(told: Member, known: Member) -> bool:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -64,9 +64,9 @@
         first, second = make_view(), make_view()
         for view, told in ((first, news), (second, shuffled)):
             for name in ('a', 'b'):
-                view.learn(member(name, address='1:1', incarnation=0))
+                view.apply(member(name, address='1:1', incarnation=0))
             for one in told:
-                view.learn(one)
+                view.apply(one)
         for name in ('a', 'b'):
             one, two = first.get(name), second.get(name)
             assert one is not None
@@ -79,34 +79,34 @@
     def test_a_doubted_process_refutes(self) -> None:
         """It raises its incarnation, which wins everywhere."""
         view, other = make_view(), make_view()
-        view.learn(member('me', status=SUSPECT))
+        view.apply(member('me', status=SUSPECT))
         self.assertGreater(view.own.incarnation, 1)
-        other.learn(member('me2', incarnation=1))
+        other.apply(member('me2', incarnation=1))
         other.suspect('me2')
-        self.assertTrue(other.learn(member('me2', incarnation=2)))
+        self.assertTrue(other.apply(member('me2', incarnation=2)))
 
     def test_silence_becomes_death_and_a_return_is_believed(self) -> None:
         """Flapping: dead, then back with a higher incarnation."""
         clock = ManualClock()
         view = make_view(clock)
-        view.learn(member('a'))
+        view.apply(member('a'))
         for incarnation in (2, 3, 4):
             view.suspect('a')
             run(clock.advance(3))
             view.expire(3)
             self.assertEqual(len(view.alive()), 1)
-            view.learn(member('a', incarnation=incarnation))
+            view.apply(member('a', incarnation=incarnation))
             self.assertEqual(len(view.alive()), 2)
 
     def test_late_news_of_a_dead_process_loses(self) -> None:
         """A tombstone keeps it out until it is truly new."""
         clock = ManualClock()
         view = make_view(clock)
-        view.learn(member('a', status=DEAD))
+        view.apply(member('a', status=DEAD))
         self.assertIsNone(view.get('a'))
-        view.learn(member('a'))
-        view.learn(member('a', status=DEAD))
-        self.assertFalse(view.learn(member('a')))
+        view.apply(member('a'))
+        view.apply(member('a', status=DEAD))
+        self.assertFalse(view.apply(member('a')))
         run(clock.advance(61))
         view.expire(3)
         self.assertIsNone(view.get('a'))
@@ -114,17 +114,17 @@
     def test_a_reused_address_is_another_process(self) -> None:
         """Names tell processes apart, not addresses."""
         view = make_view()
-        view.learn(member('old', address='9:9'))
-        view.learn(member('old', address='9:9', status=LEFT, incarnation=2))
-        view.learn(member('new', address='9:9'))
+        view.apply(member('old', address='9:9'))
+        view.apply(member('old', address='9:9', status=LEFT, incarnation=2))
+        view.apply(member('new', address='9:9'))
         names = {one.name for one in view.alive()}
         self.assertEqual(names, {'me', 'new'})
 
     def test_news_is_passed_on_a_bounded_number_of_times(self) -> None:
         """Each change leaves the news after some probes."""
         view = make_view()
-        view.learn(member('a'))
-        told = [view.take_news(6) for _ in range(50)]
+        view.apply(member('a'))
+        told = [view.take_updates(6) for _ in range(50)]
         self.assertTrue(told[0])
         self.assertEqual(told[-1], [])
 
@@ -189,7 +189,7 @@
         async def case() -> None:
             app = Application(name='g')
             view = make_view()
-            view.learn(member('s', role='scheduler', leading_epoch=1))
+            view.apply(member('s', role='scheduler', leading_epoch=1))
             channels: Any = _SlowChannels()
             notifier = Notifier(app=app, view=view, channels=channels)
             jobs = [f'j{number}' for number in range(300)]
@@ -255,15 +255,15 @@
             first, helper, target = Peer('a'), Peer('b'), Peer('c')
             for peer in (first, helper, target):
                 await peer.start()
-            first.view.learn(helper.view.own)
+            first.view.apply(helper.view.own)
             unreachable = target.view.own._replace(address='127.0.0.1:1')
-            first.view.learn(unreachable)
+            first.view.apply(unreachable)
             answers = await asyncio.gather(
                 first.prober.probe(unreachable.address),
                 helper.prober.probe(target.view.own.address),
             )
             self.assertEqual(answers, [False, True])
-            reached = await first.prober.ask_others(target.view.own)
+            reached = await first.prober.probe_indirectly(target.view.own)
             self.assertTrue(reached)
             for peer in (first, helper, target):
                 await peer.stop()
