--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -159,7 +159,7 @@
     def _drop_leaving(self) -> None:
         for worker in self._pool:
             if self._leaving(worker.name):
-                worker.leaving = True
+                worker.draining = True
 
     def _leaving(self, name: str) -> bool:
         entry = self._directory.entries.get(name)
--- a/src/curranthill/gateway/daemon.py
+++ b/src/curranthill/gateway/daemon.py
@@ -10,7 +10,7 @@
 from curranthill.membership import Node, NodeSettings
 from curranthill.membership.notify import Notifier
 from curranthill.routing import (
-    Ejection,
+    OutlierEjector,
     RetryBudget,
     Router,
     WorkerPool,
@@ -97,7 +97,10 @@
             clock=clock,
             pool=pool,
             choice=choices.get(quick.choice)(None),
-            ejection=Ejection(clock=clock, healthy_share=quick.healthy_share),
+            ejector=OutlierEjector(
+                clock=clock,
+                healthy_share=quick.healthy_share,
+            ),
             retries=RetryBudget(clock=clock, share=quick.retry_share),
             worker_at=clients.at,
             queue_bound=quick.queue_per_workspace,
--- a/src/curranthill/routing/__init__.py
+++ b/src/curranthill/routing/__init__.py
@@ -1,7 +1,7 @@
 """Choice of worker, limits, fair queues, retries and ejection."""
 
 from curranthill.routing.choice import Choice, choices
-from curranthill.routing.health import Ejection
+from curranthill.routing.ejection import OutlierEjector
 from curranthill.routing.pool import AllottedWorker, PooledWorker, WorkerPool
 from curranthill.routing.queue import FairQueue, QueueFullError
 from curranthill.routing.retries import RetryBudget
@@ -10,8 +10,8 @@
 __all__ = (
     'AllottedWorker',
     'Choice',
-    'Ejection',
     'FairQueue',
+    'OutlierEjector',
     'PooledWorker',
     'QueueFullError',
     'QuickWork',
--- a/src/curranthill/routing/pool.py
+++ b/src/curranthill/routing/pool.py
@@ -38,7 +38,7 @@
     limit: int = 1
     in_flight: int = 0
     free_slots: int = 0
-    leaving: bool = False
+    draining: bool = False
 
     @property
     def load(self) -> float:
@@ -79,7 +79,7 @@
     @property
     def capacity(self) -> int:
         """Return how many requests may be in flight in all."""
-        return sum(self.limit(worker) for worker in self if not worker.leaving)
+        return sum(self.limit(worker) for worker in self if not worker.draining)
 
     def grant(
         self,
@@ -107,7 +107,7 @@
             if name not in allotted and known.in_flight == 0:
                 self._workers.pop(name)
             elif name not in allotted:
-                known.leaving = True
+                known.draining = True
         for worker in allotted.values():
             pooled = self._workers.setdefault(
                 worker.name,
@@ -115,7 +115,7 @@
             )
             pooled.slots = worker.slots
             pooled.address = worker.address
-            pooled.leaving = False
+            pooled.draining = False
 
     def limit(self, worker: PooledWorker) -> int:
         """Return how many requests may be in flight to a worker from here."""
@@ -126,7 +126,7 @@
     def has_others(self, excluded: frozenset[str]) -> bool:
         """Return whether there is any worker that is not excluded."""
         return any(
-            not worker.leaving and worker.name not in excluded
+            not worker.draining and worker.name not in excluded
             for worker in self
         )
 
@@ -138,7 +138,7 @@
         able = [
             worker
             for worker in self
-            if not worker.leaving
+            if not worker.draining
             and worker.name not in excluded
             and worker.in_flight < self.limit(worker)
         ]
--- a/src/curranthill/routing/queue.py
+++ b/src/curranthill/routing/queue.py
@@ -24,7 +24,7 @@
 
 
 #: Returns a worker with its slot taken, or nothing if none is free.
-Take = Callable[[frozenset[str]], PooledWorker | None]
+SlotTaker = Callable[[frozenset[str]], PooledWorker | None]
 
 
 class FairQueue:
@@ -34,24 +34,24 @@
     :param take: takes a slot on a worker.
     """
 
-    def __init__(self, *, bound: int, take: Take) -> None:
+    def __init__(self, *, bound: int, take: SlotTaker) -> None:
         """Start empty."""
         self._bound = bound
         self._take = take
-        self._lines: dict[str, deque[Waiter]] = {}
+        self._waiting: dict[str, deque[Waiter]] = {}
         self._turns: deque[str] = deque()
 
     def __len__(self) -> int:
         """Return how many requests wait."""
-        return sum(len(line) for line in self._lines.values())
+        return sum(len(line) for line in self._waiting.values())
 
-    def ahead_of(self, workspace: str) -> int:
+    def count_ahead(self, workspace: str) -> int:
         """Return how many requests would go before a new one."""
-        own = len(self._lines.get(workspace, ()))
+        own = len(self._waiting.get(workspace, ()))
         # In turns, each other workspace goes at most once for each of ours.
         others = sum(
             min(len(line), own + 1)
-            for name, line in self._lines.items()
+            for name, line in self._waiting.items()
             if name != workspace
         )
         return own + others
@@ -65,14 +65,14 @@
 
         :raises QueueFullError: if too many of the workspace wait already.
         """
-        if not self._lines:
+        if not self._waiting:
             worker = self._take(excluded)
             if worker is not None:
                 return worker
-        line = self._lines.get(workspace)
+        line = self._waiting.get(workspace)
         if line is None:
             line = deque()
-            self._lines[workspace] = line
+            self._waiting[workspace] = line
             self._turns.append(workspace)
         if len(line) >= self._bound:
             raise QueueFullError
@@ -90,7 +90,7 @@
         while self._turns and passed_over < len(self._turns):
             workspace = self._turns[0]
             self._turns.rotate(-1)
-            waiter = self._lines[workspace][0]
+            waiter = self._waiting[workspace][0]
             worker = self._take(waiter.excluded)
             if worker is None:
                 passed_over += 1
@@ -100,12 +100,12 @@
             waiter.granted.set_result(worker)
 
     def _withdraw(self, workspace: str, waiter: Waiter) -> None:
-        line = self._lines.get(workspace)
+        line = self._waiting.get(workspace)
         if line is None or waiter not in line:
             return
         line.remove(waiter)
         if not line:
-            self._lines.pop(workspace)
+            self._waiting.pop(workspace)
             self._turns.remove(workspace)
 
 
--- a/src/curranthill/routing/retries.py
+++ b/src/curranthill/routing/retries.py
@@ -8,7 +8,7 @@
 WINDOW_S: Final = 10.0
 
 #: Retries allowed in a window however few the requests.
-LEAST: Final = 3
+MIN_RETRIES: Final = 3
 
 
 class RetryBudget:
@@ -33,7 +33,7 @@
     def take(self) -> bool:
         """Return whether one more retry is allowed, and count it."""
         self._decay()
-        if self._retries + 1 > max(LEAST, self._share * self._requests):
+        if self._retries + 1 > max(MIN_RETRIES, self._share * self._requests):
             return False
         self._retries += 1
         return True
--- a/src/curranthill/routing/router.py
+++ b/src/curranthill/routing/router.py
@@ -19,7 +19,7 @@
     WorkerUnreachableError,
 )
 from curranthill.routing.choice import Choice
-from curranthill.routing.health import Ejection
+from curranthill.routing.ejection import OutlierEjector
 from curranthill.routing.pool import PooledWorker, WorkerPool
 from curranthill.routing.queue import FairQueue, QueueFullError
 from curranthill.routing.retries import RetryBudget
@@ -37,7 +37,7 @@
 
 #: Workers that may be lost with one request. It may be what crashes them, and
 #: a request whose first worker was lost by chance has a second try.
-MOST_LOSSES: Final = 2
+MAX_LOSSES: Final = 2
 
 _TOO_MANY: Final = 429
 _UNAVAILABLE: Final = 503
@@ -73,18 +73,18 @@
         clock: Clock,
         pool: WorkerPool,
         choice: Choice,
-        ejection: Ejection,
+        ejector: OutlierEjector,
         retries: RetryBudget,
         worker_at: Callable[[str], Worker],
         queue_bound: int,
     ) -> None:
         """Keep the parts."""
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self.in_flight = 0
         self._clock = clock
         self._pool = pool
         self._choice = choice
-        self._ejection = ejection
+        self._ejector = ejector
         self._retries = retries
         self._worker_at = worker_at
         self._queue = FairQueue(bound=queue_bound, take=self._take)
@@ -105,7 +105,7 @@
             try:
                 return await self._send(work, worker, until_s)
             except WorkerError as error:
-                self._judge(work, worker, error)
+                self._record_failure(work, worker, error)
                 if not isinstance(error, WorkerBusyError):
                     excluded |= {worker.name}
                 losses += _outcome(error) == UNKNOWN
@@ -117,8 +117,8 @@
 
     def take_peak(self) -> int:
         """Return the most that were in flight or waiting since last asked."""
-        peak = max(self.most_in_flight, self.in_flight + len(self._queue))
-        self.most_in_flight = self.in_flight
+        peak = max(self.max_in_flight, self.in_flight + len(self._queue))
+        self.max_in_flight = self.in_flight
         return peak
 
     @property
@@ -133,7 +133,7 @@
     def _admit(self, work: QuickWork) -> None:
         """Refuse at once what cannot be done before its deadline."""
         run_s = self._run_s.get(work.kind, _FIRST_RUN_S)
-        ahead = self._queue.ahead_of(work.workspace)
+        ahead = self._queue.count_ahead(work.workspace)
         capacity = self._pool.capacity
         if capacity == 0:
             return
@@ -176,20 +176,20 @@
         candidates = [
             worker
             for worker in self._pool.candidates(excluded)
-            if not self._ejection.ejected(worker.name)
-            and worker.in_flight < self._slow_limit(worker)
+            if not self._ejector.is_ejected(worker.name)
+            and worker.in_flight < self._in_flight_limit(worker)
         ]
         if not candidates:
             return None
         worker = self._choice(candidates)
         worker.in_flight += 1
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         return worker
 
-    def _slow_limit(self, worker: PooledWorker) -> int:
-        part = self._ejection.part(worker.name)
-        return max(1, int(worker.limit * part)) if part else 0
+    def _in_flight_limit(self, worker: PooledWorker) -> int:
+        share = self._ejector.limit_share(worker.name)
+        return max(1, int(worker.limit * share)) if share else 0
 
     async def _send(
         self,
@@ -220,10 +220,10 @@
                 deadline_s=max(0.001, until_s - begun_s),
             ),
         )
-        self._learn(work, worker, reply, begun_s)
+        self._record_reply(work, worker, reply, begun_s)
         return reply
 
-    def _learn(
+    def _record_reply(
         self,
         work: QuickWork,
         worker: PooledWorker,
@@ -234,10 +234,10 @@
         worker.free_slots = reply.free_slots
         known_s = self._run_s.get(work.kind, took_s)
         self._run_s[work.kind] = known_s + _SMOOTHING * (took_s - known_s)
-        self._ejection.record(worker.name, work.kind, failed=False)
+        self._ejector.record(worker.name, work.kind, failed=False)
         metrics.quick_latency_s.record(took_s)
 
-    def _judge(
+    def _record_failure(
         self,
         work: QuickWork,
         worker: PooledWorker,
@@ -246,7 +246,7 @@
         if isinstance(error, WorkerBusyError):
             worker.free_slots = 0
             return
-        if self._ejection.record(worker.name, work.kind, failed=True):
+        if self._ejector.record(worker.name, work.kind, failed=True):
             logger.bind(step='health', peer=worker.name).warning(
                 '{} is ejected: it fails what its peers do well',
                 worker.name,
@@ -272,7 +272,7 @@
             await self._clock.sleep(_BUSY_WAIT_S)
             return
         safe = outcome == NOT_RUN or (work.idempotent and outcome == UNKNOWN)
-        safe = safe and in_time and losses < MOST_LOSSES
+        safe = safe and in_time and losses < MAX_LOSSES
         safe = safe and self._pool.has_others(excluded)
         if safe and self._retries.take():
             metrics.retries.add(1)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -17,8 +17,8 @@
 )
 from curranthill.routing import (
     AllottedWorker,
-    Ejection,
     FairQueue,
+    OutlierEjector,
     PooledWorker,
     QueueFullError,
     QuickWork,
@@ -196,7 +196,7 @@
         clock=clock,
         pool=pool,
         choice=choices.get('round_robin')(None),
-        ejection=Ejection(clock=clock, healthy_share=0.5),
+        ejector=OutlierEjector(clock=clock, healthy_share=0.5),
         retries=RetryBudget(clock=clock, share=0.1),
         worker_at=workers.at,
         queue_bound=8,
@@ -310,18 +310,18 @@
     def setUp(self) -> None:
         """Judge four workers."""
         self.clock = ManualClock()
-        self.ejection = Ejection(clock=self.clock, healthy_share=0.5)
+        self.ejector = OutlierEjector(clock=self.clock, healthy_share=0.5)
         self.names = ['a', 'b', 'c', 'd']
 
     def feed(self, failing: set[str], times: int = 10) -> None:
         """Record results of each worker."""
         for _ in range(times):
             for name in self.names:
-                self.ejection.record(name, 'k', failed=name in failing)
+                self.ejector.record(name, 'k', failed=name in failing)
 
     def out(self) -> set[str]:
         """Return the ejected workers."""
-        return {name for name in self.names if self.ejection.ejected(name)}
+        return {name for name in self.names if self.ejector.is_ejected(name)}
 
     def test_a_worker_that_fails_everything_goes_and_comes_back(self) -> None:
         """It is ejected, then gets a part of its load, then all."""
@@ -329,9 +329,9 @@
         self.assertEqual(self.out(), {'a'})
         run(self.clock.advance(5.5))
         self.assertEqual(self.out(), set())
-        self.assertLess(self.ejection.part('a'), 0.2)
+        self.assertLess(self.ejector.limit_share('a'), 0.2)
         run(self.clock.advance(10))
-        self.assertEqual(self.ejection.part('a'), 1)
+        self.assertEqual(self.ejector.limit_share('a'), 1)
 
     def test_a_kind_that_fails_everywhere_ejects_no_one(self) -> None:
         """The peers are no better."""
