--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -136,7 +136,7 @@
                 return self._random.choice(remote)
         while self._round:
             member = self._view.get(self._round.pop())
-            if member is not None and member.counts_as_alive:
+            if member is not None and member.is_reachable:
                 return member
         own = self._view.own
         self._round = [
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -87,7 +87,7 @@
 
     def _on_member(self, member: Member) -> None:
         behind = member.revision > self._holder.revision
-        if behind and member.counts_as_alive and not self._fetching:
+        if behind and member.is_reachable and not self._fetching:
             self._fetching = True
             self._app.spawn(self._fetch(member), name='configuration fetch')
 
--- a/src/curranthill/membership/view.py
+++ b/src/curranthill/membership/view.py
@@ -51,7 +51,7 @@
     waiting_slots: int = 0
 
     @property
-    def counts_as_alive(self) -> bool:
+    def is_reachable(self) -> bool:
         """Return whether the member counts as one to talk to."""
         return self.status in {ALIVE, SUSPECT}
 
@@ -91,7 +91,7 @@
         return [
             member
             for member in (self.own, *self._members.values())
-            if member.counts_as_alive
+            if member.is_reachable
             and role in {'', member.role}
             and data_centre in {'', member.data_centre}
         ]
@@ -131,7 +131,7 @@
         known = self._members.get(told.name)
         if known is not None and not _overrides(told, known):
             return False
-        if known is None and not told.counts_as_alive:
+        if known is None and not told.is_reachable:
             return False
         self._members[told.name] = told
         self._changed_s[told.name] = self._clock.monotonic_s()
@@ -159,7 +159,7 @@
             age_s = now_s - self._changed_s[member.name]
             if member.status == SUSPECT and age_s >= suspicion_s:
                 self.apply(member._replace(status=DEAD))
-            elif not member.counts_as_alive and age_s >= TOMBSTONE_S:
+            elif not member.is_reachable and age_s >= TOMBSTONE_S:
                 self._members.pop(member.name)
                 self._changed_s.pop(member.name)
                 self._transmits_left.pop(member.name, None)
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -449,7 +449,7 @@
 
 
 class TestHost:
-    """One host: a job handler, and an election that may make it the leader.
+    """One host: a desk, and an election that may make it the leader.
 
     :param clock: the host's own, which can be suspended.
     :param orders: all orders that it sent to workers.
@@ -485,7 +485,7 @@
             operator_rows=self.closures,
             others=lambda: domain.others,
         )
-        self.job_handler = JobHandler(
+        self.desk = JobHandler(
             store=self._store,
             clock=self.clock,
             health=self.health,
@@ -503,7 +503,7 @@
 
     async def accept(self, spec: JobSpec) -> None:
         """Accept a job while time moves on."""
-        await self.during(self.job_handler.accept(spec, 3.0))
+        await self.during(self.desk.accept(spec, 3.0))
 
     async def during(self, work: Awaitable[object]) -> object:
         """Move time on until some work is done; return its result."""
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -55,7 +55,7 @@
 
         async def hand_in() -> None:
             try:
-                await host.job_handler.accept(spec, 3.0)
+                await host.desk.accept(spec, 3.0)
             except RefusedError as refused:
                 if refused.status == 503:
                     self.refused.add(job_id)
@@ -72,7 +72,7 @@
 
         async def cancel() -> None:
             try:
-                await host.job_handler.cancel(job_id)
+                await host.desk.cancel(job_id)
             except RefusedError:
                 return
 
@@ -239,7 +239,7 @@
 
 
 class AnyFaultTest(unittest.TestCase):
-    """Random faults against the leader, sessions, job handler and election."""
+    """Random faults against the real leader, sessions, desk and election."""
 
     # Without shrinking, which takes minutes here; an example is short enough.
     @settings(max_examples=40, phases=(Phase.explicit, Phase.generate))
