--- a/tests/domain.py
+++ b/tests/domain.py
@@ -17,7 +17,7 @@
     TaskWorker,
 )
 from curranthill.dispatch.session import WorkerSession
-from curranthill.entry import Closures, Desk
+from curranthill.entry import ClosedDataCentres, JobHandler
 from curranthill.errors import NotSentError, WorkerReplyLostError
 from curranthill.placement import NONE_DISABLED, WorkerEntry
 from curranthill.standin.rows import RowModel
@@ -471,7 +471,7 @@
             clock=self.clock,
         )
         self.health = StoreHealth(clock=self.clock)
-        self.closures = Closures(
+        self.closures = ClosedDataCentres(
             clock=self.clock,
             decode=decode_closure,
             cease_s=Timing().evacuate_s,
@@ -485,7 +485,7 @@
             operator_rows=self.closures,
             others=lambda: domain.others,
         )
-        self.desk = Desk(
+        self.desk = JobHandler(
             store=self._store,
             clock=self.clock,
             health=self.health,
@@ -527,9 +527,9 @@
             ),
             clock=self.clock,
             table=OPERATOR_TABLE,
-            take_all=self.closures.take_all,
-            take_changes=self.closures.take_changes,
-            confirm=self.closures.confirm,
+            on_snapshot=self.closures.replace_all,
+            on_changes=self.closures.apply_changes,
+            on_confirmed=self.closures.confirm,
         )
         await follower.read()
         await follower.follow()
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,7 +7,7 @@
 from curranthill.admission import waiting_reason
 from curranthill.commands.trace import told
 from curranthill.dispatch import waiting
-from curranthill.entry import desk
+from curranthill.entry import job_handler
 from curranthill.placement import (
     RUNNING,
     ActiveJob,
@@ -328,7 +328,7 @@
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             lines = Lines()
-            with patch.object(desk, 'events', lines):
+            with patch.object(job_handler, 'events', lines):
                 self.assertTrue(await is_refused(second, gang('a1', domain)))
             line = lines.of('turned_away')[0]
             self.assertEqual(len(lines.of('turned_away')), 1)
