--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -1,6 +1,6 @@
-"""What starts where, what is stopped for it, and what moves.
+"""Placement of tasks on workers, preemption, and moves of running tasks.
 
-Decisions only: no input or output, no clock, no event loop, no log lines.
+Pure decisions: no input or output, no clock, no event loop, no logging.
 """
 
 from curranthill.placement.backlog import BacklogCursor
--- a/src/curranthill/placement/backlog.py
+++ b/src/curranthill/placement/backlog.py
@@ -1,7 +1,8 @@
-"""Which jobs of a long backlog a round looks at besides the first.
+"""The jobs of a long backlog that a round of placement considers.
 
-Answers more waiting jobs than one round can look at: none of the first may fit,
-and one further back may.
+One round can't consider all waiting jobs of a long backlog. Besides the first
+ones it considers a part of the others: if none of the first fits, one further
+back may.
 """
 
 from collections.abc import Sequence
@@ -9,23 +10,23 @@
 
 from curranthill.placement.jobs import ActiveJob
 
-#: How many waiting jobs one round looks at, the first in their order: bounds a
-#: round's processor time under a backlog.
+#: How many of the first waiting jobs one round considers: bounds the processor
+#: time of a round under a backlog.
 JOBS_PER_ROUND: Final = 200
 
-#: How many of the others one round looks at besides.
+#: How many of the others one round considers in addition.
 LATER_JOBS_PER_ROUND: Final = 50
 
 
 class BacklogCursor:
-    """Where in the backlog the next round goes on."""
+    """The position in the backlog at which the next round continues."""
 
     def __init__(self) -> None:
-        """Start right after the first jobs."""
+        """Initialize at the position after the first jobs."""
         self._position = 0
 
     def take(self, later: Sequence[ActiveJob]) -> Sequence[ActiveJob]:
-        """Return the next of the jobs that come after the first."""
+        """Return the next part of the jobs after the first; wrap at the end."""
         if self._position >= len(later):
             self._position = 0
         began = self._position
--- a/src/curranthill/placement/durations.py
+++ b/src/curranthill/placement/durations.py
@@ -1,7 +1,7 @@
-"""How long the work of a queue takes, against what its callers estimate.
+"""Estimation of how long the work of a queue takes.
 
-Answers estimates that are off by a factor of their queue: what is learnt of
-the steps that ran lately is expected of the next one.
+Callers' estimates are often wrong by a factor that is typical of their queue.
+The ratio of run time to estimate of the latest steps is expected of the next.
 """
 
 import math
@@ -10,30 +10,31 @@
 from statistics import median
 from typing import Final, NamedTuple
 
-#: How many steps of a queue are remembered: enough for a median that no
-#: single job moves, few enough to follow callers whose jobs change.
-STEPS_KEPT: Final = 32
+#: How many steps of a queue are stored: enough for a median that no single job
+#: moves, few enough to follow callers whose jobs change.
+MAX_STEPS: Final = 32
 
-#: As many steps as these count for a ratio of one, so that the first job of a
-#: queue does not speak for all.
+#: The weight of the prior, a ratio of one, in steps: so the first job of a
+#: queue does not determine the estimate.
 PRIOR_STEPS: Final = 3
 
-#: How far the estimates of a queue are off that nothing is known of, as a
+#: The spread of the ratio of a queue of which nothing has run, as a natural
 #: logarithm.
-UNKNOWN_SPREAD: Final = 0.6
+PRIOR_SPREAD: Final = 0.6
 
-#: The least spread of a queue's steps, as a logarithm: callers round.
-LEAST_SPREAD: Final = 0.1
+#: The least spread of a queue's ratio, as a logarithm: callers round their
+#: estimates.
+MIN_SPREAD: Final = 0.1
 
-#: What the median distance from the median is to a standard deviation.
-DEVIATION_PER_MEDIAN: Final = 1.48
+#: The standard deviation over the median absolute deviation (MAD).
+DEVIATION_PER_MAD: Final = 1.48
 
 
 class Ratio(NamedTuple):
     """Run time over estimate on a typical worker.
 
-    :param log: the logarithm of the median.
-    :param spread: how far steps lie from it, as a logarithm.
+    :param log: the natural logarithm of the median.
+    :param spread: the standard deviation of the logarithms, with the prior.
     """
 
     log: float
@@ -45,46 +46,49 @@
         return math.exp(self.log)
 
 
-_START: Final = tuple(0.0 for _ in range(PRIOR_STEPS))
+_PRIOR_LOGS: Final = tuple(0.0 for _ in range(PRIOR_STEPS))
 
-#: What is expected of a queue of which nothing has run.
-UNKNOWN: Final = Ratio(0.0, UNKNOWN_SPREAD)
+#: The ratio expected of a queue of which nothing has run.
+UNKNOWN: Final = Ratio(0.0, PRIOR_SPREAD)
 
 
 class DurationEstimator:
-    """Ratios of run time to estimate, by queue."""
+    """Estimates the ratio of run time to estimate of each queue."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Initialize without any recorded step."""
         self._steps: dict[str, OrderedDict[Hashable, float]] = {}
-        self._known: dict[str, Ratio] = {}
+        self._cache: dict[str, Ratio] = {}
 
     def record(self, queue: str, step: Hashable, log_ratio: float) -> None:
-        """Take note of a step's ratio; it takes the place of a former one."""
+        """Record the ratio of a step, replacing its previous one.
+
+        :param log_ratio: the natural logarithm of the ratio.
+        """
         steps = self._steps.setdefault(queue, OrderedDict())
         steps[step] = log_ratio
-        if len(steps) > STEPS_KEPT:
+        if len(steps) > MAX_STEPS:
             steps.popitem(last=False)
-        self._known.pop(queue, None)
+        self._cache.pop(queue, None)
 
     def ratio_of(self, queue: str) -> Ratio:
-        """Return what is expected of a queue's steps."""
-        known = self._known.get(queue)
+        """Return the ratio expected of a queue's next steps."""
+        known = self._cache.get(queue)
         if known is None:
             steps = self._steps.get(queue)
             known = _ratio(steps.values()) if steps else UNKNOWN
-            self._known[queue] = known
+            self._cache[queue] = known
         return known
 
 
 def _ratio(logs: Iterable[float]) -> Ratio:
-    """Return median and spread, with some steps of none as a start."""
+    """Return the median and spread, combined with the prior."""
     found = list(logs)
-    middle = median([*found, *_START])
-    off = median(abs(one - middle) for one in found)
-    spread = max(LEAST_SPREAD, DEVIATION_PER_MEDIAN * off)
-    weighed = len(found) * spread**2 + PRIOR_STEPS * UNKNOWN_SPREAD**2
-    return Ratio(middle, math.sqrt(weighed / (len(found) + PRIOR_STEPS)))
+    center = median([*found, *_PRIOR_LOGS])
+    deviation = median(abs(one - center) for one in found)
+    spread = max(MIN_SPREAD, DEVIATION_PER_MAD * deviation)
+    weighted = len(found) * spread**2 + PRIOR_STEPS * PRIOR_SPREAD**2
+    return Ratio(center, math.sqrt(weighted / (len(found) + PRIOR_STEPS)))
 
 
 __all__ = ('UNKNOWN', 'DurationEstimator', 'Ratio')
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as the leader holds them: what is ready, what runs, what is over."""
+"""The leader's records of jobs: which steps are ready, run, or are done."""
 
 import math
 from collections.abc import Iterator
@@ -23,13 +23,13 @@
 
 
 class ReadyStep(NamedTuple):
-    """Tasks of one step whose turn has come and of which no run can exist.
+    """Tasks of one step that may start now and of which no run can exist.
 
-    :param tickets: by worker, for queues whose policy allows only some.
-    :param exclusive: nothing else may run on their workers.
-    :param suspect: one of the tasks may be what crashed its workers.
-    :param starving: their job has waited for long while most room is free, and
-        takes room that is kept.
+    :param tickets: by worker, for queues whose advisor allows only some.
+    :param exclusive: whether nothing else may run on their workers.
+    :param suspect: whether one of the tasks is suspected of crashing workers.
+    :param starving: whether their job has waited for long while most capacity
+        is free, so that they may use reserved capacity.
     """
 
     occurrence: int
@@ -43,28 +43,30 @@
 
     @property
     def name(self) -> str:
-        """Return the name that an advisor knows the step by."""
+        """Return the name under which an advisor knows the step."""
         key = self.tasks[0]
         return f'{key.job_id}.{key.occurrence}.{key.step}'
 
 
 class ActiveJob:
-    """One accepted job that still matters to the leader.
+    """An accepted job that has not ended, or whose runs have not.
 
-    What the specification alone tells is worked out once: each round asks it
-    of every job.
+    Values that depend only on the specification are computed once, since each
+    round uses them for every job.
 
     :param runs: the newest run of each task that may exist.
-    :param perpetual: whether tasks of it run until it is cancelled.
+    :param perpetual: whether some of its tasks run until it is cancelled.
     :param objective_s: when it should be done, in wall-clock seconds.
-    :param first_due_s: from when on that counts, in wall-clock seconds.
-    :param chain_s: the estimated longest chain of its steps, in seconds.
-    :param gpus: the accelerators that all its tasks take together.
-    :param suspects: tasks that may be what crashed their workers.
+    :param first_due_s: when the time of the objective starts, in wall-clock
+        seconds.
+    :param chain_s: the estimated time of its longest chain of steps, in
+        seconds.
+    :param gpus: the accelerators that all its tasks use together.
+    :param suspects: tasks that are suspected of crashing their workers.
     """
 
     def __init__(self, *, spec: JobSpec, progress: JobProgress) -> None:
-        """Take in a job with its progress as stored."""
+        """Initialize a job from its stored specification and progress."""
         self.spec = spec
         self.progress = progress
         self.runs: dict[TaskKey, Run] = {}
@@ -74,7 +76,7 @@
         self.chain_s = spec.chain_s
         self.gpus = spec.gpus
         self.suspects: set[TaskKey] = set()
-        self._waits_since_s: dict[TaskKey, float] = {}
+        self._waiting_since_s: dict[TaskKey, float] = {}
         self._idle_since_s: float | None = None
         self._preempted_for: set[tuple[int, int]] = set()
         self._done_steps: set[tuple[int, int]] = set()
@@ -95,11 +97,11 @@
 
     @property
     def stops(self) -> int:
-        """Return how often runs of it were stopped for others."""
+        """Return how often runs of it were preempted."""
         return self.progress.stops
 
     def ready_steps(self, now_s: float) -> Iterator[ReadyStep]:
-        """Yield what may start at a wall-clock time in seconds."""
+        """Yield the steps that may start at a wall-clock time in seconds."""
         if self.ended:
             return
         for occurrence in range(self.spec.occurrences):
@@ -110,20 +112,20 @@
                 if ready is None:
                     continue
                 if self.suspects:
-                    yield from self._apart(ready, now_s)
+                    yield from self._isolate_suspects(ready, now_s)
                 else:
                     yield ready
 
     def keys_of(self, occurrence: int, number: int) -> tuple[TaskKey, ...]:
         """Return the keys of one step's tasks."""
-        place = (occurrence, number)
-        keys = self._keys.get(place)
+        step_id = (occurrence, number)
+        keys = self._keys.get(step_id)
         if keys is None:
             keys = tuple(
                 TaskKey(self.spec.job_id, occurrence, number, rank)
                 for rank in range(self.spec.steps[number].width)
             )
-            self._keys[place] = keys
+            self._keys[step_id] = keys
         return keys
 
     def step_of(self, key: TaskKey) -> Step:
@@ -131,7 +133,7 @@
         return self.spec.steps[key.step]
 
     def members_of(self, key: TaskKey) -> tuple[TaskKey, ...]:
-        """Return the tasks that run and end with this one."""
+        """Return the tasks that run and end together with this one."""
         if self.step_of(key).gang:
             return self.keys_of(key.occurrence, key.step)
         return (key,)
@@ -143,16 +145,16 @@
 
     def step_done(self, occurrence: int, number: int) -> bool:
         """Return whether all tasks of a step are done."""
-        place = (occurrence, number)
-        if place in self._done_steps:
+        step_id = (occurrence, number)
+        if step_id in self._done_steps:
             return True
         if self.progress.is_step_done(occurrence, number):
-            self._note_step_done(place)
+            self._record_step_done(step_id)
             return True
         keys = self.keys_of(occurrence, number)
         done = all(self._is_done(key) for key in keys)
         if done:
-            self._note_step_done(place)
+            self._record_step_done(step_id)
             self.progress.note_step_done(occurrence, number, len(keys))
         return done
 
@@ -169,16 +171,16 @@
         return True
 
     def record_losses(self, key: TaskKey) -> None:
-        """Take note of what a task's losses make it."""
+        """Update whether a task is a suspect, by its recorded losses."""
         if is_suspect(self.progress.task(key)):
             self.suspects.add(key)
         else:
             self.suspects.discard(key)
 
     def gang_running_since_s(self, key: TaskKey) -> float:
-        """Return since when a task and all its fellows run, if they do.
+        """Return since when a task and all members of its gang run.
 
-        A gang works only from then on. Infinite as long as one does not run.
+        A gang makes progress only from then on. Infinite if one doesn't run.
         """
         since_s = 0.0
         for member in self.members_of(key):
@@ -189,16 +191,16 @@
         return since_s
 
     def is_exclusive(self, key: TaskKey) -> bool:
-        """Return whether a task's run is to have its worker for itself."""
+        """Return whether a task's run must have its worker exclusively."""
         if not self.suspects:
             return False
         return any(one in self.suspects for one in self.members_of(key))
 
     def idle_s(self, now_s: float) -> float:
-        """Return how long it has had something ready and nothing running.
+        """Return how long it has had a ready step and nothing running.
 
-        Counted from the first call, and anew after each start and when the
-        clock was set back.
+        Counted from the first call; reset by each start, and if the clock was
+        set back.
 
         :param now_s: wall-clock seconds.
         """
@@ -208,11 +210,13 @@
         self._idle_since_s = since_s
         return now_s - since_s
 
-    def _apart(self, ready: ReadyStep, now_s: float) -> Iterator[ReadyStep]:
-        """Yield a step's suspects apart from its other tasks, one at a time.
+    def _isolate_suspects(
+        self, ready: ReadyStep, now_s: float
+    ) -> Iterator[ReadyStep]:
+        """Yield a step's suspects separately from its other tasks, one a time.
 
-        Started together, the tasks of a step that all crash their workers
-        would take as many workers down at once. A gang starts as a whole.
+        If the tasks of a step all crash their workers, starting them together
+        would crash as many workers at once. A gang starts as a whole.
         """
         suspects = [key for key in ready.tasks if key in self.suspects]
         if not suspects:
@@ -232,7 +236,7 @@
         yield ready._replace(tasks=first, exclusive=exclusive, suspect=True)
 
     def _is_on_trial(self) -> bool:
-        """Return whether a suspect runs that may yet crash its worker."""
+        """Return whether a suspect is running that is still on trial."""
         return any(
             run.age_s < SUSPECT_TRIAL_S
             for key, run in self.runs.items()
@@ -240,36 +244,36 @@
         )
 
     def claim_preemption(self, ready: ReadyStep) -> bool:
-        """Use up a step's one preemption for speed; return whether it was left.
+        """Use up a step's one preemption for speed; return whether it had one.
 
-        A gang would stop others again in each round otherwise.
+        Without this limit a gang would preempt others again in each round.
         """
-        place = (ready.occurrence, ready.number)
-        if place in self._preempted_for:
+        step_id = (ready.occurrence, ready.number)
+        if step_id in self._preempted_for:
             return False
-        self._preempted_for.add(place)
+        self._preempted_for.add(step_id)
         return True
 
     def reset_wait(self, key: TaskKey) -> None:
-        """Have a job, and a suspect of it, wait anew the next time."""
-        self._waits_since_s.pop(key, None)
+        """Reset the waiting time of a job and of a suspect of it."""
+        self._waiting_since_s.pop(key, None)
         self._idle_since_s = None
 
     def _awaits_exclusive(self, key: TaskKey, now_s: float) -> bool:
-        """Return whether a suspect still waits for a worker of its own."""
+        """Return whether a suspect still waits for an empty worker."""
         max_wait_s = EXCLUSIVE_MAX_WAIT_S
         if self.step_of(key).perpetual:
             max_wait_s = PERPETUAL_MAX_WAIT_S
-        since_s = self._waits_since_s.setdefault(key, now_s)
+        since_s = self._waiting_since_s.setdefault(key, now_s)
         if now_s < since_s:
-            # The clock was set back; it is not known by how much.
-            self._waits_since_s[key] = now_s
+            # The clock was set back by an unknown amount.
+            self._waiting_since_s[key] = now_s
             return True
         return now_s - since_s < max_wait_s
 
-    def _note_step_done(self, place: tuple[int, int]) -> None:
-        self._done_steps.add(place)
-        self._keys.pop(place, None)
+    def _record_step_done(self, step_id: tuple[int, int]) -> None:
+        self._done_steps.add(step_id)
+        self._keys.pop(step_id, None)
 
     def _is_done(self, key: TaskKey) -> bool:
         task = self.progress.peek(key)
@@ -301,7 +305,7 @@
 
 
 def newest_checkpoint(tasks: list[TaskProgress]) -> str:
-    """Return the newest checkpoint that any of the tasks has."""
+    """Return the newest checkpoint of any of the tasks."""
     return max((task.checkpoint for task in tasks), default='')
 
 
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms of placement that can be switched off by name.
+"""Mechanisms of placement that can be disabled by name.
 
-So that each can be measured: what a mechanism is worth is the difference
-between the same load with and without it.
+This allows to measure each: its benefit is the difference between results of
+the same load with and without it.
 """
 
 from collections.abc import Iterable
@@ -9,11 +9,11 @@
 
 from curranthill.registry import Registry
 
-#: Every mechanism that can be switched off -> what it is there for.
+#: The mechanisms that can be disabled, and what each does.
 mechanisms: Final[Registry[str]] = Registry(concern='mechanism')
 
 RESERVATION: Final = 'reservation'
-RACK_PATIENCE: Final = 'rack-patience'
+RACK_WAIT: Final = 'rack-patience'
 FAILURE_SCORE: Final = 'doubt'
 BOUNDED_LOSS: Final = 'bounded-loss'
 STALLED_MOVES: Final = 'stalled-moves'
@@ -23,20 +23,28 @@
 SLOW_MOVES: Final = 'slow-moves'
 LOAD_SHEDDING: Final = 'turning-away'
 
-mechanisms.register(RESERVATION)('A gang that does not fit keeps room.')
-mechanisms.register(RACK_PATIENCE)('Tasks wait for the rack they run fast in.')
+mechanisms.register(RESERVATION)('A gang that does not fit reserves capacity.')
+mechanisms.register(RACK_WAIT)(
+    'Tasks wait for the rack in which they run fast.'
+)
 mechanisms.register(FAILURE_SCORE)(
-    'Workers at which runs failed are taken last.'
+    'Workers with recent failures are chosen last.'
+)
+mechanisms.register(BOUNDED_LOSS)(
+    'Urgent jobs without a guarantee evict little work.'
+)
+mechanisms.register(STALLED_MOVES)('Stalled runs are restarted elsewhere.')
+mechanisms.register(INFEASIBLE_LAST)(
+    'Jobs that can earn no credit are served last.'
 )
-mechanisms.register(BOUNDED_LOSS)('Uncovered urgent jobs stop little work.')
-mechanisms.register(STALLED_MOVES)('Runs that stand still start elsewhere.')
-mechanisms.register(INFEASIBLE_LAST)('Work of no more use to anyone goes last.')
 mechanisms.register(IN_TIME_FIRST)(
-    'What can be in time goes before what is late.'
+    'Jobs that can be in time are served before late ones.'
+)
+mechanisms.register(SLOW_MOVES)('Runs are moved off slow workers.')
+mechanisms.register(SPEEDS)('Tasks start on workers on which they end in time.')
+mechanisms.register(LOAD_SHEDDING)(
+    'Hosts refuse jobs whose wait makes them too late.'
 )
-mechanisms.register(SLOW_MOVES)('Runs leave workers found to be slow.')
-mechanisms.register(SPEEDS)('Tasks start where they end in time.')
-mechanisms.register(LOAD_SHEDDING)('Hosts refuse what waiting makes too late.')
 
 
 #: The value of ``disabled`` when every mechanism is on.
@@ -44,9 +52,9 @@
 
 
 def validate_mechanisms(names: Iterable[str]) -> frozenset[str]:
-    """Return names of mechanisms.
+    """Return names of mechanisms as a set, all of them checked.
 
-    :raises SettingsError: if there is no such mechanism.
+    :raises SettingsError: if there is no mechanism of such a name.
     """
     for name in names:
         mechanisms.get(name)
@@ -59,7 +67,7 @@
     'FAILURE_SCORE',
     'INFEASIBLE_LAST',
     'IN_TIME_FIRST',
-    'RACK_PATIENCE',
+    'RACK_WAIT',
     'RESERVATION',
     'SLOW_MOVES',
     'SPEEDS',
--- a/src/curranthill/placement/order.py
+++ b/src/curranthill/placement/order.py
@@ -1,7 +1,6 @@
-"""Which waiting jobs are looked at first, and which a guarantee covers.
+"""The order in which waiting jobs are served, and which a guarantee covers.
 
-Answers the load in which more waits than fits: whoever comes first in a round
-takes what is free.
+If more jobs wait than fit, the first in this order use the free capacity.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,7 +15,7 @@
 
 
 def is_urgent(job: ActiveJob) -> bool:
-    """Return whether a job's queue goes before all others."""
+    """Return whether a job's queue has the urgent priority."""
     return job.spec.queue.priority == URGENT
 
 
@@ -26,8 +25,8 @@
 ) -> set[str]:
     """Return the ids of urgent jobs that their workspace's guarantee covers.
 
-    Earlier jobs are covered first, so that one more job never takes the
-    guarantee away from those before it.
+    Earlier jobs are covered first, so that a later job never removes the
+    guarantee of those before it.
 
     :param guaranteed: guaranteed accelerators by workspace.
     """
@@ -49,9 +48,10 @@
     covered: set[str],
     now_s: float,
 ) -> set[str]:
-    """Return the ids of jobs that wait until all others are served.
+    """Return the ids of infeasible jobs, which are served after all others.
 
-    :param covered: ids of jobs that a guarantee covers: it goes first.
+    :param covered: ids of jobs that a guarantee covers; these are served first
+        in any case.
     :param now_s: wall-clock seconds.
     """
     return {
@@ -66,8 +66,8 @@
 def late_jobs(jobs: Iterable[ActiveJob], now_s: float) -> set[str]:
     """Return the ids of jobs that will miss their objective in any case.
 
-    They go after jobs of their priority that can be in time, until aging ends
-    that.
+    They are served after the jobs of their priority that can be in time, until
+    they have aged.
 
     :param now_s: wall-clock seconds.
     """
@@ -86,13 +86,15 @@
     infeasible: set[str],
     late: set[str],
 ) -> list[ActiveJob]:
-    """Return jobs as they are served: guarantees, what lasts, then by need.
+    """Return jobs in the order in which they are served.
 
-    Within a priority the earliest objective goes first: it has the least time
-    left to earn its worth.
+    Guaranteed jobs are first, then perpetual ones, then the others by priority.
+    Within a priority the earliest objective is first: it has the least time
+    left to earn its credit.
 
-    :param infeasible: ids of jobs that go after all others.
-    :param late: ids of jobs that go after the others of their priority.
+    :param covered: ids of jobs that a guarantee covers.
+    :param infeasible: ids of jobs that are served after all others.
+    :param late: ids of jobs that are served after the others of their priority.
     """
     return sorted(
         jobs,
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -1,4 +1,4 @@
-"""One round of placement: which tasks start where, and what is stopped."""
+"""One round of placement: which tasks start where, and which runs stop."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -26,7 +26,7 @@
     IN_TIME_FIRST,
     INFEASIBLE_LAST,
     NONE_DISABLED,
-    RACK_PATIENCE,
+    RACK_WAIT,
     RESERVATION,
 )
 from curranthill.placement.order import (
@@ -53,16 +53,19 @@
 from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: An urgent job that no guarantee covers may throw away at most so many times
-#: its own work: more of it would serve others worse than it serves its caller.
+#: An urgent job that no guarantee covers may destroy at most so many times its
+#: own work: beyond that, others lose more than its caller gains.
 MAX_LOSS_FACTOR: Final = 3.0
 
-#: The rooms of a service that has no workers.
-_NO_WORKERS: Final = ServiceCapacity(workers=())
+#: The capacity of a service without workers.
+_NO_CAPACITY: Final = ServiceCapacity(workers=())
 
 
 class Placement(NamedTuple):
-    """Tasks of one step that start now; gangs are placed whole."""
+    """Tasks of one step that start now; a gang is placed as a whole.
+
+    :param workers: the tasks and the ids of their workers.
+    """
 
     job: ActiveJob
     ready: ReadyStep
@@ -70,12 +73,13 @@
 
 
 class Plan(NamedTuple):
-    """What one round decided.
+    """The decisions of one round.
 
-    :param stopped_for: for each of the victims, the id of the job that its
-        room goes to.
-    :param reserved_for: the ids of the jobs that room is kept for, by
-        reservation or after a preemption, in the order of their turn.
+    :param victims: the runs to stop.
+    :param stopped_for: for each of the victims, the id of the job that it is
+        stopped for.
+    :param reserved_for: the ids of the jobs that have capacity reserved or
+        claimed after a preemption, in the order in which they are served.
     """
 
     placements: tuple[Placement, ...]
@@ -84,21 +88,21 @@
     reserved_for: tuple[str, ...] = ()
 
 
-def as_estimated(queue: str) -> float:
-    """Return the ratio of run time to estimate of which nothing is known."""
+def ratio_of_one(queue: str) -> float:
+    """Return 1, the ratio of run time to estimate of an unknown queue."""
     return 1.0
 
 
 class Planner:
-    """One round of decisions over a snapshot.
+    """One round of decisions on a snapshot.
 
-    :param workers: the workers that accept work, by service.
+    :param workers: the capacity of the workers that accept work, by service.
     :param guaranteed: guaranteed accelerators by workspace.
     :param now_s: wall-clock seconds.
-    :param tickets: returns a step's good tickets by worker; asked only for
+    :param tickets: returns a step's valid tickets by worker; called only for
         queues with an advisor.
-    :param windows: who keeps room for how long, over all rounds.
-    :param backlog: where a long backlog is gone on with, over all rounds.
+    :param windows: the reservation windows, shared by all rounds.
+    :param backlog: the position in a long backlog, shared by all rounds.
     :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
     """
@@ -113,9 +117,9 @@
         windows: ReservationWindows | None = None,
         backlog: BacklogCursor | None = None,
         disabled: frozenset[str] = NONE_DISABLED,
-        ratio_of: Callable[[str], float] = as_estimated,
+        ratio_of: Callable[[str], float] = ratio_of_one,
     ) -> None:
-        """Keep the snapshot."""
+        """Initialize a round in which nothing is decided."""
         self._ratio_of = ratio_of
         self._tickets = tickets
         self._windows = windows or ReservationWindows()
@@ -130,7 +134,9 @@
             for found in workers.values()
             for worker in found
         }
-        self._unlike = len({one.speed for one in self._workers.values()}) > 1
+        self._speeds_differ = (
+            len({one.speed for one in self._workers.values()}) > 1
+        )
         self._guaranteed = guaranteed
         self._now_s = now_s
         self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=()))
@@ -140,8 +146,8 @@
         self._reserved_for: dict[str, None] = {}
         self._covered: set[str] = set()
         self._infeasible: set[str] = set()
-        self._too_large: set[tuple[str, Step]] = set()
-        self._mostly_free: dict[str, bool] = {}
+        self._not_fitting: set[tuple[str, Step]] = set()
+        self._free_services: dict[str, bool] = {}
         self._reservations_left = (
             0 if RESERVATION in disabled else MAX_RESERVATIONS
         )
@@ -152,7 +158,7 @@
         waiting = [job for job in known if not job.ended]
         self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
-        later = self._place_first(self._in_service_order(waiting))
+        later = self._place_first_jobs(self._in_service_order(waiting))
         for job in self._backlog.take(later):
             self._place_job(job)
         return Plan(
@@ -162,17 +168,19 @@
             tuple(self._reserved_for),
         )
 
-    def _place_first(self, jobs: Sequence[ActiveJob]) -> Sequence[ActiveJob]:
-        """Look at the first jobs that may start; return the others."""
-        looked_at = 0
+    def _place_first_jobs(
+        self, jobs: Sequence[ActiveJob]
+    ) -> Sequence[ActiveJob]:
+        """Place the first jobs that may start; return the others."""
+        considered = 0
         for number, job in enumerate(jobs):
-            if looked_at >= JOBS_PER_ROUND:
+            if considered >= JOBS_PER_ROUND:
                 return jobs[number:]
-            looked_at += self._place_job(job)
+            considered += self._place_job(job)
         return ()
 
     def _place_job(self, job: ActiveJob) -> bool:
-        """Place what may start of a job; return whether anything may."""
+        """Place the ready steps of a job; return whether it has any."""
         ready_steps = list(job.ready_steps(self._now_s))
         for ready in ready_steps:
             self._place_step(job, self._with_tickets(job, ready))
@@ -196,12 +204,12 @@
         return ready._replace(tickets=self._tickets(job, ready))
 
     def _place_step(self, job: ActiveJob, ready: ReadyStep) -> None:
-        # A task that lasts must be at work again soon, however full all is.
+        # A perpetual task must run again soon, also on a full cluster.
         urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
-        may_skip = not (urgent or advised or self._starves(job))
-        if may_skip and shape in self._too_large:
+        may_skip = not (urgent or advised or self._is_starving(job))
+        if may_skip and shape in self._not_fitting:
             return
         groups = self._groups(job, ready)
         required = self._required_speed(job, ready)
@@ -214,14 +222,14 @@
                 return
             chosen = choose_group(ready, groups, required)
         self._place(job, ready, chosen)
-        missing = ready.tasks[len(chosen) :]
-        if not missing or ready.exclusive:
+        remaining = ready.tasks[len(chosen) :]
+        if not remaining or ready.exclusive:
             return
         if urgent:
-            self._preempt_for_capacity(job, ready, missing, groups, required)
+            self._preempt_for_capacity(job, ready, remaining, groups, required)
             return
         if not advised:
-            self._too_large.add(shape)
+            self._not_fitting.add(shape)
         if ready.step.gang and self._reservations_left:
             self._reserve(job, ready, groups)
 
@@ -232,26 +240,26 @@
         groups: list[Sequence[WorkerCapacity]],
         required: RequiredSpeed,
     ) -> Fit:
-        """Take rooms, also ones that are kept if a job starves otherwise.
+        """Choose workers; for a starving job also reserved capacity.
 
-        None are taken for suspects that have their share of workers.
+        None are chosen for suspects if these have their share of workers.
         """
         chosen = choose_group(ready, groups, required)
         if ready.exclusive and chosen and self._too_many_exclusive(job):
             release_all(ready, chosen)
             chosen = []
-        if chosen or not self._starves(job):
+        if chosen or not self._is_starving(job):
             return chosen
         return choose_group(ready._replace(starving=True), groups, required)
 
-    def _starves(self, job: ActiveJob) -> bool:
+    def _is_starving(self, job: ActiveJob) -> bool:
         if job.idle_s(self._now_s) < MAX_IDLE_S:
             return False
         service = job.spec.queue.service
-        if service not in self._mostly_free:
-            workers = self._services.get(service, _NO_WORKERS).workers
-            self._mostly_free[service] = is_mostly_free(workers)
-        return self._mostly_free[service]
+        if service not in self._free_services:
+            workers = self._services.get(service, _NO_CAPACITY).workers
+            self._free_services[service] = is_mostly_free(workers)
+        return self._free_services[service]
 
     def _too_many_exclusive(self, job: ActiveJob) -> bool:
         workers = self._services[job.spec.queue.service].workers
@@ -268,7 +276,7 @@
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
     ) -> None:
-        """Keep room for a gang that does not fit now, if it is its turn."""
+        """Reserve capacity for a gang that does not fit, within its window."""
         workers = find_workers_to_reserve(ready, groups)
         if not workers:
             return
@@ -298,8 +306,8 @@
     def _required_speed(
         self, job: ActiveJob, ready: ReadyStep
     ) -> RequiredSpeed:
-        """Return what a step asks of its workers, if they differ at all."""
-        if not self._unlike:
+        """Return the speed that a step requires, if workers differ at all."""
+        if not self._speeds_differ:
             return ANY
         ratio = self._ratio_of(job.spec.queue.name)
         return required_speed(job, ready, ratio, self._now_s)
@@ -309,8 +317,8 @@
         job: ActiveJob,
         ready: ReadyStep,
     ) -> list[Sequence[WorkerCapacity]]:
-        """Return the sets of rooms that a step may be placed in, best first."""
-        workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
+        """Return the sets of workers that a step may use, best first."""
+        workers = self._services.get(job.spec.queue.service, _NO_CAPACITY)
         if ready.tickets is not None:
             workers = workers.limited_to(ready.tickets)
         return candidate_groups(
@@ -318,8 +326,8 @@
         )
 
     def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
-        """Return whether a job goes on waiting for the right rack."""
-        if RACK_PATIENCE in self._disabled:
+        """Return whether a job continues to wait for the right rack."""
+        if RACK_WAIT in self._disabled:
             return False
         return waits_for_rack(job, ready, self._now_s)
 
@@ -329,16 +337,16 @@
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
     ) -> bool:
-        """Stop others so that an urgent gang ends in time, once for a step.
+        """Preempt others so that an urgent gang ends in time, once for a step.
 
-        On the slow workers that are free it would run in vain, so that is what
-        may be thrown away for it. Afterwards it waits only for what is being
-        stopped already.
+        On the slow workers that are free its own work would be wasted, so it
+        may destroy as much of others. Afterwards it waits only for runs that
+        are already being stopped.
         """
         step = ready.step
         tasks = len(ready.tasks)
         max_loss = min(
-            _work(step, tasks),
+            _work_core_s(step, tasks),
             self._max_loss(job, step, tasks),
         )
         best = self._best_eviction(ready.tasks, step, groups, max_loss)
@@ -352,22 +360,24 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        missing: tuple[TaskKey, ...],
+        remaining: tuple[TaskKey, ...],
         groups: list[Sequence[WorkerCapacity]],
         required: RequiredSpeed,
     ) -> None:
-        """Stop what is needed for urgent tasks, and keep what gets free."""
-        batches = [missing] if ready.step.gang else [(key,) for key in missing]
+        """Preempt runs for urgent tasks, and claim what gets free."""
+        batches = (
+            [remaining] if ready.step.gang else [(key,) for key in remaining]
+        )
         for tasks in batches:
             max_loss = self._max_loss(job, ready.step, len(tasks))
             best = self._best_eviction(tasks, ready.step, groups, max_loss)
             if best is None:
-                # The tasks that are left need the same.
+                # The remaining tasks need as much.
                 return
             if required.is_met_by_typical and any(
                 map(required.delays_gang, best.workers)
             ):
-                work_core_s = _work(ready.step, len(tasks))
+                work_core_s = _work_core_s(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
                         tasks,
@@ -386,7 +396,7 @@
         groups: list[Sequence[WorkerCapacity]],
         max_loss: float,
     ) -> Eviction | None:
-        """Return the eviction of the least loss over all groups, if any."""
+        """Return the eviction with the least loss over all groups, if any."""
         best: Eviction | None = None
         for group in groups:
             found = self._eviction_finder.cheapest(tasks, step, group, max_loss)
@@ -396,13 +406,13 @@
         return best
 
     def _max_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
-        """Return the most work that room for tasks may throw away."""
+        """Return the most work that may be lost for tasks, in core-seconds."""
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
         if BOUNDED_LOSS in self._disabled:
             return math.inf
-        return MAX_LOSS_FACTOR * _work(step, tasks)
+        return MAX_LOSS_FACTOR * _work_core_s(step, tasks)
 
     def _evict(
         self,
@@ -421,13 +431,13 @@
             claimed.claim(needs)
 
 
-def _work(step: Step, tasks: int) -> float:
+def _work_core_s(step: Step, tasks: int) -> float:
     """Return the work of so many tasks of a step, in core-seconds."""
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
 def _is_delayed(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
-    """Return whether slow workers make a gang late that could be in time."""
+    """Return whether slow workers make a gang late that can be in time."""
     if not ready.step.gang or not required.is_met_by_typical:
         return False
     return any(required.delays_gang(worker) for _, worker in chosen)
--- a/src/curranthill/placement/reservations.py
+++ b/src/curranthill/placement/reservations.py
@@ -48,7 +48,7 @@
 def wait_for_capacity_s(workers: Iterable[WorkerCapacity]) -> float:
     """Return how long the runs on some workers take to end, by estimates."""
     return max(
-        (run.left_s for worker in workers for run in worker.runs),
+        (run.remaining_s for worker in workers for run in worker.runs),
         default=0.0,
     )
 
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -1,22 +1,24 @@
-"""Runs as the leader knows them."""
+"""The leader's records of runs."""
 
 from typing import Final, Literal
 
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: A run's life at the leader. ``marked``: stored, not yet ordered.
-#: ``ordered``: the start is under way. ``unknown``: it may or may not exist.
+#: The state of a run. ``marked``: its assignment is stored, its start is not
+#: ordered yet. ``ordered``: the start request is under way. ``unknown``: the
+#: run may or may not exist. ``running``: its worker has confirmed it.
 RunState = Literal['marked', 'ordered', 'unknown', 'running']
 
-#: What a run is to its neighbours. ``serving``: its users wait for answers
-#: within a bound; ``filling``: it takes what others leave, and slows them.
+#: How a run affects others on its worker. ``serving``: it is latency-sensitive,
+#: its users wait for responses within a bound. ``filling``: it is best effort,
+#: uses what others leave free, and slows them down.
 RunKind = Literal['plain', 'serving', 'filling']
 
 PLAIN: Final = 'plain'
 SERVING: Final = 'serving'
 FILLING: Final = 'filling'
 
-#: Priority 0 may preempt the others.
+#: The urgent priority; it may preempt the others.
 URGENT: Final = 0
 
 ASSIGNED: Final = 'marked'
@@ -24,54 +26,57 @@
 UNKNOWN: Final = 'unknown'
 RUNNING: Final = 'running'
 
-#: What a stop loses of a task with checkpoints, in seconds: the stop makes a
-#: checkpoint, so only the work while it is made.
+#: The run time that a stop loses of a task with checkpoints, in seconds: the
+#: stop makes a checkpoint, so only the work done meanwhile is lost.
 CHECKPOINT_LOSS_S: Final = 0.3
 
-#: What starting again costs besides, in seconds: the stop, a round, a start.
-RESTART_S: Final = 0.3
+#: The further cost of a restart, in seconds: the stop, a round of placement and
+#: the start.
+RESTART_COST_S: Final = 0.3
 
 
-#: A run whose percentage stays the same for so long stands still, in seconds:
-#: just under the interval of reports when nothing ends.
+#: A run is stalled if its percentage does not change for so long, in seconds:
+#: just under the interval of reports while no run ends.
 MIN_STALL_S: Final = 1.4
 
-#: The same for an urgent run that has shown no progress at all, in seconds:
-#: early enough for quick work to start elsewhere and still be in time.
+#: The same for an urgent run before its first progress report, in seconds:
+#: early enough for quick work to restart elsewhere and still end in time.
 FIRST_PROGRESS_S: Final = 0.65
 
-#: The same, as a share of the estimated run time: far from its data and on a
-#: slow worker a task still shows one percent more in that time.
-STALL_SHARE: Final = 0.1
+#: The same as a share of the estimated run time: even far from its data and on
+#: a slow worker a task progresses by one percent in that time.
+MIN_STALL_SHARE: Final = 0.1
 
-#: What a run reports that has done all its work.
+#: The progress that a run reports once all its work is done.
 ALL_DONE_PERCENT: Final = 100
 
-#: A run's pace is told from this progress on, in percent: they come in whole
-#: numbers.
+#: The least progress from which a rate is computed, in percent: reports have
+#: whole percentages.
 MIN_PROGRESS_PERCENT: Final = 5
 
-#: It is told again when the time worked has grown by this factor.
+#: The rate is computed again once the time worked has grown by this factor.
 RATE_GROWTH: Final = 2.0
 
 
 class Run:
-    """One run of one task on one worker; it takes room until its end is known.
+    """One run of a task on a worker; it uses capacity until its end is known.
 
-    :param needs: the room it takes.
-    :param priority: that of its queue; 0 goes first.
+    :param needs: the resources it uses.
+    :param priority: the priority of its queue; 0 is served first.
     :param checkpointable: whether a stop loses only the newest work.
-    :param stop_wanted: it is to end, and its room counts as becoming free;
-        whether it exists is told by its state alone.
-    :param estimate_s: how long it may take; 0 for a task that lasts.
-    :param perpetual: it runs until its job is cancelled.
-    :param kind: whether it answers users of its own, or fills what is left.
-    :param incarnation: that of the worker when it was placed there.
-    :param exclusive: nothing else may run on its worker.
-    :param age_s: how long it has run, as of the newest report.
-    :param first_clock_s: its worker's clock at the first known progress; 0 as
-        long as none is known.
+    :param stop_wanted: whether it is to end, so that its resources count as
+        becoming free. Only its state says whether it exists.
+    :param estimate_s: the estimated run time; 0 for a perpetual task.
+    :param perpetual: whether it runs until its job is cancelled.
+    :param kind: whether it is latency-sensitive or best effort.
+    :param incarnation: the incarnation of the worker when it was placed there.
+    :param exclusive: whether nothing else may run on its worker.
+    :param age_s: how long it has run, by the newest report.
+    :param first_clock_s: its worker's clock at the first known progress; 0 if
+        none is known.
     :param first_percent: that progress.
+    :param rated_s: the time worked when the rate was last computed.
+    :param confirmed_s: since when it is known to run.
     :param progress_rate: estimated seconds of work done per second; 0 unless
         the newest report gives a new value.
     """
@@ -121,7 +126,7 @@
         kind: RunKind = PLAIN,
         incarnation: int = 0,
     ) -> None:
-        """Make a run that takes its room from now on."""
+        """Initialize a run that uses its resources from now on."""
         self.estimate_s = estimate_s
         self.perpetual = perpetual
         self.kind = kind
@@ -150,28 +155,29 @@
         self.ordered_token = 0
 
     @property
-    def left_s(self) -> float:
-        """Return how long it goes on, by its estimate; 0 if it lasts."""
+    def remaining_s(self) -> float:
+        """Return its remaining run time by the estimate; 0 if perpetual."""
         return max(self.estimate_s - self.age_s, 0.0)
 
     @property
     def lost_s(self) -> float:
-        """Return the run time that a stop throws away."""
+        """Return the run time that a stop loses."""
         if self.checkpointable:
             return min(self.age_s, CHECKPOINT_LOSS_S)
         return self.age_s
 
     @property
     def loss_core_s(self) -> float:
-        """Return the work that a stop throws away, in core-seconds."""
-        return self.needs.weight_cores * (self.lost_s + RESTART_S)
+        """Return the work that a stop loses, in core-seconds."""
+        return self.needs.weight_cores * (self.lost_s + RESTART_COST_S)
 
     @property
     def stalled_s(self) -> float:
-        """Return for how long reports have shown no progress; 0 if too short.
+        """Return how long it has been stalled; 0 if it is not.
 
-        Only time between reports counts: an unreachable worker shows nothing.
-        A member of a gang that has done its work waits for the others.
+        Only the time between reports counts, since an unreachable worker sends
+        none. A gang member that has done its work waits for the others and is
+        not stalled.
         """
         watched = self.estimate_s and self.done_percent < ALL_DONE_PERCENT
         if self.state != RUNNING or not watched:
@@ -181,25 +187,25 @@
 
     @property
     def min_stall_s(self) -> float:
-        """Return how long without progress a run that works may be."""
-        shortest_s = FIRST_PROGRESS_S if self.awaits_progress else MIN_STALL_S
-        return max(shortest_s, STALL_SHARE * self.estimate_s)
+        """Return for how long a healthy run may show no progress."""
+        min_s = FIRST_PROGRESS_S if self.awaits_progress else MIN_STALL_S
+        return max(min_s, MIN_STALL_SHARE * self.estimate_s)
 
     @property
     def reported_s(self) -> float:
-        """Return when the newest report came, in seconds of the clock."""
+        """Return when the newest report came, in monotonic seconds."""
         return self.started_s + self.age_s
 
     @property
     def awaits_progress(self) -> bool:
-        """Return whether an urgent run has shown no progress yet."""
+        """Return whether it is urgent and has not reported progress yet."""
         quick = self.priority == URGENT and self.estimate_s > 0
         return quick and not self.done_percent and not self.stop_wanted
 
     def set_start_clock(self, clock_s: float) -> None:
-        """Take its worker's clock at its start, if it starts with no work done.
+        """Set its worker's clock at its start, if it starts with no work done.
 
-        One with a checkpoint begins with its first report.
+        For a run that starts from a checkpoint the first report counts.
         """
         if not self.checkpoint and not self.first_clock_s:
             self.first_clock_s = clock_s
@@ -207,8 +213,8 @@
     def update_progress_rate(self, clock_s: float) -> None:
         """Set the progress rate by the newest report; 0 without a new value.
 
-        Both ends are read off the worker's clock, so it does not matter how
-        long a report was on its way.
+        Both times are read from the worker's clock, so the delay of a report
+        doesn't matter.
 
         :param clock_s: the worker's clock at that report.
         """
@@ -242,12 +248,12 @@
 
     @property
     def name(self) -> tuple[TaskKey, int]:
-        """Return what tells this run from all others."""
+        """Return the unique name of this run."""
         return (self.key, self.attempt)
 
 
 def kind_of(step: Step) -> RunKind:
-    """Return what a step's runs are to their neighbours."""
+    """Return how runs of a step affect others on their worker."""
     if step.fills:
         return FILLING
     return SERVING if step.target_ms else PLAIN
--- a/src/curranthill/placement/speeds.py
+++ b/src/curranthill/placement/speeds.py
@@ -1,10 +1,12 @@
-"""How fast each worker is for good, learnt from the progress of its runs.
-
-Answers workers of unlike speed of which nothing is told. A run is slow because
-its worker is, because its step was estimated too short, or by itself. Tasks of
-one step on other workers tell the step's part, other steps on the same worker
-tell the worker's; what is left is the task's own and is bounded, so that a
-long task makes no worker slow.
+"""Estimation of each worker's lasting speed from the progress of its runs.
+
+The platform does not list the speeds of workers. A run is slow because its
+worker is slow, because its step was estimated too short, or because its task
+is longer than the others. The logarithm of its progress rate is modelled as
+the sum of a worker effect, a step effect and a residual: the tasks of a step
+on other workers determine the step effect, and other steps on the same worker
+the worker effect. Residuals are bounded (Huber weights), so that one long task
+doesn't make its worker count as slow.
 """
 
 import math
@@ -17,51 +19,53 @@
 from curranthill.placement.durations import DurationEstimator, Ratio
 from curranthill.tasks import TaskKey
 
-#: How far tasks of one step differ, as a logarithm: by about a third.
+#: The standard deviation between tasks of one step, as a natural logarithm:
+#: about a third.
 TASK_SPREAD: Final = 0.3
 
-#: How far workers may differ before anything is known, as a logarithm: some
-#: are twice as fast as others.
+#: The prior standard deviation between workers, as a logarithm: some are twice
+#: as fast as others.
 WORKER_SPREAD: Final = 0.5
 
-#: Beyond so many standard deviations a run pulls no harder: it is taken for a
-#: long task, or for a spell of its worker.
-BOUND_DEVIATIONS: Final = 1.5
+#: The influence of a run is bounded beyond so many standard deviations: it is
+#: taken for a long task or a temporary slowdown of its worker.
+HUBER_DEVIATIONS: Final = 1.5
 
-#: Steps that count for one worker, the newest: what changes for good is learnt
-#: within seconds, and a spell of seconds is still the smaller part.
-STEPS_A_WORKER: Final = 16
+#: The newest steps that count for one worker: few enough to learn a lasting
+#: change within seconds, enough for a slowdown of some seconds to stay the
+#: smaller part.
+STEPS_PER_WORKER: Final = 16
 
-#: Workers that tell a step's part: more of them tell nothing new.
-WORKERS_A_STEP: Final = 48
+#: The workers that count for the effect of one step: more add no information.
+WORKERS_PER_STEP: Final = 48
 
-#: Runs of one step that count at one worker.
-RUNS_A_CELL: Final = 8
+#: The runs of one step that count on one worker.
+RUNS_PER_CELL: Final = 8
 
-#: Steps that are remembered at all; bounds memory beside the workers'.
-MOST_STEPS: Final = 2048
+#: The maximum number of steps stored: with the workers' cells it bounds memory.
+MAX_STEPS: Final = 2048
 
-#: A worker counts as unlike others by no less than so many of its standard
-#: deviations: of some hundred alike none should.
-SURE_DEVIATIONS: Final = 3.5
+#: A worker differs from a typical one only beyond so many of its standard
+#: deviations: of some hundred equal workers none should count as different.
+SIGNIFICANT_DEVIATIONS: Final = 3.5
 
-#: From so many steps on, so that no single job speaks for a worker.
-SURE_STEPS: Final = 3
+#: The least number of steps for that, so that no single job decides.
+MIN_STEPS: Final = 3
 
-#: Unlikeness below this matters to nobody, as a logarithm.
-LEAST_UNLIKE: Final = 0.1
+#: Smaller differences are irrelevant, as a logarithm.
+MIN_DIFFERENCE: Final = 0.1
 
-#: How often the Huber weights are worked out anew.
-BALANCE_ROUNDS: Final = 3
+#: The number of iterations of the Huber weights.
+HUBER_ITERATIONS: Final = 3
 
-#: The largest logarithm of a ratio that is believed.
-MOST_LOG: Final = 3.0
+#: Logarithms of progress rates are clipped to this absolute value.
+MAX_LOG: Final = 3.0
 
-#: Workers and steps worked out in one go, so that thousands of workers hold up
-#: no heartbeat.
-MOST_AT_ONCE: Final = 256
+#: The workers and the steps estimated in one refresh, so that thousands of
+#: workers don't delay a heartbeat.
+MAX_PER_REFRESH: Final = 256
 
-_StepName = tuple[str, int, int]
+_StepKey = tuple[str, int, int]
 
 Name = TypeVar('Name')
 
@@ -69,10 +73,11 @@
 class Speed(NamedTuple):
     """A worker's lasting speed.
 
-    :param factor: of a typical worker's; 1.0 if it is not known to differ.
-    :param spread: how uncertain the learnt speed is, as a logarithm.
-    :param estimate: what the factor would be were it sure.
-    :param steps: how many steps told of it.
+    :param factor: as a multiple of a typical worker's; 1.0 if it is not known
+        to differ.
+    :param spread: the standard deviation of the estimate, as a logarithm.
+    :param estimate: the estimated factor, significant or not.
+    :param steps: how many steps the estimate is based on.
     """
 
     factor: float = 1.0
@@ -81,12 +86,12 @@
     steps: int = 0
 
 
-#: What is said of a worker that nothing is known of.
+#: The speed of a worker without any observation.
 UNKNOWN: Final = Speed()
 
 
 class Observation(NamedTuple):
-    """How fast one run comes on.
+    """The progress rate of one run.
 
     :param progress_rate: estimated seconds of work done per second: 1.0 if the
         run takes as long as estimated.
@@ -100,11 +105,11 @@
 
 
 class _Cell:
-    """The runs of one step at one worker.
+    """The runs of one step on one worker: a cell of the two-way table.
 
-    :param worker: where they ran.
-    :param step: what they were part of.
-    :param log: the median logarithm of their paces.
+    :param worker: the worker on which they ran.
+    :param step: the step that they belong to.
+    :param log: the median logarithm of their progress rates.
     """
 
     __slots__ = ('_logs', 'log', 'step', 'worker')
@@ -117,119 +122,129 @@
 
     @property
     def variance(self) -> float:
-        """Return how uncertain the median is by the tasks' own part."""
+        """Return the variance of the median due to the tasks' residuals."""
         return TASK_SPREAD**2 / len(self._logs)
 
     def record(self, rank: int, log: float) -> None:
         self._logs[rank] = log
-        if len(self._logs) > RUNS_A_CELL:
+        if len(self._logs) > RUNS_PER_CELL:
             self._logs.popitem(last=False)
         self.log = median(self._logs.values())
 
 
 class _Worker:
-    """What is known of one worker.
+    """The effect of one worker.
 
-    :param log: the logarithm of its speed against a typical worker's.
+    :param log: the logarithm of its speed, before the typical worker's is
+        subtracted.
+    :param variance: the variance of this estimate.
     """
 
     __slots__ = ('cells', 'incarnation', 'log', 'variance')
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        self.cells: OrderedDict[_StepName, _Cell] = OrderedDict()
+        self.cells: OrderedDict[_StepKey, _Cell] = OrderedDict()
         self.log = 0.0
         self.variance = WORKER_SPREAD**2
 
     def refresh(self) -> None:
-        """Work out the speed from what its cells and their steps tell."""
-        told = [cell.step.without(cell) for cell in self.cells.values()]
-        pulls = [
-            _Pull(cell.log - part.log, cell.variance + part.variance)
-            for cell, part in zip(self.cells.values(), told, strict=True)
+        """Estimate the speed from the cells, minus their steps' effects."""
+        step_effects = [
+            cell.step.leave_out(cell) for cell in self.cells.values()
+        ]
+        samples = [
+            _Sample(cell.log - effect.log, cell.variance + effect.variance)
+            for cell, effect in zip(
+                self.cells.values(), step_effects, strict=True
+            )
         ]
-        prior = _Part(0.0, WORKER_SPREAD**2)
-        part = _balance(pulls, prior, self.log)
-        self.log = part.log
-        self.variance = part.variance
+        prior = _Effect(0.0, WORKER_SPREAD**2)
+        effect = _robust_mean(samples, prior, self.log)
+        self.log = effect.log
+        self.variance = effect.variance
 
 
-class _Part(NamedTuple):
-    """One side's part in the paces, as a logarithm, and how sure it is."""
+class _Effect(NamedTuple):
+    """The effect of a worker or a step on progress rates, as a logarithm."""
 
     log: float
     variance: float
 
 
-class _Pull(NamedTuple):
-    """What one cell says of a part."""
+class _Sample(NamedTuple):
+    """The observation of an effect by one cell."""
 
     log: float
     variance: float
 
 
 class _Step:
-    """What is known of one step.
+    """The effect of one step.
 
-    :param cells: by worker.
-    :param log: the logarithm of its pace on a typical worker.
+    :param cells: its cells by worker.
+    :param log: the logarithm of its progress rate on a typical worker.
     """
 
-    __slots__ = ('_pulls', '_sum', '_weight', 'cells', 'log', 'queue')
+    __slots__ = ('_contributions', '_sum', '_weight', 'cells', 'log', 'queue')
 
     def __init__(self, queue: str) -> None:
         self.queue = queue
         self.cells: OrderedDict[str, _Cell] = OrderedDict()
         self.log = 0.0
-        self._pulls: dict[_Cell, tuple[float, float]] = {}
+        self._contributions: dict[_Cell, tuple[float, float]] = {}
         self._sum = 0.0
         self._weight = 1.0 / WORKER_SPREAD**2
 
     def refresh(self, expected: Ratio) -> None:
-        """Work out the pace from the cells and what is expected."""
-        found = [
-            _Pull(
+        """Estimate the progress rate from the cells.
+
+        :param expected: the ratio expected of the queue, as the prior.
+        """
+        samples = [
+            _Sample(
                 cell.log - cell.worker.log,
                 cell.variance + cell.worker.variance,
             )
             for cell in self.cells.values()
         ]
-        prior = _Part(-expected.log, expected.spread**2)
-        self.log = _balance(found, prior, _middle(found, prior)).log
-        self._pulls = {}
+        prior = _Effect(-expected.log, expected.spread**2)
+        self.log = _robust_mean(samples, prior, _median_log(samples, prior)).log
+        self._contributions = {}
         self._sum = prior.log / prior.variance
         self._weight = 1 / prior.variance
-        for cell, pull in zip(self.cells.values(), found, strict=True):
-            weight = _weight(pull, self.log)
-            self._pulls[cell] = (weight, weight * pull.log)
-            self._sum += weight * pull.log
+        for cell, sample in zip(self.cells.values(), samples, strict=True):
+            weight = _huber_weight(sample, self.log)
+            self._contributions[cell] = (weight, weight * sample.log)
+            self._sum += weight * sample.log
             self._weight += weight
 
-    def without(self, cell: _Cell) -> _Part:
-        """Return the step's part as all other workers tell it."""
-        weight, pulled = self._pulls.get(cell, (0.0, 0.0))
+    def leave_out(self, cell: _Cell) -> _Effect:
+        """Return the effect of the step as estimated without one cell."""
+        weight, weighted_log = self._contributions.get(cell, (0.0, 0.0))
         left = self._weight - weight
-        return _Part((self._sum - pulled) / left, 1 / left)
+        return _Effect((self._sum - weighted_log) / left, 1 / left)
 
 
 class SpeedEstimator:
-    """What is known of all workers' speeds.
+    """Estimates the speed of each worker.
 
-    :param durations: is told the ratio of each step.
+    :param durations: gives the prior of each queue and records each step's
+        ratio.
     """
 
     def __init__(self, *, durations: DurationEstimator) -> None:
-        """Start with nothing known."""
+        """Initialize without any observation."""
         self._durations = durations
         self._workers: dict[str, _Worker] = {}
-        self._steps: OrderedDict[_StepName, _Step] = OrderedDict()
+        self._steps: OrderedDict[_StepKey, _Step] = OrderedDict()
         self._stale_workers: dict[str, None] = {}
-        self._stale_steps: dict[_StepName, None] = {}
+        self._stale_steps: dict[_StepKey, None] = {}
         self._typical = 0.0
         self._speeds: dict[str, Speed] = {}
 
     def record(self, observation: Observation) -> None:
-        """Take note of a run's pace; it takes the place of a former one."""
+        """Record a run's progress rate, replacing its previous one."""
         if observation.progress_rate <= 0:
             return
         name = observation.task[:3]
@@ -240,23 +255,27 @@
             cell = _Cell(worker, step)
             worker.cells[name] = cell
             step.cells[observation.worker_id] = cell
-            _drop_oldest(worker.cells, STEPS_A_WORKER)
-            _drop_oldest(step.cells, WORKERS_A_STEP)
+            _drop_oldest(worker.cells, STEPS_PER_WORKER)
+            _drop_oldest(step.cells, WORKERS_PER_STEP)
         log = math.log(observation.progress_rate)
-        cell.record(observation.task.rank, max(-MOST_LOG, min(log, MOST_LOG)))
+        cell.record(observation.task.rank, max(-MAX_LOG, min(log, MAX_LOG)))
         self._stale_steps[name] = None
         self._stale_workers[observation.worker_id] = None
 
     def refresh(self) -> None:
-        """Work out what was noted since; what is too much waits its turn."""
+        """Update the estimates that observations have changed.
+
+        At most ``MAX_PER_REFRESH`` workers and steps; the next call
+        continues with the rest.
+        """
         if not self._stale_workers:
             return
-        for name in _taken(self._stale_steps):
+        for name in _pop_oldest(self._stale_steps):
             step = self._steps.get(name)
             if step is not None:
                 step.refresh(self._durations.ratio_of(step.queue))
                 self._durations.record(step.queue, name, -step.log)
-        for worker_id in _taken(self._stale_workers):
+        for worker_id in _pop_oldest(self._stale_workers):
             worker = self._workers.get(worker_id)
             if worker is not None:
                 worker.refresh()
@@ -264,10 +283,10 @@
         self._speeds.clear()
 
     def speed_of(self, worker_id: str, incarnation: int) -> Speed:
-        """Return the speed of one life of a worker."""
+        """Return the speed of one incarnation of a worker."""
         known = self._speeds.get(worker_id)
         if known is None:
-            known = self._judge(worker_id)
+            known = self._estimate(worker_id)
             self._speeds[worker_id] = known
         worker = self._workers.get(worker_id)
         if worker is None or worker.incarnation != incarnation:
@@ -275,10 +294,10 @@
         return known
 
     def forget_except(self, worker_ids: Iterable[str]) -> None:
-        """Drop the workers that are gone."""
-        kept = set(worker_ids)
-        gone = [one for one in self._workers if one not in kept]
-        for worker_id in gone:
+        """Drop all workers but these."""
+        present = set(worker_ids)
+        removed = [one for one in self._workers if one not in present]
+        for worker_id in removed:
             self._workers.pop(worker_id)
             self._speeds.pop(worker_id, None)
 
@@ -290,71 +309,73 @@
             self._speeds.pop(observation.worker_id, None)
         return worker
 
-    def _step(self, name: _StepName, queue: str) -> _Step:
+    def _step(self, name: _StepKey, queue: str) -> _Step:
         step = self._steps.get(name)
         if step is None:
             step = _Step(queue)
             self._steps[name] = step
-            _drop_oldest(self._steps, MOST_STEPS)
+            _drop_oldest(self._steps, MAX_STEPS)
         return step
 
-    def _judge(self, worker_id: str) -> Speed:
+    def _estimate(self, worker_id: str) -> Speed:
         worker = self._workers.get(worker_id)
         if worker is None:
             return UNKNOWN
-        unlike = worker.log - self._typical
+        difference = worker.log - self._typical
         spread = math.sqrt(worker.variance)
         steps = len(worker.cells)
-        estimate = math.exp(unlike)
-        sure = abs(unlike) > max(SURE_DEVIATIONS * spread, LEAST_UNLIKE)
-        factor = estimate if sure and steps >= SURE_STEPS else 1.0
+        estimate = math.exp(difference)
+        significant = abs(difference) > max(
+            SIGNIFICANT_DEVIATIONS * spread, MIN_DIFFERENCE
+        )
+        factor = estimate if significant and steps >= MIN_STEPS else 1.0
         return Speed(factor, spread, estimate, steps)
 
 
-def _balance(
-    pulls: list[_Pull],
-    prior: _Part,
+def _robust_mean(
+    samples: list[_Sample],
+    prior: _Effect,
     start: float,
-) -> _Part:
-    """Return the robust weighted mean of pulls and prior, and its variance."""
+) -> _Effect:
+    """Return the robust weighted mean of samples and prior."""
     log = start
     weight = 1 / prior.variance
-    for _ in range(BALANCE_ROUNDS):
+    for _ in range(HUBER_ITERATIONS):
         total = prior.log / prior.variance
         weight = 1 / prior.variance
-        for pull in pulls:
-            one = _weight(pull, log)
-            total += one * pull.log
+        for sample in samples:
+            one = _huber_weight(sample, log)
+            total += one * sample.log
             weight += one
         log = total / weight
-    return _Part(log, 1 / weight)
+    return _Effect(log, 1 / weight)
 
 
-def _middle(pulls: list[_Pull], prior: _Part) -> float:
-    return median([prior.log, *(one.log for one in pulls)])
+def _median_log(samples: list[_Sample], prior: _Effect) -> float:
+    return median([prior.log, *(one.log for one in samples)])
 
 
-def _weight(pull: _Pull, around: float) -> float:
-    """Return the Huber weight: constant near, falling with distance beyond."""
-    off = abs(pull.log - around)
-    bound = BOUND_DEVIATIONS * math.sqrt(pull.variance)
-    full = 1 / pull.variance
-    return full if off <= bound else full * bound / off
+def _huber_weight(sample: _Sample, center: float) -> float:
+    """Return the Huber weight: constant up to a bound, then decreasing."""
+    distance = abs(sample.log - center)
+    bound = HUBER_DEVIATIONS * math.sqrt(sample.variance)
+    full = 1 / sample.variance
+    return full if distance <= bound else full * bound / distance
 
 
 def _typical(workers: Iterable[_Worker]) -> float:
-    """Return the median logarithm of the known workers' speeds."""
+    """Return the median logarithm of the workers' speeds."""
     return median([one.log for one in workers] or [0.0])
 
 
-def _drop_oldest(table: OrderedDict[Any, Any], most: int) -> None:
-    if len(table) > most:
+def _drop_oldest(table: OrderedDict[Any, Any], limit: int) -> None:
+    if len(table) > limit:
         table.popitem(last=False)
 
 
-def _taken(names: dict[Name, None]) -> list[Name]:
-    """Take some names off a list, the oldest first."""
-    chosen = list(islice(names, MOST_AT_ONCE))
+def _pop_oldest(names: dict[Name, None]) -> list[Name]:
+    """Remove and return some names, the oldest first."""
+    chosen = list(islice(names, MAX_PER_REFRESH))
     for name in chosen:
         names.pop(name)
     return chosen
--- a/src/curranthill/placement/stragglers.py
+++ b/src/curranthill/placement/stragglers.py
@@ -1,8 +1,8 @@
-"""Runs that would end sooner if they were stopped and started elsewhere.
+"""Runs that would end sooner if they were restarted on another worker.
 
-Answers workers on which runs stand still, and such as are found to be slow when
-work is on them already. A task that is long by itself is as long elsewhere, so
-its own progress alone moves nothing: its worker must be known to differ.
+These are stalled runs, and runs on workers that turn out to be slow. A task
+that is long takes as long elsewhere, so its own progress is no reason to move
+it: its worker must be known to be slow.
 """
 
 from typing import Final, Literal, NamedTuple
@@ -10,28 +10,28 @@
 from curranthill.placement.runs import (
     ALL_DONE_PERCENT,
     CHECKPOINT_LOSS_S,
-    RESTART_S,
+    RESTART_COST_S,
     RUNNING,
     Run,
 )
 
-#: Why a run is moved.
+#: The reason for a move.
 MoveReason = Literal['stalled', 'slow']
 
 STALLED: Final = 'stalled'
 SLOW: Final = 'slow'
 
-#: A run on a slow worker is moved only if what is left takes no more than this
-#: share of its time elsewhere: the loss is known, the gain is a guess.
-MOST_SHARE: Final = 0.7
+#: A run on a slow worker is moved only if the rest takes at most this share of
+#: its remaining time on another one: the loss is certain, the gain is not.
+MAX_MOVE_TIME_SHARE: Final = 0.7
 
 
 class Move(NamedTuple):
-    """A run that is better started elsewhere.
+    """The move of a run to another worker.
 
-    :param here_s: how long it is expected to go on here.
-    :param elsewhere_s: how long it takes on a typical worker, with the stop,
-        the start and all that is done again.
+    :param here_s: the expected remaining time on its present worker.
+    :param elsewhere_s: the expected time on a typical worker, including the
+        stop, the start and the work that is repeated.
     """
 
     reason: MoveReason
@@ -40,25 +40,25 @@
 
 
 def move_of(run: Run, speed: float, left_s: float) -> Move | None:
-    """Return why a run should start elsewhere, if it should.
+    """Return the move of a run, if it should be moved.
 
-    :param speed: its worker's, of a typical one's.
+    :param speed: its worker's speed as a multiple of a typical one's.
     :param left_s: the time left until its job's objective.
     """
     if run.stop_wanted or run.state != RUNNING or not run.estimate_s:
         return None
     if run.stalled_s:
-        return _if_stalled(run)
+        return _move_if_stalled(run)
     if speed < 1 and run.done_percent < ALL_DONE_PERCENT:
-        return _if_slow(run, speed, left_s)
+        return _move_if_slow(run, speed, left_s)
     return None
 
 
-def _if_stalled(run: Run) -> Move | None:
-    """Return a move once the stall outlasts the work that a restart repeats.
+def _move_if_stalled(run: Run) -> Move | None:
+    """Return a move once the stall is longer than the work to be repeated.
 
-    The stall is expected to last as long again, so waiting and then moving
-    costs at most twice the better choice.
+    The stall is expected to last as long again. As in the ski rental problem,
+    waiting before the move costs at most twice the better choice.
     """
     here_s = run.stalled_s
     elsewhere_s = max(0.0, run.lost_s - run.stalled_s)
@@ -67,16 +67,16 @@
     return None
 
 
-def _if_slow(run: Run, speed: float, left_s: float) -> Move | None:
-    """Return a move if its worker alone makes a run miss its objective."""
+def _move_if_slow(run: Run, speed: float, left_s: float) -> Move | None:
+    """Return a move if a run misses its objective only due to its worker."""
     gained = run.done_percent - run.first_percent
     if gained <= 0 or run.age_s <= 0:
         return None
     left = ALL_DONE_PERCENT - run.done_percent
     here_s = run.age_s * left / gained
-    again_s = CHECKPOINT_LOSS_S if run.checkpointable else run.age_s
-    elsewhere_s = RESTART_S + (here_s + again_s) * speed
-    pays = elsewhere_s < MOST_SHARE * here_s
+    repeated_s = CHECKPOINT_LOSS_S if run.checkpointable else run.age_s
+    elsewhere_s = RESTART_COST_S + (here_s + repeated_s) * speed
+    pays = elsewhere_s < MAX_MOVE_TIME_SHARE * here_s
     if pays and elsewhere_s < left_s < here_s:
         return Move(SLOW, here_s, elsewhere_s)
     return None
--- a/src/curranthill/placement/suspects.py
+++ b/src/curranthill/placement/suspects.py
@@ -1,38 +1,38 @@
-"""Tasks that may be what crashes their workers, and how they are started.
+"""Tasks that are suspected of crashing their workers.
 
-Answers tasks that crash each worker that starts them: nobody can tell which
-of a worker's tasks did it, so those that may have are started where a further
-crash hits nobody else, and never two of them side by side.
+A task may crash each worker that runs it, and which task of a worker caused a
+crash is unknown. So the suspects are started exclusively, where another crash
+affects no other task, and never two of them on one worker.
 """
 
 from typing import Final
 
 from curranthill.tasks import TaskProgress
 
-#: Losses of any kind from which on a task is a suspect; one alone is what
-#: every crash of a worker leaves of all tasks there.
+#: The number of losses of any kind that make a task a suspect. One is not
+#: enough: each crash of a worker causes one for every task there.
 SUSPECT_LOSSES: Final = 2
 
-#: The share of a service's workers that suspects may have for themselves at
-#: one moment, rounded up. Others start where there is room.
+#: The share of a service's workers that suspects may use exclusively at a time,
+#: rounded up. Other suspects start wherever they fit.
 EXCLUSIVE_SHARE: Final = 0.5
 
-#: How long a suspect waits for a worker of its own, in seconds: with its start
-#: it has nothing running for less than the 3 s that callers may see while most
-#: room is free.
+#: How long a suspect waits for an empty worker, in seconds: together with the
+#: start, nothing of its job runs for less than the 3 s that callers may see
+#: while most capacity is free.
 EXCLUSIVE_MAX_WAIT_S: Final = 2.0
 
-#: The same for a task that lasts, in seconds: its users wait meanwhile.
+#: The same for a perpetual task, in seconds: its users wait meanwhile.
 PERPETUAL_MAX_WAIT_S: Final = 0.5
 
-#: A suspect that has worked for so long holds up neither another one of its job
-#: nor others that its worker has room for, in seconds: most crashes come
-#: sooner, and many innocent ones must go on.
+#: The trial of a suspect, in seconds: after it other suspects of its job and
+#: other tasks on its worker may start. Most crashes come sooner, and many
+#: suspects are innocent and must not block others.
 SUSPECT_TRIAL_S: Final = 5.0
 
 
 def is_suspect(task: TaskProgress) -> bool:
-    """Return whether a task may be what crashed its workers."""
+    """Return whether a task is suspected of crashing its workers."""
     return bool(task.prompt_crashes) or task.losses >= SUSPECT_LOSSES
 
 
--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -1,40 +1,42 @@
-"""What a job can still earn for its callers.
+"""Whether a job can end in time, late, or too late to earn any credit.
 
-Answers a backlog in which much is past its objective: what comes too late for
-anyone would take the room of what could still be in time.
+In a backlog in which many jobs are past their objectives, jobs that are too
+late to be of use would take capacity from those that can still be in time.
 """
 
 from typing import Final, Literal
 
 from curranthill.placement.jobs import ActiveJob
 
-#: What a job may still be: in time, late, or of no more use to its callers.
+#: A job is in time, late (it earns part of its credit), or infeasible (none).
 Timeliness = Literal[0, 1, 2]
 
 IN_TIME: Final = 0
 LATE: Final = 1
 INFEASIBLE: Final = 2
 
-#: A late job is still of use until so many times its objective.
+#: A late job earns credit until so many times the time of its objective.
 MAX_LATE_FACTOR: Final = 3.0
 
-#: Aging: hopeless work goes after all other for so long, in seconds, and then
-#: in its turn again, so that nothing that was accepted starves.
+#: Aging: an infeasible job is served after all others for so long, in seconds,
+#: and then in its usual position again, so that no accepted job starves.
 INFEASIBLE_WAIT_S: Final = 30.0
 
-#: The least share of its estimate that a task takes: a job must not be given
-#: up for an estimate that is too long.
+#: The least share of its estimate that a task is assumed to take: a job must
+#: not count as infeasible because its estimate is too long.
 MIN_RUN_SHARE: Final = 0.5
 
 
 def timeliness(job: ActiveJob, done_s: float) -> Timeliness:
-    """Return what a job will have been if it is done at a wall-clock time.
+    """Return the timeliness of a job that is done at a wall-clock time.
 
     A job without an objective is always in time.
+
+    :param done_s: wall-clock seconds.
     """
     allowed_s = job.objective_s - job.first_due_s
     if done_s <= job.objective_s or not allowed_s:
-        # Most jobs end here.
+        # The common case, without the cost of the following.
         return IN_TIME
     took_s = done_s - _objective_starts_s(job)
     if took_s > MAX_LATE_FACTOR * allowed_s:
@@ -43,12 +45,12 @@
 
 
 def is_infeasible(job: ActiveJob, now_s: float) -> bool:
-    """Return whether a waiting job goes after what is still of use.
+    """Return whether a waiting job is too late to earn any credit.
 
     :param now_s: wall-clock seconds.
     """
     if timeliness(job, now_s + job.chain_s) != INFEASIBLE:
-        # Most jobs end here.
+        # The common case, without the cost of the following.
         return False
     if has_aged(job, now_s):
         return False
@@ -57,7 +59,7 @@
 
 
 def has_aged(job: ActiveJob, now_s: float) -> bool:
-    """Return whether aging has ended a hopeless job's time at the back.
+    """Return whether an infeasible job has waited long enough to be served.
 
     :param now_s: wall-clock seconds.
     """
@@ -65,25 +67,25 @@
 
 
 def is_late(job: ActiveJob, now_s: float) -> bool:
-    """Return whether a waiting job misses its objective, by its estimates.
+    """Return whether a waiting job misses its objective by its estimates.
 
     :param now_s: wall-clock seconds.
     """
     if now_s + job.chain_s <= job.objective_s:
-        # Most jobs end here.
+        # The common case, without the cost of the following.
         return False
     return timeliness(job, now_s + _remaining_chain_s(job)) != IN_TIME
 
 
 def _objective_starts_s(job: ActiveJob) -> float:
-    """Return when the occurrence that is under way was due."""
+    """Return when the current occurrence of a job was due."""
     if not job.spec.times:
         return job.first_due_s
     return max(job.first_due_s, job.spec.due_s(_occurrence(job)))
 
 
 def _remaining_chain_s(job: ActiveJob) -> float:
-    """Return the longest chain of steps that are not done yet, in seconds."""
+    """Return the longest chain of steps that are not done, in seconds."""
     occurrence = _occurrence(job)
     ends_s: list[float] = []
     for number, step in enumerate(job.spec.steps):
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -402,7 +402,7 @@
             for name in WORKERS:
                 for run in running[name]:
                     run.age_s += ROUND_S
-                left = [run for run in running[name] if run.left_s > 0]
+                left = [run for run in running[name] if run.remaining_s > 0]
                 running[name] = left
             planner = Planner(
                 workers={SERVICE: rooms_with(running.__getitem__)},
