--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,4 +1,7 @@
-"""How work is turned away: decisions only, no input or output, no clock."""
+"""Admission of jobs: load shedding and the reasons why jobs wait.
+
+Pure decisions: no input or output, no clock.
+"""
 
 from curranthill.admission.forecast import ServiceResources, make_forecast
 from curranthill.admission.reasons import RESERVED, waiting_reason
--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -1,7 +1,7 @@
-"""What a waiting job waits for, in an operator's words.
+"""The reason why a job waits, in words for operators.
 
-Answers the question of a workspace that complains: too much waits, or the
-room that is free does not do for this job.
+It shows whether the cluster is overloaded, or whether the free capacity does
+not suit this job.
 """
 
 from collections.abc import Sequence
@@ -11,15 +11,15 @@
 from curranthill.placement.capacity import ServiceCapacity, max_tasks
 from curranthill.placement.fitting import candidate_groups, choose_workers
 
-#: Why a step does not start now.
+#: The reasons why a step does not start now.
 NO_WORKER: Final = 'no worker is large enough'
-NO_ROOM: Final = 'no room'
+NO_CAPACITY: Final = 'no room'
 BEYOND_GUARANTEE: Final = 'no room, and beyond its guarantee'
 RACK: Final = 'room in one rack'
 RESERVED: Final = 'room that is kept for others'
 EXCLUSIVE: Final = 'an empty worker, as a suspect'
 ADVISED: Final = 'workers that its advisor allows'
-TURN: Final = 'its turn, it fits and no room is kept'
+NEXT_ROUND: Final = 'its turn, it fits and no room is kept'
 
 
 def waiting_reason(
@@ -31,14 +31,15 @@
     advised: bool = False,
     wait_for_rack: bool = True,
 ) -> str:
-    """Return what a step waits for that may start by its turn.
+    """Return what a ready step waits for.
 
-    :param workers: those of the step's service; left as they are.
-    :param beyond_guarantee: whether it is urgent, and its workspace's
-        guarantee is in use.
-    :param reserved: whether room is kept for other jobs of the service.
+    :param workers: the workers of the step's service; left unchanged.
+    :param beyond_guarantee: whether it is urgent and the guarantee of its
+        workspace is in use.
+    :param reserved: whether capacity is reserved for other jobs of the
+        service.
     :param advised: whether only workers that an advisor allows may run it.
-    :param wait_for_rack: whether it goes on waiting for the right rack.
+    :param wait_for_rack: whether it continues to wait for the right rack.
     """
     step = ready.step
     wanted = len(ready.tasks) if step.gang else 1
@@ -53,14 +54,14 @@
         return EXCLUSIVE
     if _fits(ready, workers):
         return RACK
-    return BEYOND_GUARANTEE if beyond_guarantee else NO_ROOM
+    return BEYOND_GUARANTEE if beyond_guarantee else NO_CAPACITY
 
 
 def _reason_of_fit(*, reserved: bool, advised: bool) -> str:
-    """Return why a step does not start that fits."""
+    """Return why a step that fits does not start."""
     if reserved:
         return RESERVED
-    return ADVISED if advised else TURN
+    return ADVISED if advised else NEXT_ROUND
 
 
 def _fits(ready: ReadyStep, workers: Sequence[WorkerCapacity]) -> bool:
@@ -75,9 +76,9 @@
     'EXCLUSIVE',
     'BEYOND_GUARANTEE',
     'RESERVED',
-    'NO_ROOM',
+    'NO_CAPACITY',
     'NO_WORKER',
     'RACK',
-    'TURN',
+    'NEXT_ROUND',
     'waiting_reason',
 )
--- a/src/curranthill/admission/retries.py
+++ b/src/curranthill/admission/retries.py
@@ -1,30 +1,32 @@
-"""When a caller should come back whose job could not be accepted.
+"""When a caller should retry whose job could not be accepted.
 
-Answers an outage of the store: callers try a few times, so those whose jobs
-have time are told to come back later, and their tries reach further; those
-whose jobs are urgent come back as soon as that may help.
+During an outage of the store callers retry a few times. Callers of jobs with
+slack are asked to retry later, so that their attempts cover a longer outage;
+those of urgent jobs retry as soon as that may help.
 """
 
 from typing import Final
 
 from curranthill.tasks import JobSpec
 
-#: The shortest and the longest wait, in seconds. Callers make some four tries
-#: more, and outages of 5 s are usual: tries a second apart end before the
-#: store is back, tries of 3 s reach over 12 s. The header has whole seconds.
+#: The shortest and the longest delay, in seconds. Callers make about four more
+#: attempts, and outages of 5 s are usual: attempts one second apart end before
+#: the store is back, attempts 3 s apart cover 12 s. The header has whole
+#: seconds.
 MIN_DELAY_S: Final = 1.0
 MAX_DELAY_S: Final = 3.0
 
-#: Of the time that a job can wait without missing its objective, each wait
-#: takes this share, so that four of them leave a third of it.
+#: The share of a job's slack (the time that it can wait without missing its
+#: objective) that each delay takes, so that four of them leave a third.
 SLACK_SHARE: Final = 1 / 6
 
 
 def retry_after_s(spec: JobSpec, *, jitter_s: float) -> float:
-    """Return when to come back, in seconds.
+    """Return the time until a caller should retry, in seconds.
 
-    :param jitter_s: added within the bounds, drawn by whoever asks, so that
-        callers who were refused together do not come back together.
+    :param jitter_s: a random part drawn by the caller of this function and
+        added within the bounds, so that callers who were refused at the same
+        time do not retry at the same time.
     """
     objective_s = spec.objective_s - spec.accepted_at_s
     slack_s = objective_s - spec.chain_s
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -1,10 +1,10 @@
 """Load shedding: whether a host accepts a job while others wait.
 
-Answers more work than there is room for. A job that is accepted and ends too
-late for its caller takes room from jobs that would not; refused at once, it
-can be answered elsewhere. Refused is only what is too late by a margin. What
-waits is bounded besides, and so are the leader's memory and the readings of a
-takeover.
+Under overload, an accepted job that ends too late for its caller takes
+capacity from jobs that would be in time. If it is refused at once, its caller
+can use another service. Only jobs that are too late by a margin are refused.
+The number of waiting jobs is limited too; this bounds the leader's memory and
+the reads of a takeover.
 """
 
 from typing import Final, NamedTuple
@@ -14,55 +14,56 @@
 from curranthill.placement import MAX_LATE_FACTOR, URGENT, resources_needed
 from curranthill.tasks import JobSpec, Queue, Resources, Step
 
-#: The form of the record; hosts go by no other form.
-FORM: Final = 1
+#: The format version of the record; hosts ignore forecasts of other versions.
+FORMAT_VERSION: Final = 1
 
-#: The share of the expected wait that a refusal relies on: estimates err, and
-#: some of what waits is cancelled.
-CERTAIN_WAIT_SHARE: Final = 0.6
+#: The share of the expected wait that a refusal relies on: estimates are wrong
+#: at times, and some waiting jobs are cancelled.
+RELIABLE_WAIT_SHARE: Final = 0.6
 
-#: An older outlook refuses nobody, in seconds: one is made each second, written
-#: with a heartbeat and read with a reading of the leader's row, and one of
-#: them may be lost.
+#: An older forecast refuses no job, in seconds: one is made each second,
+#: written with a heartbeat and read with the leader's row, and one of these may
+#: fail.
 MAX_FORECAST_AGE_S: Final = 2.5
 
-#: The most jobs that wait with no task begun, in all: a successor reads
-#: their rows first, some 1 KB each, and a host with 5 Mbit/s must have read
-#: them within 4 s.
+#: The maximum number of waiting jobs of which no task has started: a new leader
+#: first reads their rows, some 1 KB each, and a host with 5 Mbit/s must finish
+#: this within 4 s.
 MAX_WAITING: Final = 2000
 
-#: The same of one workspace: no caller alone can fill the queue.
+#: The same for one workspace, so that no single caller can fill the queue.
 MAX_WAITING_PER_WORKSPACE: Final = MAX_WAITING // 2
 
-#: The shortest time after which a caller comes back, in seconds: the header
-#: has whole seconds.
+#: The shortest time after which a caller retries, in seconds: the header has
+#: whole seconds.
 MIN_RETRY_AFTER_S: Final = 1.0
 
-#: A refused caller is asked back early enough for so many more tries.
-TRIES: Final = 4
+#: A refused caller is asked to retry early enough for so many more attempts.
+RETRIES: Final = 4
 
-#: Jobs with a step wider than this share of the room take longer than their
-#: longest chain says, on idle workers too.
-WIDE_SHARE: Final = 0.25
+#: A job with a step wider than this share of the capacity takes longer than its
+#: longest chain, even on idle workers.
+WIDE_STEP_SHARE: Final = 0.25
 
-#: Why a job is refused.
+#: The reasons for a refusal.
 TOO_LATE: Final = 'too late'
 WORKSPACE_FULL: Final = 'too many of the workspace wait'
 FULL: Final = 'too many wait'
 
 
 class ServiceForecast(msgspec.Struct, array_like=True):
-    """What waits for one service's workers.
+    """The forecast for one service.
 
     :param total: the capacity of all its workers.
-    :param free: the most that is free on one worker, part by part.
-    :param waits: by priority, rising steps of an objective (seconds from now)
-        and the wait expected of a job whose objective is not earlier.
+    :param largest_free: the most that is free on any one worker, for each
+        resource separately.
+    :param waits: by priority, ascending pairs of an objective (seconds from
+        now) and the wait expected of a job whose objective is not earlier.
     """
 
     name: str
     total: Resources = Resources()
-    free: Resources = Resources()
+    largest_free: Resources = Resources()
     waits: dict[int, tuple[tuple[float, float], ...]] = {}
 
     def wait_s(self, priority: int, objective_s: float) -> float:
@@ -81,38 +82,38 @@
 
 
 class Forecast(msgspec.Struct, array_like=True):
-    """What the leader tells all hosts of the work that waits.
-
-    :param number: grows with each outlook of one leader.
-    :param waiting: jobs of which nothing has begun.
-    :param services: those for which something waits for long.
-    :param uncovered: accelerators left of a workspace's guarantee, only for
-        workspaces with urgent jobs beyond it; others count as covered.
-    :param full: workspaces of which too many jobs wait.
+    """The leader's forecast of the wait of new jobs.
+
+    :param number: incremented with each forecast of one leader.
+    :param waiting: the number of jobs of which no task has started.
+    :param services: the services with long waits.
+    :param unused_guarantees: accelerators left of each workspace's guarantee,
+        only for workspaces with urgent jobs beyond it; others count as covered.
+    :param full_workspaces: the workspaces with too many waiting jobs.
     """
 
-    form: int = FORM
+    format_version: int = FORMAT_VERSION
     number: int = 0
     waiting: int = 0
     services: tuple[ServiceForecast, ...] = ()
-    uncovered: dict[str, int] = {}
-    full: tuple[str, ...] = ()
+    unused_guarantees: dict[str, int] = {}
+    full_workspaces: tuple[str, ...] = ()
 
     def covers(self, spec: JobSpec) -> bool:
         """Return whether a guarantee may cover a job."""
         if spec.queue.priority != URGENT:
             return False
-        unused = self.uncovered.get(spec.workspace)
+        unused = self.unused_guarantees.get(spec.workspace)
         return unused is None or spec.gpus <= unused
 
 
 class Refusal(NamedTuple):
-    """Why a job is not accepted.
+    """The refusal of a job.
 
-    :param wait_s: the wait that is expected of it.
-    :param retry_after_s: when its caller should come back at the earliest.
-    :param jitter_s: how much later some callers should, so that they do not
-        come back together.
+    :param wait_s: its expected wait, in seconds.
+    :param retry_after_s: the time until its caller should retry, in seconds.
+    :param jitter_s: the maximum time to add at random, so that callers do not
+        all retry at the same time.
     """
 
     reason: str
@@ -128,10 +129,14 @@
 ) -> Refusal | None:
     """Return the refusal of a job; nothing if it is accepted.
 
-    :param forecast: the newest that is known, if any.
-    :param age_s: for how long it has been known, by the reader's own clock.
+    :param forecast: the newest one that was read, if any.
+    :param age_s: the time since it was read, by the reader's clock.
     """
-    if forecast is None or forecast.form != FORM or age_s > MAX_FORECAST_AGE_S:
+    if (
+        forecast is None
+        or forecast.format_version != FORMAT_VERSION
+        or age_s > MAX_FORECAST_AGE_S
+    ):
         return None
     if forecast.covers(spec):
         return None
@@ -139,33 +144,33 @@
     reason = _reason(spec, forecast, wait_s)
     if not reason:
         return None
-    # The same wait for all of a queue: the earlier the objective the less of
-    # it is left, and the sooner the caller comes back.
-    latest_s = (earns_until_s(spec) - spec.chain_s) / TRIES
+    # All jobs of a queue have the same wait: the earlier the objective, the
+    # less time is left and the sooner the caller retries.
+    latest_s = (credit_until_s(spec) - spec.chain_s) / RETRIES
     retry_after_s = max(min(wait_s, latest_s), MIN_RETRY_AFTER_S)
     return Refusal(reason, wait_s, retry_after_s, jitter_s=retry_after_s / 2)
 
 
 def has_objective(queue: Queue) -> bool:
-    """Return whether a queue's configuration asks for ends in time."""
+    """Return whether a queue's configuration sets an objective."""
     return queue.target_s > 0 or queue.slack_factor > 1
 
 
 def _reason(spec: JobSpec, forecast: Forecast, wait_s: float) -> str:
     if forecast.waiting >= MAX_WAITING:
         return FULL
-    if spec.workspace in forecast.full:
+    if spec.workspace in forecast.full_workspaces:
         return WORKSPACE_FULL
-    least_s = CERTAIN_WAIT_SHARE * wait_s + spec.chain_s
-    if wait_s and least_s > earns_until_s(spec):
+    min_s = RELIABLE_WAIT_SHARE * wait_s + spec.chain_s
+    if wait_s and min_s > credit_until_s(spec):
         return TOO_LATE
     return ''
 
 
 def _wait_s(spec: JobSpec, forecast: Forecast) -> float:
-    """Return the wait expected of a job; 0 where nothing is sure."""
-    planned = spec.times or any(step.perpetual for step in spec.steps)
-    if planned or not has_objective(spec.queue):
+    """Return the wait expected of a job; 0 if it is uncertain."""
+    unbounded = spec.times or any(step.perpetual for step in spec.steps)
+    if unbounded or not has_objective(spec.queue):
         return 0.0
     for service in forecast.services:
         if service.name == spec.queue.service and _must_wait(spec, service):
@@ -175,28 +180,31 @@
 
 
 def _must_wait(spec: JobSpec, service: ServiceForecast) -> bool:
-    """Return whether no task can start now, and the chain tells the run."""
+    """Return whether no task can start now and the chain bounds the job.
+
+    The longest chain is no measure of a job with a wide step.
+    """
     return not any(
         _is_wide(step, service.total)
-        or service.free.covers(resources_needed(step))
+        or service.largest_free.covers(resources_needed(step))
         for step in spec.steps
     )
 
 
 def _is_wide(step: Step, total: Resources) -> bool:
     return any(
-        step.width * need > WIDE_SHARE * have
+        step.width * need > WIDE_STEP_SHARE * have
         for need, have in zip(resources_needed(step), total, strict=True)
     )
 
 
-def earns_until_s(spec: JobSpec) -> float:
-    """Return until when a job earns, in seconds from its acceptance."""
+def credit_until_s(spec: JobSpec) -> float:
+    """Return until when a job earns credit, in seconds from acceptance."""
     return MAX_LATE_FACTOR * (spec.objective_s - spec.accepted_at_s)
 
 
 __all__ = (
-    'FORM',
+    'FORMAT_VERSION',
     'FULL',
     'MAX_WAITING_PER_WORKSPACE',
     'MAX_WAITING',
@@ -206,7 +214,7 @@
     'Forecast',
     'Refusal',
     'ServiceForecast',
-    'earns_until_s',
+    'credit_until_s',
     'has_objective',
     'check_admission',
 )
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -35,7 +35,7 @@
     wait_s: float = 100.0,
     *,
     free: Resources = NONE_FREE,
-    uncovered: dict[str, int] | None = None,
+    unused_guarantees: dict[str, int] | None = None,
 ) -> Forecast:
     """Return an outlook with the same wait for whoever comes."""
     steps: tuple[tuple[float, float], ...] = ((0.0, wait_s),)
@@ -43,7 +43,7 @@
     return Forecast(
         number=1,
         services=(ServiceForecast(SERVICE, TOTAL, free, waits),),
-        uncovered=uncovered or {},
+        unused_guarantees=unused_guarantees or {},
     )
 
 
@@ -104,7 +104,7 @@
     def test_nobody_is_refused_without_a_fresh_outlook(self) -> None:
         """None is known, it is too old, or it is of another form."""
         spec = make_spec('a1', GANG)
-        newer = msgspec.structs.replace(told(), form=2)
+        newer = msgspec.structs.replace(told(), format_version=2)
         self.assertIsNone(check_admission(spec, None, 0.0))
         self.assertIsNone(
             check_admission(spec, told(), MAX_FORECAST_AGE_S + 0.1)
@@ -150,10 +150,10 @@
         spec = make_spec('a1', GANG, priority=0)
         self.assertIsNone(check_admission(spec, told(), 0.5))
         for unused, accepted in ((16, True), (15, False)):
-            forecast = told(uncovered={'alpha': unused})
+            forecast = told(unused_guarantees={'alpha': unused})
             answer = check_admission(spec, forecast, 0.5)
             self.assertEqual(answer is None, accepted, unused)
-        others = told(uncovered={'beta': 0})
+        others = told(unused_guarantees={'beta': 0})
         self.assertIsNone(check_admission(spec, others, 0.5))
 
 
@@ -255,7 +255,7 @@
         assert forecast is not None
         # Two gangs of 16 are covered; 8 are left.
         expected = {f'team-{number}': 8 for number in range(4)}
-        self.assertEqual(forecast.uncovered, expected)
+        self.assertEqual(forecast.unused_guarantees, expected)
 
     def test_it_is_small(self) -> None:
         """It stands in a row that each host reads three times a second."""
