--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -127,12 +127,12 @@
     parser.add_argument('--seeds', type=int, default=3)
     parser.add_argument('--no-limit', action='store_true')
     options = parser.parse_args()
-    most = NO_LIMIT if options.no_limit else crashes.MOST_LOSSES
-    prompt = NO_LIMIT if options.no_limit else crashes.MOST_PROMPT_CRASHES
+    most = NO_LIMIT if options.no_limit else crashes.MAX_LOSSES
+    prompt = NO_LIMIT if options.no_limit else crashes.MAX_PROMPT_CRASHES
     print('crashing  id     after_s  crashed_each  lost_s  given_up  on_time')
     with (
-        patch.object(crashes, 'MOST_LOSSES', most),
-        patch.object(crashes, 'MOST_PROMPT_CRASHES', prompt),
+        patch.object(crashes, 'MAX_LOSSES', most),
+        patch.object(crashes, 'MAX_PROMPT_CRASHES', prompt),
     ):
         for crashing in (1, 3, 10):
             for same_id in (True, False):
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -47,8 +47,8 @@
     Timing,
     decode,
 )
+from tests.invariants import InvariantChecker
 from tests.platform_standin import StoreServer, serve
-from tests.promises import PromiseWatch
 
 HOSTS: Final = 4
 
@@ -163,7 +163,7 @@
             lengths_s=self.workers.lengths_s,
             ended=self._ended,
         )
-        self._watch = PromiseWatch(
+        self._watch = InvariantChecker(
             workers=lambda: self.workers.models,
             attempts=ATTEMPTS,
         )
@@ -207,7 +207,7 @@
             'longest_wait_s': round(self._waits.longest_s, 1),
             'faults': sorted(
                 {
-                    *self._watch.faults,
+                    *self._watch.violations,
                     *self.closings.late,
                     *self.revisions.outdated,
                     *self._waits.faults,
@@ -373,7 +373,7 @@
 
     async def _look(self) -> None:
         while True:
-            self._watch.look()
+            self._watch.check()
             self.closings.look()
             await asyncio.sleep(0.02)
 
@@ -392,8 +392,10 @@
             if len(left) < len(open_jobs):
                 until = asyncio.get_running_loop().time() + HEALING_S
             open_jobs = left
-        self._watch.faults.extend(f'{one} has not ended' for one in open_jobs)
-        self._watch.faults.extend(
+        self._watch.violations.extend(
+            f'{one} has not ended' for one in open_jobs
+        )
+        self._watch.violations.extend(
             f'{one} was refused and stored'
             for one in self._refused
             if {('intake', one), ('progress', one)} & self.rows.rows.keys()
@@ -416,7 +418,7 @@
         caused = self._failures(job_id) >= ATTEMPTS
         caused = caused or self._crashes(job_id) >= CRASHES_ALLOWED
         if state == FAILED and not caused:
-            self._watch.faults.append(f'{job_id} has failed without cause')
+            self._watch.violations.append(f'{job_id} has failed without cause')
         return state in {COMPLETED, FAILED}
 
     def _failures(self, job_id: str) -> int:
--- a/src/curranthill/dispatch/__init__.py
+++ b/src/curranthill/dispatch/__init__.py
@@ -16,7 +16,7 @@
     StartOrder,
     TaskWorker,
     WorkerConnector,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 
 __all__ = (
@@ -38,5 +38,5 @@
     'TaskWorker',
     'WorkerConnector',
     'WorkerFeed',
-    'WorkerGoneError',
+    'WorkerReplacedError',
 )
--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -79,7 +79,7 @@
     repeated: bool
 
 
-class TicketOffice:
+class TicketCache:
     """Asks for tickets and keeps them while they are good."""
 
     def __init__(self, *, advisor: Advisor, clock: Clock) -> None:
@@ -199,4 +199,4 @@
         return self._last_numbers.get(question.ready.name, 0)
 
 
-__all__ = ('Advice', 'Advisor', 'AdvisorError', 'Question', 'TicketOffice')
+__all__ = ('Advice', 'Advisor', 'AdvisorError', 'Question', 'TicketCache')
--- a/src/curranthill/dispatch/holds.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -13,7 +13,7 @@
 from curranthill.tasks import TaskKey
 
 #: Why a job is not ready, in an operator's words.
-HoldReason = Literal[
+BlockReason = Literal[
     'a run that is not at work',
     'a stored worker without a run',
     'a gang of which a part is done',
@@ -29,13 +29,13 @@
 
 #: What holds a task. ``stored``: its progress names a worker and no run is
 #: known; ``done``: it is done and the rest of its gang is not.
-HeldState = RunState | Literal['stored', 'done']
+BlockingState = RunState | Literal['stored', 'done']
 
 _STORED_TASK: Final = 'stored'
 _DONE_TASK: Final = 'done'
 
 
-class HeldTask(TypedDict):
+class BlockingTask(TypedDict):
     """One task that a run or a mark holds, and what is known of its worker.
 
     :param held_s: for how long its run has been known, 0 without one.
@@ -46,7 +46,7 @@
     task: str
     attempt: int
     worker: str
-    state: HeldState
+    state: BlockingState
     held_s: float
     stop_wanted: bool
     tracked: bool
@@ -56,7 +56,7 @@
     gone: bool
 
 
-class Hold(NamedTuple):
+class Blocker(NamedTuple):
     """What holds a job.
 
     :param step: the first one that is held, or the next one that is due.
@@ -65,15 +65,15 @@
     :param due_in_s: 0 unless it waits for its due time.
     """
 
-    reason: HoldReason
+    reason: BlockReason
     occurrence: int = 0
     step: int = 0
-    tasks: tuple[HeldTask, ...] = ()
+    tasks: tuple[BlockingTask, ...] = ()
     later_steps: int = 0
     due_in_s: float = 0.0
 
 
-class Holds:
+class BlockerFinder:
     """Finds out what holds a job.
 
     :param sessions: by worker.
@@ -89,7 +89,7 @@
         self._clock = clock
         self._sessions = sessions
 
-    def of(self, job: ActiveJob) -> Hold | None:
+    def of(self, job: ActiveJob) -> Blocker | None:
         """Return what holds a job; nothing if it is ready, ended or at work."""
         if job.ended or self._is_at_work(job):
             return None
@@ -101,7 +101,7 @@
             )
             tasks = tuple(sorted(filter(None, found), key=_goes_on_alone))
             if tasks:
-                return Hold(
+                return Blocker(
                     _reason_of(tasks),
                     occurrence,
                     number,
@@ -135,7 +135,7 @@
                 if not _awaits_step(job, occurrence, number):
                     yield (occurrence, number)
 
-    def _held_task(self, job: ActiveJob, key: TaskKey) -> HeldTask | None:
+    def _held_task(self, job: ActiveJob, key: TaskKey) -> BlockingTask | None:
         run = job.runs.get(key)
         if run is not None:
             return self._held_by_run(run)
@@ -148,7 +148,7 @@
             return self._held(key, task.attempt, '', _DONE_TASK)
         return None
 
-    def _held_by_run(self, run: Run) -> HeldTask:
+    def _held_by_run(self, run: Run) -> BlockingTask:
         held = self._held(run.key, run.attempt, run.worker_id, run.state)
         held['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
         held['stop_wanted'] = run.stop_wanted
@@ -162,10 +162,10 @@
         key: TaskKey,
         attempt: int,
         worker_id: str,
-        state: HeldState,
-    ) -> HeldTask:
+        state: BlockingState,
+    ) -> BlockingTask:
         session = self._sessions.get(worker_id)
-        return HeldTask(
+        return BlockingTask(
             task=str(key),
             attempt=attempt,
             worker=worker_id,
@@ -176,24 +176,24 @@
             listed=session is not None and session.listed,
             reachable=session is not None and session.reachable,
             synced=session is not None and session.synced,
-            gone=session is not None and session.gone,
+            gone=session is not None and session.removed,
         )
 
-    def _idle_hold(self, job: ActiveJob) -> Hold:
+    def _idle_hold(self, job: ActiveJob) -> Blocker:
         """Return what holds a job of which no step that is due is undone."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
             due_s = job.spec.due_s(occurrence)
             if due_s > now_s:
-                return Hold(
+                return Blocker(
                     DUE,
                     occurrence,
                     due_in_s=round(due_s - now_s, 1),
                 )
-        return Hold(ALL_DONE)
+        return Blocker(ALL_DONE)
 
 
-def _goes_on_alone(held: HeldTask) -> bool:
+def _goes_on_alone(held: BlockingTask) -> bool:
     """Return whether only its fellows keep a task's run from being at work.
 
     What holds all of a gang is named first.
@@ -202,7 +202,7 @@
     return held['state'] == RUNNING and answers and not held['stop_wanted']
 
 
-def _reason_of(tasks: tuple[HeldTask, ...]) -> HoldReason:
+def _reason_of(tasks: tuple[BlockingTask, ...]) -> BlockReason:
     states = {task['state'] for task in tasks}
     if states - {_STORED_TASK, _DONE_TASK}:
         return RUN
@@ -238,7 +238,7 @@
     'PARTLY_DONE',
     'RUN',
     'STORED',
-    'HeldTask',
+    'BlockingTask',
     'Hold',
     'Holds',
 )
--- a/src/curranthill/dispatch/cleanup.py
+++ b/src/curranthill/dispatch/cleanup.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from curranthill.clock import Clock
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.errors import StorageError
 from curranthill.storage.rows import RowRemoval, RowStore
 from curranthill.tasks import tables
@@ -31,12 +31,12 @@
         *,
         store: RowStore,
         clock: Clock,
-        journal: Journal,
+        writer: ProgressWriter,
     ) -> None:
         """Start with nothing to remove."""
         self._store = store
         self._clock = clock
-        self._journal = journal
+        self._writer = writer
         self._keys: set[str] = set()
 
     def add(self, key: str) -> None:
@@ -57,7 +57,7 @@
             for key in self._keys:
                 partition = tables.partition_of(tables.INTAKE, key)
                 by_partition.setdefault(partition, []).append(key)
-            await self._journal.saved()
+            await self._writer.stored()
             await asyncio.gather(
                 *(
                     self._remove(keys[:ROWS_PER_COMMIT])
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -10,9 +10,9 @@
 from typing import Final, NamedTuple
 
 from curranthill.clock import Clock
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.placement import ActiveJob
 from curranthill.registry import Registry
 from curranthill.tasks import TaskKey
@@ -127,14 +127,14 @@
         self,
         *,
         clock: Clock,
-        work: Work,
-        journal: Journal,
+        term: TermState,
+        writer: ProgressWriter,
         recover: Callable[[ActiveJob, TaskKey], None],
     ) -> None:
         """Start with nothing found."""
         self._clock = clock
-        self._work = work
-        self._journal = journal
+        self._term = term
+        self._writer = writer
         self._recover = recover
         self._found: set[Finding] = set()
         self._told: set[Finding] = set()
@@ -150,23 +150,23 @@
         """Look until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
-            if self._work.may_order():
-                self.look()
+            if self._term.may_order():
+                self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Tell of what was found at the look before too, and mend it."""
         before = self._found
         self._found = set(self._findings())
         self._told &= self._found
         for finding in self._found & before:
             self._tell(finding)
-            job = self._work.jobs.get(finding.key.job_id)
+            job = self._term.jobs.get(finding.key.job_id)
             if job is not None:
                 self._repairs[finding.kind](job, finding)
 
     def _findings(self) -> Iterator[Finding]:
-        sessions = self._work.sessions
-        for job in self._work.jobs.values():
+        sessions = self._term.sessions
+        for job in self._term.jobs.values():
             # A job that has ended is kept until its runs have.
             kinds = (RUN_UNHELD,) if job.ended else finders
             for kind in kinds:
@@ -192,24 +192,24 @@
         if _is_done(job, finding.key):
             return
         job.progress.task(finding.key).worker = finding.worker_id
-        self._journal.note(job)
+        self._writer.record(job)
         self._recover(job, finding.key)
-        session = self._work.sessions[finding.worker_id]
+        session = self._term.sessions[finding.worker_id]
         # Its start may have been ordered in this term, by the newest token.
         job.runs[finding.key].ordered_token = session.token
-        session.raise_token()
+        session.increment_token()
 
     def _stop(self, job: ActiveJob, finding: Finding) -> None:
         run = job.runs.get(finding.key)
         if run is not None:
-            self._work.stop_run(run)
+            self._term.stop_run(run)
 
     def _finish_gang(self, job: ActiveJob, finding: Finding) -> None:
         """Take one member's end for all of them, and stop what still runs."""
-        self._work.finish(job, finding.key)
+        self._term.finish(job, finding.key)
 
     def _complete(self, job: ActiveJob, finding: Finding) -> None:
-        self._work.complete(job)
+        self._term.complete(job)
 
 
 def _is_done(job: ActiveJob, key: TaskKey) -> bool:
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.owner import SessionOwner
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.placement import MARKED, ActiveJob, Run
 from curranthill.tasks import FAILED, JobState, TaskProgress
 from curranthill.telemetry import metrics
@@ -18,21 +18,21 @@
 #: Why a run was given up that may have crashed its worker. ``gone`` and
 #: ``restarted``: another life of the worker answered. ``lapsed``: none did for
 #: as long as a lease lasts, so it crashed or was cut off.
-WORKER_GONE: Final = 'worker gone'
+WORKER_REMOVED: Final = 'worker gone'
 WORKER_RESTARTED: Final = 'worker restarted'
 LEASE_LAPSED: Final = 'lease lapsed'
 
-_LOST: Final = frozenset((WORKER_GONE, WORKER_RESTARTED, LEASE_LAPSED))
+_LOST: Final = frozenset((WORKER_REMOVED, WORKER_RESTARTED, LEASE_LAPSED))
 
 #: Runs of one task that may be lost with their worker. The platform allows two
 #: starts of such a task after three workers have crashed under it; whoever
 #: has nothing to do with the crashes has all five tries.
-MOST_LOSSES: Final = 5
+MAX_LOSSES: Final = 5
 
 #: Runs of one task whose worker crashed right after their start. Workers crash
 #: by themselves at any moment: on one that does so every 10 s, one start in
 #: five is followed by a crash within 2 s, three in a row once in 125 tasks.
-MOST_PROMPT_CRASHES: Final = 3
+MAX_PROMPT_CRASHES: Final = 3
 
 #: Up to this age a run counts as just started, in seconds: a worker lists its
 #: runs every 1.5 s at least, so a run that was listed once and no more is
@@ -63,14 +63,14 @@
     def settle(self, *, crashed: bool) -> None:
         """Tell of all runs that the worker crashed, or that it did not."""
         for run in self.taken():
-            self._owner.loss_settled(run, crashed=crashed)
+            self._owner.loss_resolved(run, crashed=crashed)
 
     def settle_by(self, incarnation: int) -> None:
         """Tell of all runs, by the incarnation that answers now."""
         for run in self.taken():
             told = run.incarnation and incarnation
             crashed = bool(told) and run.incarnation != incarnation
-            self._owner.loss_settled(run, crashed=crashed)
+            self._owner.loss_resolved(run, crashed=crashed)
 
     def taken(self) -> list[Run]:
         """Return all runs and forget them."""
@@ -90,12 +90,12 @@
         self,
         *,
         jobs: Mapping[str, ActiveJob],
-        journal: Journal,
+        writer: ProgressWriter,
         give_up: Callable[[ActiveJob, JobState, str], None],
     ) -> None:
         """Keep the parts."""
         self._jobs = jobs
-        self._journal = journal
+        self._writer = writer
         self._give_up = give_up
 
     def note(self, run: Run, reason: str, *, leaving: bool) -> None:
@@ -125,7 +125,7 @@
         if not crashed:
             task.losses = max(0, task.losses - 1)
             job.note_losses(run.key)
-            self._journal.note(job)
+            self._writer.record(job)
         elif run.age_s < PROMPT_S:
             task.prompt_crashes += 1
             job.note_losses(run.key)
@@ -141,7 +141,7 @@
             task.losses = 0
             task.prompt_crashes = 0
             job.note_losses(run.key)
-            self._journal.note(job)
+            self._writer.record(job)
 
     def _judge(self, job: ActiveJob, run: Run, reason: str) -> None:
         """Tell of a loss, and give the task up if it is one too many."""
@@ -156,7 +156,7 @@
             losses=task.losses,
             prompt_crashes=task.prompt_crashes,
         )
-        self._journal.note(job)
+        self._writer.record(job)
         if not is_given_up(task):
             return
         metrics.tasks_given_up.add(1)
@@ -180,16 +180,16 @@
 
 def is_given_up(task: TaskProgress) -> bool:
     """Return whether a task must not be started any more."""
-    if task.prompt_crashes >= MOST_PROMPT_CRASHES:
+    if task.prompt_crashes >= MAX_PROMPT_CRASHES:
         return True
-    return task.losses >= MOST_LOSSES
+    return task.losses >= MAX_LOSSES
 
 
 __all__ = (
     'CLEARED_AFTER_S',
     'LEASE_LAPSED',
-    'MOST_LOSSES',
-    'MOST_PROMPT_CRASHES',
+    'MAX_LOSSES',
+    'MAX_PROMPT_CRASHES',
     'PROMPT_S',
     'WORKER_GONE',
     'WORKER_RESTARTED',
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -6,7 +6,7 @@
 from typing import Final, Protocol
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.dispatch.journal import HEARTBEAT_S
+from curranthill.dispatch.forecasts import ForecastReader
 from curranthill.dispatch.leadership import (
     LeaderRow,
     Leadership,
@@ -14,7 +14,7 @@
     leader_row_of,
     take_over,
 )
-from curranthill.dispatch.outlooks import OutlookWatch
+from curranthill.dispatch.progress_writer import HEARTBEAT_S
 from curranthill.errors import StorageError
 from curranthill.storage.follower import FEED_WAIT_S
 from curranthill.storage.health import UNREACHABLE_S, StoreHealth
@@ -86,7 +86,7 @@
     :param health: is told of each reading.
     :param operator_rows: a host that cannot read them leads only if nobody
         else does.
-    :param outlooks: the outlook that stands in the leader's row.
+    :param forecasts: the outlook that stands in the leader's row.
     :param others: returns how many other hosts watch the leader too.
     """
 
@@ -116,7 +116,7 @@
         self._steady_since_s = 0.0
         self._silence_s = SILENCE_S
         self._resigned = False
-        self.outlooks = OutlookWatch(clock=clock)
+        self.forecasts = ForecastReader(clock=clock)
         self._shares = False
 
     @property
@@ -136,7 +136,7 @@
                 row = await self._store.read(tables.LEADER, tables.LEADER_KEY)
             except StorageError as error:
                 self._health.failed(error)
-                self.outlooks.missed()
+                self.forecasts.missed()
                 pause_s = FAILED_POLL_S * random.uniform(0.8, 1.2)
             else:
                 self._health.answered()
@@ -192,7 +192,7 @@
         except StorageError as error:
             events.log('takeover_failed', error=str(error))
             return
-        self.outlooks.take(leader.epoch, leader.outlook)
+        self.forecasts.take(leader.epoch, leader.forecast)
         if self._resigned:
             return
         holder = leader.holder
@@ -245,7 +245,7 @@
                 if leadership.age_s < UNREACHABLE_S:
                     self._health.answered()
                 self._ask_for_successor(leadership)
-                self.outlooks.take(leadership.epoch, leadership.outlook)
+                self.forecasts.take(leadership.epoch, leadership.forecast)
                 await wait_at_most(term, timeout_s=POLL_S, clock=self._clock)
         finally:
             term.cancel()
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -4,11 +4,11 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.leadership import Leadership
-from curranthill.dispatch.looks import LookTurns
 from curranthill.dispatch.owner import ClosureSource
-from curranthill.dispatch.session import RAISES_PER_EPOCH, WorkerSession
+from curranthill.dispatch.probing import ProbeLimiter
+from curranthill.dispatch.session import TOKENS_PER_EPOCH, WorkerSession
 from curranthill.dispatch.spawner import Spawner
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.workers import WorkerConnector
 from curranthill.placement import ActiveJob, WorkerEntry
 from curranthill.storage.follower import RowsTaker, TableFollower
@@ -57,7 +57,7 @@
         *,
         store: RowStore,
         clock: Clock,
-        work: Work,
+        term: TermState,
         spawner: Spawner,
         connector: WorkerConnector,
         worker_feed: WorkerFeed,
@@ -67,10 +67,10 @@
     ) -> None:
         """Start with nothing read."""
         self._closures = closures
-        self._looks = LookTurns(clock=clock)
+        self._probe_limiter = ProbeLimiter(clock=clock)
         self._store = store
         self._clock = clock
-        self._work = work
+        self._term = term
         self._spawner = spawner
         self._connector = connector
         self._worker_feed = worker_feed
@@ -87,7 +87,7 @@
         await intake.read()
         # Of the rest only the state is kept.
         for job_id, content in self._progress.items():
-            if job_id not in self._work.jobs:
+            if job_id not in self._term.jobs:
                 self._note_ended(job_id, content)
         self._progress.clear()
         workers = self._follower(
@@ -138,7 +138,7 @@
             metrics.records_bad.add(1, {'kind': 'progress'})
             return
         if progress.ended_at_s:
-            self._work.ended_at_s[job_id] = progress.ended_at_s
+            self._term.ended_at_s[job_id] = progress.ended_at_s
 
     def _take_progress(self, rows: tuple[StoredRow, ...]) -> None:
         self._progress.update({row.key: row.content for row in rows})
@@ -150,7 +150,7 @@
             except MalformedRecordError as error:
                 # Of a job whose progress is unknown nothing may start.
                 self._tell_bad(row, 'job', error)
-        self._work.changed.set()
+        self._term.changed.set()
 
     def _tell_bad(
         self,
@@ -173,7 +173,7 @@
 
     def _take_workers_anew(self, rows: tuple[StoredRow, ...]) -> None:
         present = {row.key for row in rows}
-        for worker_id in list(self._work.sessions):
+        for worker_id in list(self._term.sessions):
             if worker_id not in present:
                 self._delist(worker_id)
         self._take_workers(rows)
@@ -184,10 +184,10 @@
                 self._delist(row.key)
             else:
                 self._take_worker(row)
-        self._work.changed.set()
+        self._term.changed.set()
 
     def _delist(self, worker_id: str) -> None:
-        session = self._work.sessions.get(worker_id)
+        session = self._term.sessions.get(worker_id)
         if session is not None and session.listed:
             events.log('worker_delisted', worker=worker_id)
             session.listed = False
@@ -200,8 +200,8 @@
             self._tell_bad(row, 'worker', error)
             self._mark_unreadable(row.key)
             return
-        session = self._work.sessions.get(entry.worker_id)
-        if session is None or session.gone:
+        session = self._term.sessions.get(entry.worker_id)
+        if session is None or session.removed:
             session = self._open_session(entry)
         elif entry.address != session.entry.address:
             session.connect(self._connector.connect(entry))
@@ -215,13 +215,13 @@
         It may live and be what it was: what runs there goes on, its lease is
         renewed at the address known before, and a good entry makes it usable.
         """
-        session = self._work.sessions.get(worker_id)
+        session = self._term.sessions.get(worker_id)
         if session is not None:
             session.readable = False
 
     def _open_session(self, entry: WorkerEntry) -> WorkerSession:
-        token = self._leadership.epoch * RAISES_PER_EPOCH
-        former = self._work.sessions.get(entry.worker_id)
+        token = self._leadership.epoch * TOKENS_PER_EPOCH
+        former = self._term.sessions.get(entry.worker_id)
         if former is not None:
             # A worker that was given up may have seen all of its tokens; one
             # that it rejects would be taken for another leader's.
@@ -229,17 +229,17 @@
         session = WorkerSession(
             entry=entry,
             worker=self._connector.connect(entry) if entry.address else None,
-            owner=self._work,
+            owner=self._term,
             clock=self._clock,
             timing=self._timing,
             token=token,
-            former_s=self._leadership.former_s,
+            previous_s=self._leadership.previous_s,
             closures=self._closures,
-            looks=self._looks,
+            probe_limiter=self._probe_limiter,
         )
         if former is not None:
             session.doubtful.take_over(former.doubtful)
-        self._work.sessions[entry.worker_id] = session
+        self._term.sessions[entry.worker_id] = session
         self._spawner.spawn(session.run())
         return session
 
@@ -247,19 +247,19 @@
         if row.removed:
             return
         if row.key.endswith(tables.CANCEL_SUFFIX):
-            self._work.cancel(row.key.removesuffix(tables.CANCEL_SUFFIX))
+            self._term.cancel(row.key.removesuffix(tables.CANCEL_SUFFIX))
             return
-        if row.key in self._work.jobs or row.key in self._work.ended_at_s:
-            self._work.handed_in_again(row.key)
+        if row.key in self._term.jobs or row.key in self._term.ended_at_s:
+            self._term.handed_in_again(row.key)
             return
         spec = decode(row.content, JobSpec)
         state = JobProgress(queue=spec.queue.name)
         progress = self._progress.get(spec.job_id)
         if progress is not None:
             state = decode(progress, JobProgress)
-        job = self._work.take_job(spec, state)
+        job = self._term.take_job(spec, state)
         self._recover_runs(job)
-        self._work.recovered(job)
+        self._term.recovered(job)
 
     def _recover_runs(self, job: ActiveJob) -> None:
         """Take each stored mark as a run that may exist."""
@@ -271,10 +271,10 @@
     def recover(self, job: ActiveJob, key: TaskKey) -> None:
         """Take a task's stored mark as a run that may exist."""
         worker_id = job.progress.task(key).worker
-        session = self._work.sessions.get(worker_id)
-        if session is None or session.gone:
+        session = self._term.sessions.get(worker_id)
+        if session is None or session.removed:
             session = self._open_session(_unlisted(worker_id))
-        self._work.recover_run(job, key, session)
+        self._term.recover_run(job, key, session)
 
 
 def _unlisted(worker_id: str) -> WorkerEntry:
--- a/src/curranthill/dispatch/outlooks.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -8,7 +8,7 @@
 from curranthill.admission import Outlook, ServiceRoom, outlook_of
 from curranthill.clock import Clock
 from curranthill.dispatch.session import WorkerSession
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.placement import Room
 from curranthill.tasks import Resources, Revision
 from curranthill.telemetry import metrics
@@ -27,13 +27,13 @@
 NO_REFUSAL_S: Final = 5.0
 
 
-class OutlookMaker:
+class ForecastPublisher:
     """Makes outlooks for one term."""
 
-    def __init__(self, *, clock: Clock, work: Work) -> None:
+    def __init__(self, *, clock: Clock, term: TermState) -> None:
         """Begin a term."""
         self._clock = clock
-        self._work = work
+        self._term = term
         self._number = 0
         self._due_s = clock.monotonic_s() + FIRST_S
 
@@ -49,7 +49,7 @@
             return None
         self._number += 1
         return outlook_of(
-            self._work.jobs.values(),
+            self._term.jobs.values(),
             rooms=self._rooms(),
             guaranteed={
                 one.name: one.guaranteed_gpus for one in revision.workspaces
@@ -65,8 +65,8 @@
         too short.
         """
         by_service: dict[str, list[WorkerSession]] = {}
-        for session in self._work.sessions.values():
-            if session.listed and not session.gone:
+        for session in self._term.sessions.values():
+            if session.listed and not session.removed:
                 by_service.setdefault(session.entry.service, []).append(session)
         return {
             service: ServiceRoom(
@@ -99,7 +99,7 @@
         return most
 
 
-class OutlookWatch:
+class ForecastReader:
     """The newest outlook that one host has read, and since when it knows it.
 
     The leader's clock is not asked: its age is what has passed here since it
@@ -111,7 +111,7 @@
         self._clock = clock
         self._content: Any = None
         self._epoch = 0
-        self._outlook: Outlook | None = None
+        self._forecast: Outlook | None = None
         self._since_s = 0.0
         self._missed_s = -NO_REFUSAL_S
 
@@ -120,7 +120,7 @@
         now_s = self._clock.monotonic_s()
         if now_s - self._missed_s < NO_REFUSAL_S:
             return (None, 0.0)
-        return (self._outlook, now_s - self._since_s)
+        return (self._forecast, now_s - self._since_s)
 
     def take(self, epoch: int, content: Any) -> None:
         """Take what stands in the leader's row.
@@ -134,7 +134,7 @@
             return
         self._epoch = epoch
         self._content = content
-        self._outlook = _decoded(content)
+        self._forecast = _decoded(content)
         self._since_s = self._clock.monotonic_s()
 
     def missed(self) -> None:
@@ -154,4 +154,4 @@
         return None
 
 
-__all__ = ('OutlookMaker', 'OutlookWatch')
+__all__ = ('ForecastPublisher', 'ForecastReader')
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -8,16 +8,16 @@
 from typing import Final
 
 from curranthill.clock import Clock
-from curranthill.dispatch.advice import Advisor, TicketOffice
+from curranthill.dispatch.advice import Advisor, TicketCache
 from curranthill.dispatch.cleanup import IntakeCleanup
 from curranthill.dispatch.consistency import ConsistencyCheck
 from curranthill.dispatch.feeds import Feeds, WorkerFeed
-from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.leadership import Leadership, LeadershipLostError
 from curranthill.dispatch.owner import ClosureSource
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.rounds import RevisionSource, Rounds
 from curranthill.dispatch.spawner import Spawner
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.workers import WorkerConnector
 from curranthill.placement import ALL_ON
 from curranthill.storage.rows import RowStore
@@ -57,23 +57,23 @@
         self._leadership = leadership
         self._timing = timing
         self._spawner = Spawner()
-        self._journal = Journal(leadership=leadership, clock=clock)
+        self._writer = ProgressWriter(leadership=leadership, clock=clock)
         self._cleanup = IntakeCleanup(
             store=store,
             clock=clock,
-            journal=self._journal,
+            writer=self._writer,
         )
-        self._work = Work(
+        self._term = TermState(
             clock=clock,
             leadership=leadership,
-            journal=self._journal,
+            writer=self._writer,
             spawner=self._spawner,
             cleanup=self._cleanup,
         )
         self._feeds = Feeds(
             store=store,
             clock=clock,
-            work=self._work,
+            term=self._term,
             spawner=self._spawner,
             connector=connector,
             worker_feed=worker_feed,
@@ -83,24 +83,24 @@
         )
         self._consistency = ConsistencyCheck(
             clock=clock,
-            work=self._work,
-            journal=self._journal,
+            term=self._term,
+            writer=self._writer,
             recover=self._feeds.recover,
         )
         self._rounds = Rounds(
             clock=clock,
-            work=self._work,
-            journal=self._journal,
+            term=self._term,
+            writer=self._writer,
             spawner=self._spawner,
             revision=revision,
-            office=TicketOffice(advisor=advisor, clock=clock),
+            ticket_cache=TicketCache(advisor=advisor, clock=clock),
             without=without,
         )
 
     @property
-    def work(self) -> Work:
+    def term(self) -> TermState:
         """Return the jobs, runs and workers of this term."""
-        return self._work
+        return self._term
 
     async def run(self) -> None:
         """Lead until the term is over or the task is cancelled."""
@@ -114,7 +114,7 @@
             await self._spawner.end()
 
     async def _run_parts(self) -> None:
-        self._spawner.spawn(self._journal.run())
+        self._spawner.spawn(self._writer.run())
         await self._feeds.start()
         self._spawner.spawn(self._rounds.run())
         self._spawner.spawn(self._consistency.run())
@@ -125,7 +125,7 @@
     async def step_down(self) -> None:
         """Store what is known and give leadership to whoever comes first."""
         try:
-            await self._journal.saved()
+            await self._writer.stored()
             await self._leadership.resign()
         except LeadershipLostError as lost:
             events.log('step_down_needless', reason=str(lost))
@@ -137,10 +137,10 @@
         while True:
             await self._clock.sleep(SWEEP_INTERVAL_S)
             oldest_s = self._clock.wall_s() - kept_s
-            ended = list(self._work.ended_at_s.items())
+            ended = list(self._term.ended_at_s.items())
             for job_id, ended_at_s in ended:
                 if ended_at_s < oldest_s:
-                    self._work.forget(job_id)
+                    self._term.forget(job_id)
 
 
 __all__ = ('Leader',)
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -53,29 +53,29 @@
     :param holder: the leading process, or empty after it stepped down.
     :param epoch: grows by one with each change of the holder.
     :param operation: unique to each write, so that a lost reply is found.
-    :param former_s: for how long from this write those who led before the
+    :param previous_s: for how long from this write those who led before the
         holder may go on renewing leases, in seconds.
     :param yields: the holder asks for a successor, as it cannot read the
         operators' rows; it leads until one takes over.
-    :param outlook: what waits, as plain content: another release's must not
+    :param forecast: what waits, as plain content: another release's must not
         make the row unreadable.
     """
 
     holder: str = ''
     epoch: int = 0
     operation: str = ''
-    former_s: float = 0.0
+    previous_s: float = 0.0
     yields: bool = False
-    outlook: Any = None
+    forecast: Any = None
 
-    def former_after_s(self, seen_for_s: float) -> float:
+    def previous_after_s(self, seen_for_s: float) -> float:
         """Return how long anyone up to this row's writer may go on renewing.
 
         :param seen_for_s: for how long this row is known to be the newest;
             its writer renews for a bounded time from the write, which was
             before the row was first seen.
         """
-        most_s = self.former_s
+        most_s = self.previous_s
         if self.holder:
             most_s = max(most_s, RENEW_WITHOUT_STORE_S)
         return max(0.0, most_s - seen_for_s)
@@ -108,7 +108,7 @@
     :param began_s: the clock just before that write.
     :param yields: whether the next writes ask for a successor.
     :param steady_since_s: since when writes have applied without a gap.
-    :param outlook: what waits, written with each write from now on; each host
+    :param forecast: what waits, written with each write from now on; each host
         reads this row anyhow, so it costs no call.
     """
 
@@ -123,7 +123,7 @@
     ) -> None:
         """Keep the row that this process wrote."""
         self._began_s = began_s
-        self._former_s = row.former_s
+        self._former_s = row.previous_s
         self._resigning = False
         self._store = store
         self._clock = clock
@@ -133,7 +133,7 @@
         self.confirmed_s = began_s
         self.steady_since_s = began_s
         self.yields = False
-        self.outlook: Any = None
+        self.forecast: Any = None
 
     @property
     def epoch(self) -> int:
@@ -151,7 +151,7 @@
         return self._clock.monotonic_s() - self.confirmed_s
 
     @property
-    def former_s(self) -> float:
+    def previous_s(self) -> float:
         """Return for how long those who led before may still renew leases."""
         led_s = self._clock.monotonic_s() - self._began_s
         return max(0.0, self._former_s - led_s)
@@ -185,9 +185,9 @@
             holder=self._row.holder if holder is None else holder,
             epoch=self._row.epoch,
             operation=uuid.uuid4().hex,
-            former_s=self.former_s,
+            previous_s=self.previous_s,
             yields=self.yields,
-            outlook=self.outlook if holder is None else None,
+            forecast=self.forecast if holder is None else None,
         )
         own = RowPut(tables.LEADER, tables.LEADER_KEY, encode(row))
         # A try that turns out to have applied may be any of them, and others
@@ -264,7 +264,7 @@
         holder=holder,
         epoch=former.epoch + 1,
         operation=uuid.uuid4().hex,
-        former_s=former.former_after_s(seen_for_s),
+        previous_s=former.previous_after_s(seen_for_s),
     )
     check = RowCheck(
         tables.LEADER,
--- a/src/curranthill/dispatch/lease.py
+++ b/src/curranthill/dispatch/lease.py
@@ -17,7 +17,7 @@
 
     :param length_s: the longest lease that the worker grants.
     :param clock_s: the worker's steady clock when it was listed.
-    :param former_s: how long another leader may have gone on renewing.
+    :param previous_s: how long another leader may have gone on renewing.
     :param worker_clock_s: the newest reading of the worker's clock.
     """
 
@@ -27,14 +27,14 @@
         clock: Clock,
         length_s: float,
         clock_s: float,
-        former_s: float,
+        previous_s: float,
     ) -> None:
         """Reckon with all that a former leader may have granted."""
         self._clock = clock
         self._length_s = length_s
         self.worker_clock_s = clock_s
         self._read_s = clock.monotonic_s()
-        self._end_s = self._end_if_granted_now_s() + former_s
+        self._end_s = self._end_if_granted_now_s() + previous_s
 
     @property
     def lapsed(self) -> bool:
--- a/src/curranthill/dispatch/watch.py
+++ b/src/curranthill/dispatch/migration.py
@@ -3,9 +3,9 @@
 from typing import Final, NamedTuple
 
 from curranthill.clock import Clock
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.placement import (
     ALL_ON,
     SLOW,
@@ -61,18 +61,18 @@
         self,
         *,
         clock: Clock,
-        work: Work,
-        journal: Journal,
+        term: TermState,
+        writer: ProgressWriter,
         without: frozenset[str] = ALL_ON,
     ) -> None:
         """Start with no look made."""
         self._clock = clock
-        self._work = work
-        self._journal = journal
+        self._term = term
+        self._writer = writer
         self._without = without
         self._looked_s = 0.0
 
-    def look(self, *, idle: bool) -> None:
+    def check(self, *, idle: bool) -> None:
         """Count runs that stand still; move those better started elsewhere.
 
         :param idle: whether nothing waits. Room that is free then is what runs
@@ -92,8 +92,8 @@
 
     def _candidates(self) -> list[_Candidate]:
         found = []
-        for session in self._work.sessions.values():
-            speed = self._work.learning.speed_of(session).factor
+        for session in self._term.sessions.values():
+            speed = self._term.estimates.speed_of(session).factor
             stalled = 0
             for run in session.runs.values():
                 stalled += bool(run.stalled_s)
@@ -106,7 +106,7 @@
 
     def _left_s(self, run: Run) -> float:
         """Return the time left until the objective of a run's job."""
-        job = self._work.jobs.get(run.key.job_id)
+        job = self._term.jobs.get(run.key.job_id)
         if job is None:
             return 0.0
         return job.objective_s - self._clock.wall_s()
@@ -118,7 +118,7 @@
         """
         if _MECHANISMS[reason] in self._without:
             return False
-        job = self._work.jobs.get(run.key.job_id)
+        job = self._term.jobs.get(run.key.job_id)
         if job is None or job.runs.get(run.key) is not run:
             return False
         if reason == STALLED and not _stalled_as_whole_gang(job, run):
@@ -128,12 +128,12 @@
 
     def _has_faster_room(self, found: _Candidate) -> bool:
         """Return whether a worker that is not known to be slow has room."""
-        step = self._work.jobs[found.run.key.job_id].step_of(found.run.key)
-        for session in self._work.sessions.values():
+        step = self._term.jobs[found.run.key.job_id].step_of(found.run.key)
+        for session in self._term.sessions.values():
             labels = session.entry.labels
             if step.label and step.label not in labels:
                 continue
-            if self._work.learning.speed_of(session).factor < 1:
+            if self._term.estimates.speed_of(session).factor < 1:
                 continue
             if session.accepts_work and _has_room(session, found.run):
                 return True
@@ -141,9 +141,9 @@
 
     def _move(self, found: _Candidate) -> None:
         run = found.run
-        job = self._work.jobs[run.key.job_id]
+        job = self._term.jobs[run.key.job_id]
         job.progress.task(run.key).moves |= _MARKS[found.move.reason]
-        self._journal.note(job)
+        self._writer.record(job)
         if found.move.reason == STALLED:
             found.session.troubles_s.append(self._clock.monotonic_s())
         metrics.moves.add(1, {'reason': found.move.reason})
@@ -157,7 +157,7 @@
             here_s=round(found.move.here_s, 2),
             elsewhere_s=round(found.move.elsewhere_s, 2),
         )
-        self._work.stop_run(run)
+        self._term.stop_run(run)
 
 
 def _stalled_as_whole_gang(job: ActiveJob, run: Run) -> bool:
--- a/src/curranthill/dispatch/owner.py
+++ b/src/curranthill/dispatch/owner.py
@@ -32,13 +32,13 @@
     def fenced(self, session: 'WorkerSession') -> None:
         """Take note that another leader orders the worker."""
 
-    def stop_again(self, session: 'WorkerSession', run: Run) -> None:
+    def resend_stop(self, session: 'WorkerSession', run: Run) -> None:
         """Order a stop once more that has had no effect yet."""
 
     def run_ended(self, session: 'WorkerSession', end: EndReport) -> None:
         """Take note of an end; the run takes no more room."""
 
-    def run_vanished(
+    def run_absent(
         self,
         session: 'WorkerSession',
         run: Run,
@@ -46,13 +46,13 @@
     ) -> None:
         """Take note that a run does not exist and never will."""
 
-    def loss_settled(self, run: Run, *, crashed: bool) -> None:
+    def loss_resolved(self, run: Run, *, crashed: bool) -> None:
         """Take note whether a run whose lease lapsed crashed its worker."""
 
     def needs_of(self, key: TaskKey) -> Resources:
         """Return the room a task takes, for runs found at a worker."""
 
-    async def ends_saved(self) -> None:
+    async def ends_stored(self) -> None:
         """Return once every end noted so far is stored."""
 
     def session_changed(self, session: 'WorkerSession') -> None:
--- a/src/curranthill/dispatch/learning.py
+++ b/src/curranthill/dispatch/pace_estimates.py
@@ -24,7 +24,7 @@
 REFRESH_INTERVAL_S: Final = 0.5
 
 
-class Learning:
+class PaceEstimates:
     """Keeps what is learnt in a term.
 
     :param durations: how long the work of each queue takes.
@@ -62,7 +62,7 @@
             return
         self._refreshed_s = now_s
         self.speeds.refresh()
-        present = [session for session in sessions if not session.gone]
+        present = [session for session in sessions if not session.removed]
         self.speeds.forget_except(one.worker_id for one in present)
         self._tell_unlike(present)
 
--- a/src/curranthill/dispatch/looks.py
+++ b/src/curranthill/dispatch/probing.py
@@ -22,7 +22,7 @@
 TURN_S: Final = 0.05
 
 
-class LookTurns:
+class ProbeLimiter:
     """Bounds how many workers are looked at side by side."""
 
     def __init__(self, *, clock: Clock) -> None:
@@ -52,4 +52,4 @@
                 looking.cancel()
 
 
-__all__ = ('LookTurns',)
+__all__ = ('ProbeLimiter',)
--- a/src/curranthill/dispatch/journal.py
+++ b/src/curranthill/dispatch/progress_writer.py
@@ -21,7 +21,7 @@
 HEARTBEAT_S: Final = 0.35
 
 
-class Journal:
+class ProgressWriter:
     """Writes progress rows under the leader's condition."""
 
     def __init__(self, *, leadership: Leadership, clock: Clock) -> None:
@@ -35,24 +35,24 @@
         self._wake = asyncio.Event()
         self._next: asyncio.Future[None] | None = None
 
-    def note(self, job: ActiveJob) -> None:
+    def record(self, job: ActiveJob) -> None:
         """Have a job's progress written."""
         self._dirty[job.spec.job_id] = job
         self._wake.set()
 
-    def note_pending(self, content: bytes) -> None:
+    def record_pending(self, content: bytes) -> None:
         """Have the queue lengths written with the next write."""
         self._pending = content
 
-    def note_outlook(self, outlook: Any) -> None:
+    def publish_forecast(self, forecast: Any) -> None:
         """Have what waits written with each write from now on."""
-        self._leadership.outlook = outlook
+        self._leadership.forecast = forecast
 
     def remove(self, removal: RowRemoval) -> None:
         """Have a row removed."""
         self._removals.append(removal)
 
-    async def saved(self) -> None:
+    async def stored(self) -> None:
         """Return once all that was noted so far is stored."""
         if self._next is None:
             self._next = asyncio.get_running_loop().create_future()
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -6,16 +6,16 @@
 import msgspec
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.dispatch.advice import Question, TicketOffice
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.advice import Question, TicketCache
+from curranthill.dispatch.forecasts import ForecastPublisher
 from curranthill.dispatch.leadership import LeadershipLostError
-from curranthill.dispatch.outlooks import OutlookMaker
+from curranthill.dispatch.migration import RunWatch
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
+from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.unused import UnusedWorkers
 from curranthill.dispatch.waiting import WaitingBoard
-from curranthill.dispatch.watch import RunWatch
-from curranthill.dispatch.work import Work
 from curranthill.placement import (
     ALL_ON,
     DOUBT,
@@ -69,11 +69,11 @@
         self,
         *,
         clock: Clock,
-        work: Work,
-        journal: Journal,
+        term: TermState,
+        writer: ProgressWriter,
         spawner: Spawner,
         revision: RevisionSource,
-        office: TicketOffice,
+        ticket_cache: TicketCache,
         without: frozenset[str] = ALL_ON,
     ) -> None:
         """Start without a round.
@@ -83,23 +83,23 @@
         self._without = without
         self._watch = RunWatch(
             clock=clock,
-            work=work,
-            journal=journal,
+            term=term,
+            writer=writer,
             without=without,
         )
-        self._office = office
+        self._ticket_cache = ticket_cache
         self._asking = False
         self._questions: list[Question] = []
         self._clock = clock
-        self._work = work
-        self._journal = journal
+        self._term = term
+        self._writer = writer
         self._spawner = spawner
         self._revision = revision
-        self._outlooks = OutlookMaker(clock=clock, work=work)
-        self._board = WaitingBoard(clock=clock, work=work)
+        self._forecasts = ForecastPublisher(clock=clock, term=term)
+        self._board = WaitingBoard(clock=clock, term=term)
         self._turns = ReservationTurns()
         self._backlog = BacklogCursor()
-        self._unused = UnusedWorkers(clock=clock, sessions=work.sessions)
+        self._unused = UnusedWorkers(clock=clock, sessions=term.sessions)
         self._reserved_for: tuple[str, ...] = ()
         self._shown_s = 0.0
 
@@ -107,26 +107,26 @@
         """Make a round whenever something has changed."""
         while True:
             await wait_at_most(
-                self._work.changed.wait(),
+                self._term.changed.wait(),
                 timeout_s=ROUND_INTERVAL_S,
                 clock=self._clock,
             )
             await self._clock.sleep(ROUND_PAUSE_S)
-            self._work.changed.clear()
+            self._term.changed.clear()
             self._plan_round()
             self._note_pending()
-            self._note_outlook()
+            self._publish_forecast()
 
     def _plan_round(self) -> None:
         self._reserved_for = ()
-        if not self._work.may_order():
+        if not self._term.may_order():
             return
-        self._work.empty_leaving_workers()
+        self._term.empty_leaving_workers()
         began_s = self._clock.monotonic_s()
         now_s = self._clock.wall_s()
         waits = self._anything_waits(now_s)
-        self._work.learning.refresh(self._work.sessions.values(), began_s)
-        self._watch.look(idle=not waits)
+        self._term.estimates.refresh(self._term.sessions.values(), began_s)
+        self._watch.check(idle=not waits)
         if not waits:
             # Most rounds end here: reports and ends cause rounds too, and
             # adding up all workers' room is the costly part of a round.
@@ -140,9 +140,9 @@
             turns=self._turns,
             backlog=self._backlog,
             without=self._without,
-            ratio_of=self._work.learning.ratio_of,
+            ratio_of=self._term.estimates.ratio_of,
         )
-        plan = planner.plan(self._work.jobs.values())
+        plan = planner.plan(self._term.jobs.values())
         self._ask_next()
         self._reserved_for = plan.reserved_for
         metrics.decision_s.record(self._clock.monotonic_s() - began_s)
@@ -154,13 +154,13 @@
         """Stop the victims; a job's stops of one round count as one."""
         stopped = {run.key.job_id for run in plan.victims}
         for job_id in stopped:
-            job = self._work.jobs.get(job_id)
+            job = self._term.jobs.get(job_id)
             if job is not None:
                 job.progress.stops += 1
         for run, for_job in zip(plan.victims, plan.stopped_for, strict=True):
             metrics.preemptions.add(1)
             metrics.preempted_core_s.add(run.needs.weight_cores * run.lost_s)
-            job = self._work.jobs.get(run.key.job_id)
+            job = self._term.jobs.get(run.key.job_id)
             events.log(
                 'preempted',
                 task=str(run.key),
@@ -171,13 +171,13 @@
                 workspace=job.spec.workspace if job else '',
                 stops=job.stops if job else 0,
             )
-            self._work.stop_run(run)
+            self._term.stop_run(run)
 
     def _anything_waits(self, now_s: float) -> bool:
         """Return whether some step may start at a wall-clock time."""
         return any(
             ready.tasks
-            for job in self._work.jobs.values()
+            for job in self._term.jobs.values()
             for ready in job.ready_steps(now_s)
         )
 
@@ -185,40 +185,40 @@
         """Return a step's good tickets; note what to ask if they do not do."""
         usable = {
             session.worker_id: session.incarnation
-            for session in self._work.sessions.values()
+            for session in self._term.sessions.values()
             if session.accepts_work
             and session.entry.service == job.spec.queue.service
         }
-        good = self._office.good(ready, usable)
+        good = self._ticket_cache.good(ready, usable)
         if not self._asking and len(good) < len(ready.tasks):
             without = {
                 worker_id: incarnation
                 for worker_id, incarnation in usable.items()
                 if worker_id not in good
             }
-            question = self._office.question(ready, without)
+            question = self._ticket_cache.question(ready, without)
             if question is not None:
                 self._questions.append(question)
         return good
 
     def _ask_next(self) -> None:
         """Ask one of the questions of this round."""
-        question = self._office.choose(self._questions)
+        question = self._ticket_cache.choose(self._questions)
         if question is not None:
             self._asking = True
             self._spawner.spawn(self._ask(question))
 
     async def _ask(self, question: Question) -> None:
         try:
-            await self._office.ask(question)
+            await self._ticket_cache.ask(question)
         finally:
             self._asking = False
-        self._office.forget_except(set(self._work.jobs))
-        self._work.changed.set()
+        self._ticket_cache.forget_except(set(self._term.jobs))
+        self._term.changed.set()
 
     def _rooms(self) -> dict[str, list[Room]]:
         rooms: dict[str, list[Room]] = {}
-        for session in self._work.sessions.values():
+        for session in self._term.sessions.values():
             if not session.accepts_work:
                 continue
             room = Room(
@@ -234,7 +234,7 @@
         """Return a worker's speed, 1.0 if it is not known to differ."""
         if SPEEDS in self._without:
             return 1.0
-        return self._work.learning.speed_of(session).factor
+        return self._term.estimates.speed_of(session).factor
 
     def _doubt(self, session: WorkerSession) -> float:
         """Return how many runs failed or stood still at a worker of late."""
@@ -280,7 +280,7 @@
             tasks=[f'{run.key.rank}@{run.worker_id}' for run in runs],
             attempt=shared,
         )
-        self._journal.note(job)
+        self._writer.record(job)
         self._spawner.spawn(self._start(job, runs))
 
     def _mark_runs(
@@ -298,9 +298,9 @@
             task = job.progress.task(key)
             task.attempt = attempt
             task.worker = worker_id
-            session = self._work.sessions[worker_id]
+            session = self._term.sessions[worker_id]
             task.incarnation = session.incarnation
-            run = self._work.new_run(job, key, attempt, session)
+            run = self._term.new_run(job, key, attempt, session)
             run.alone = placement.ready.alone
             run.checkpoint = checkpoint if gang else task.checkpoint
             run.ticket = (placement.ready.tickets or {}).get(worker_id, '')
@@ -310,7 +310,7 @@
     async def _start(self, job: ActiveJob, runs: list[Run]) -> None:
         """Order the starts once they are stored, one worker after another."""
         try:
-            await self._journal.saved()
+            await self._writer.stored()
         except LeadershipLostError:
             return
         by_worker: dict[str, list[Run]] = {}
@@ -321,7 +321,7 @@
         )
 
     async def _start_at(self, job: ActiveJob, runs: list[Run]) -> None:
-        session = self._work.sessions[runs[0].worker_id]
+        session = self._term.sessions[runs[0].worker_id]
         for run in runs:
             if job.ended:
                 await session.stop(run)
@@ -346,7 +346,7 @@
         metrics.workers_unreachable.set(
             sum(
                 1
-                for session in self._work.sessions.values()
+                for session in self._term.sessions.values()
                 if session.listed and not session.reachable
             ),
         )
@@ -355,23 +355,23 @@
         """Count each queue's jobs of which nothing has started."""
         waiting = [
             job.spec
-            for job in self._work.jobs.values()
+            for job in self._term.jobs.values()
             if not job.ended and not job.begun
         ]
         counts: dict[str, int] = {}
         for spec in waiting:
             counts[spec.queue.name] = counts.get(spec.queue.name, 0) + 1
         self._show_waiting(waiting)
-        self._journal.note_pending(msgspec.json.encode(counts))
+        self._writer.record_pending(msgspec.json.encode(counts))
 
-    def _note_outlook(self) -> None:
+    def _publish_forecast(self) -> None:
         """Tell all hosts and operators of what waits for long."""
-        if not self._outlooks.due:
+        if not self._forecasts.due:
             return
-        outlook = self._outlooks.make(self._revision.current)
+        forecast = self._forecasts.make(self._revision.current)
         if TURNING_AWAY not in self._without:
-            told = msgspec.to_builtins(outlook, str_keys=True)
-            self._journal.note_outlook(told)
+            told = msgspec.to_builtins(forecast, str_keys=True)
+            self._writer.publish_forecast(told)
         self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
         self._unused.show()
 
--- a/src/curranthill/dispatch/runlist.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -50,7 +50,7 @@
         self._session = session
         self._owner = owner
         self._clock = clock
-        self.ends = EndLog(saved=owner.ends_saved, clock=clock)
+        self.ends = EndLog(saved=owner.ends_stored, clock=clock)
 
     @property
     def any_unproven(self) -> bool:
@@ -85,7 +85,7 @@
         :param restarted: whether there was a former one that was known.
         """
         self.ends.close()
-        self.ends = EndLog(saved=self._owner.ends_saved, clock=self._clock)
+        self.ends = EndLog(saved=self._owner.ends_stored, clock=self._clock)
         if restarted:
             self._outlived.update(self.runs)
 
@@ -122,7 +122,7 @@
         self.runs.pop(run.name)
         self.unproven.discard(run.name)
         self._outlived.discard(run.name)
-        self._owner.run_vanished(self._session, run, reason)
+        self._owner.run_absent(self._session, run, reason)
 
     def vanish_all(self, reason: str) -> None:
         """Give up all runs."""
@@ -147,7 +147,7 @@
         if run.stop_wanted:
             if now_s - run.stop_sent_s > STOP_REPEAT_S:
                 run.stop_sent_s = now_s
-                self._owner.stop_again(self._session, run)
+                self._owner.resend_stop(self._session, run)
             return
         self._owner.run_reported(self._session, run)
 
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -12,22 +12,22 @@
 from curranthill.clock import Clock
 from curranthill.dispatch.crashes import (
     LEASE_LAPSED,
-    WORKER_GONE,
+    WORKER_REMOVED,
     DoubtfulLosses,
     is_lost,
 )
 from curranthill.dispatch.lease import Lease
-from curranthill.dispatch.looks import LookTurns
 from curranthill.dispatch.owner import ClosureSource, SessionOwner
-from curranthill.dispatch.runlist import RunList
+from curranthill.dispatch.probing import ProbeLimiter
+from curranthill.dispatch.run_list import RunList
 from curranthill.dispatch.unused import (
     CLOSED,
-    GONE,
-    LEAVING,
+    DRAINING,
     NOT_LISTED,
     NOT_SYNCED,
     OTHER_INCARNATION,
     REJECTED,
+    REMOVED,
     UNREACHABLE,
     UNREADABLE,
     UnusedReason,
@@ -39,7 +39,7 @@
     RejectedError,
     StartOrder,
     TaskWorker,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.errors import WorkerError, WorkerUnreachableError
 from curranthill.placement import (
@@ -56,7 +56,7 @@
 
 #: Raises of the token that one epoch has room for; far above what one term
 #: of one leader makes at one raise a lost reply.
-RAISES_PER_EPOCH: Final = 1 << 20
+TOKENS_PER_EPOCH: Final = 1 << 20
 
 #: How long a renewal waits at the worker for an end, in seconds: three
 #: renewals then fall into the shortest lease of six seconds.
@@ -97,9 +97,9 @@
         clock: Clock,
         timing: Timing,
         token: int,
-        former_s: float,
+        previous_s: float,
         closures: ClosureSource,
-        looks: LookTurns,
+        probe_limiter: ProbeLimiter,
     ) -> None:
         """Start with nothing known of the worker.
 
@@ -111,7 +111,7 @@
         self.runs = self._list.runs
         self.listed = worker is not None
         self.readable = True
-        self.gone = False
+        self.removed = False
         self.reachable = False
         self.synced = False
         self.troubles_s: list[float] = []
@@ -121,14 +121,14 @@
         self._worker = worker
         self._owner = owner
         self._closures = closures
-        self._looks = looks
+        self._probe_limiter = probe_limiter
         self._clock = clock
         self._token = token
         self._lease = Lease(
             clock=clock,
             length_s=timing.lease_s,
             clock_s=entry.clock_s,
-            former_s=former_s,
+            previous_s=previous_s,
         )
         self._urgent = asyncio.Event()
         self._order_turn = asyncio.Lock()
@@ -153,8 +153,8 @@
         rejected_s = self._clock.monotonic_s() - self.rejected_s
         open_here = self._closures.allows_starts(self.entry.data_centre)
         reasons: dict[UnusedReason, bool] = {
-            GONE: self.gone,
-            LEAVING: self.entry.leaving,
+            REMOVED: self.removed,
+            DRAINING: self.entry.leaving,
             UNREADABLE: not self.readable,
             REJECTED: rejected_s < REJECTION_PAUSE_S,
             OTHER_INCARNATION: not _is_current(self),
@@ -189,7 +189,7 @@
         self.listed = True
         self.readable = True
         if news and not _is_current(self):
-            self.raise_token()
+            self.increment_token()
 
     def wake(self) -> None:
         """Look at the worker at once."""
@@ -198,7 +198,7 @@
     async def run(self) -> None:
         """Renew the lease while anything may run, until the worker is gone."""
         try:
-            while not self.gone:
+            while not self.removed:
                 await self._run_once()
         finally:
             self._list.ends.close()
@@ -210,7 +210,7 @@
         if self.reachable:
             await self._renew()
         else:
-            await self._looks.take(self._renew())
+            await self._probe_limiter.take(self._renew())
 
     async def start(self, run: Run, payload: str) -> None:
         """Order one start; the run's state tells what became of it."""
@@ -273,7 +273,7 @@
                 )
             except WorkerError as error:
                 _tell_unanswered('stop', run, error)
-                self.raise_token()
+                self.increment_token()
             else:
                 self._read_clock(clock_s, known_clock_s)
             self._urgent.set()
@@ -286,13 +286,13 @@
             clock_s = await self._worker.start(order)
         except RejectedError as rejected:
             self._start_rejected(run, rejected)
-        except (WorkerGoneError, WorkerUnreachableError) as error:
+        except (WorkerReplacedError, WorkerUnreachableError) as error:
             self._not_started(run, error)
         except WorkerError as error:
             _tell_unanswered('start', run, error)
             if run.state == ORDERED:
                 run.state = UNKNOWN
-            self.raise_token()
+            self.increment_token()
         else:
             self._read_clock(clock_s, known_clock_s)
             run.settled_s = self._clock.monotonic_s()
@@ -306,9 +306,9 @@
 
     def _not_started(self, run: Run, error: WorkerError) -> None:
         """Let a task start elsewhere whose start never reached its worker."""
-        if isinstance(error, WorkerGoneError):
+        if isinstance(error, WorkerReplacedError):
             self._list.vanish(run, 'another worker answered its start')
-            self.end_life(replaced=True)
+            self.remove(replaced=True)
             return
         self._list.vanish(run, 'not sent')
         self._note_unreachable(error)
@@ -327,7 +327,7 @@
             # Settled by the next renewal, which also tells who leads. A worker
             # that started again has forgotten the token and accepts it.
             run.state = UNKNOWN
-            self.raise_token()
+            self.increment_token()
             return
         self._list.vanish(run, f'rejected: {rejected.reason}')
 
@@ -359,8 +359,8 @@
         except RejectedError as rejected:
             self._renewal_rejected(order, rejected)
             await self._clock.sleep(MISSED_DELAY_S)
-        except WorkerGoneError:
-            self.end_life(replaced=True)
+        except WorkerReplacedError:
+            self.remove(replaced=True)
         except WorkerError as error:
             await self._missed(error)
         else:
@@ -438,7 +438,7 @@
     async def _missed(self, error: WorkerError) -> None:
         """A renewal without an answer: its effect is unknown."""
         self._note_unreachable(error)
-        self.raise_token()
+        self.increment_token()
         await self._clock.sleep(MISSED_DELAY_S)
         self._check_lapse()
 
@@ -465,13 +465,13 @@
                 self.doubtful.add(run)
         self._list.vanish_all(LEASE_LAPSED)
         if not self.listed:
-            self.end_life()
+            self.remove()
 
-    def raise_token(self) -> None:
+    def increment_token(self) -> None:
         """Shut out all orders so far, and have the worker tell what runs."""
         self._token += 1
         self.synced = False
-        if not self.gone:
+        if not self.removed:
             self._settled.clear()
         self._list.doubt_ordered()
         self._urgent.set()
@@ -493,7 +493,7 @@
             clock_s=clock_s,
         )
         self._list.begin_anew()
-        self.raise_token()
+        self.increment_token()
 
     def _check_incarnation(self, report: LeaseReport, known_s: float) -> None:
         """Begin anew with a worker that has started again under its id.
@@ -523,16 +523,16 @@
             self.doubtful.settle(crashed=True)
         self._list.begin_anew(restarted=known)
 
-    def end_life(self, *, replaced: bool = False) -> None:
+    def remove(self, *, replaced: bool = False) -> None:
         """Take the worker as gone for good.
 
         :param replaced: another one answers at its address.
         """
-        if self.gone:
+        if self.removed:
             return
         if replaced:
             self.doubtful.settle(crashed=not self.entry.leaving)
-        self.gone = True
+        self.removed = True
         self._settled.set()
         events.log(
             'worker_gone',
@@ -541,7 +541,7 @@
             listed=self.listed,
             runs=[str(run.key) for run in self.runs.values()],
         )
-        self._list.vanish_all(WORKER_GONE)
+        self._list.vanish_all(WORKER_REMOVED)
         self._urgent.set()
         self._owner.session_changed(self)
 
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -10,9 +10,9 @@
 from curranthill.clock import Clock
 from curranthill.dispatch.cleanup import IntakeCleanup
 from curranthill.dispatch.crashes import LossCounts
-from curranthill.dispatch.journal import Journal
-from curranthill.dispatch.learning import Learning
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S, Leadership
+from curranthill.dispatch.pace_estimates import PaceEstimates
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.workers import DONE, RUN_FAILED, EndReport
@@ -44,7 +44,7 @@
 ORDER_FRESHNESS_S: Final = 1.2
 
 
-class Work:
+class TermState:
     """Jobs and runs; told by sessions, asked by rounds, stored by a journal.
 
     :param ended_at_s: jobs of which only the state is kept, and their ends in
@@ -57,7 +57,7 @@
         *,
         clock: Clock,
         leadership: Leadership,
-        journal: Journal,
+        writer: ProgressWriter,
         spawner: Spawner,
         cleanup: IntakeCleanup,
     ) -> None:
@@ -69,13 +69,13 @@
         self.changed = asyncio.Event()
         self._clock = clock
         self._leadership = leadership
-        self._journal = journal
+        self._writer = writer
         self._spawner = spawner
-        self.learning = Learning()
+        self.estimates = PaceEstimates()
         self._cancelled: set[str] = set()
         self._losses = LossCounts(
             jobs=self.jobs,
-            journal=journal,
+            writer=writer,
             give_up=self._end_job,
         )
 
@@ -108,7 +108,7 @@
             return
         if run.checkpoint:
             task.checkpoint = run.checkpoint
-        self.learning.note(session, job, run)
+        self.estimates.note(session, job, run)
         self._losses.clear_if_lasting(run)
 
     def fenced(self, session: WorkerSession) -> None:
@@ -117,7 +117,7 @@
         self._leadership.abandon()
         self._spawner.over.set()
 
-    def stop_again(self, session: WorkerSession, run: Run) -> None:
+    def resend_stop(self, session: WorkerSession, run: Run) -> None:
         """Order a stop once more that has had no effect yet."""
         self._spawner.spawn(session.stop(run))
 
@@ -145,14 +145,14 @@
         if run is not None and run.attempt == end.attempt:
             job.runs.pop(end.task)
             if end.kind == DONE and not job.step_of(end.task).gang:
-                self.learning.note(session, job, run)
+                self.estimates.note(session, job, run)
         if counts:
             self._note_end(job, end)
-            self._journal.note(job)
+            self._writer.record(job)
             self.changed.set()
         self._settle(job)
 
-    def run_vanished(
+    def run_absent(
         self,
         session: WorkerSession,
         run: Run,
@@ -181,10 +181,10 @@
             return
         task.worker = ''
         self._stop_fellows(job, run.key, run.attempt)
-        self._journal.note(job)
+        self._writer.record(job)
         self._losses.note(run, reason, leaving=session.entry.leaving)
 
-    def loss_settled(self, run: Run, *, crashed: bool) -> None:
+    def loss_resolved(self, run: Run, *, crashed: bool) -> None:
         """Count a lapsed run as a crash of its worker, or not at all."""
         self._losses.settle(run, crashed=crashed)
 
@@ -195,9 +195,9 @@
             return Resources()
         return room_needed(job.step_of(key))
 
-    async def ends_saved(self) -> None:
+    async def ends_stored(self) -> None:
         """Return once all ends noted so far are stored."""
-        await self._journal.saved()
+        await self._writer.stored()
 
     # Jobs.
 
@@ -248,7 +248,7 @@
         if self._cleanup.awaits(job_id):
             return
         self.ended_at_s.pop(job_id)
-        self._journal.remove(RowRemoval(tables.PROGRESS, job_id))
+        self._writer.remove(RowRemoval(tables.PROGRESS, job_id))
         if job_id in self._cancelled:
             self._cancelled.discard(job_id)
             self._cleanup.add(tables.cancel_key(job_id))
@@ -338,7 +338,7 @@
         self.ended_at_s[job_id] = job.progress.ended_at_s
         job.progress.tasks.clear()
         job.progress.done_steps.clear()
-        self._journal.note(job)
+        self._writer.record(job)
         self._cleanup.add(job_id)
 
     def finish(self, job: ActiveJob, key: TaskKey, attempt: int = 0) -> None:
@@ -357,7 +357,7 @@
 
     def complete(self, job: ActiveJob) -> None:
         """End a job if all its tasks are done."""
-        self._journal.note(job)
+        self._writer.record(job)
         now_s = self._clock.wall_s()
         if job.check_completed(now_s):
             events.log(
@@ -409,7 +409,7 @@
         )
         for run in list(job.runs.values()):
             self.stop_run(run)
-        self._journal.note(job)
+        self._writer.record(job)
         self._settle(job)
 
     def stop_run(self, run: Run) -> None:
--- a/src/curranthill/dispatch/unready.py
+++ b/src/curranthill/dispatch/unready.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from curranthill.clock import Clock
-from curranthill.dispatch.holds import DUE, Hold, Holds
+from curranthill.dispatch.blockers import DUE, Blocker, BlockerFinder
 from curranthill.dispatch.session import WorkerSession
 from curranthill.placement import ActiveJob
 from curranthill.telemetry.events import events
@@ -32,7 +32,7 @@
     ) -> None:
         """Start with no job known to be held."""
         self._clock = clock
-        self._holds = Holds(clock=clock, sessions=sessions)
+        self._holds = BlockerFinder(clock=clock, sessions=sessions)
         self._since_s: dict[str, float] = {}
 
     def show(self, jobs: Iterable[ActiveJob]) -> None:
@@ -55,7 +55,7 @@
     def _held(
         self,
         jobs: Iterable[ActiveJob],
-    ) -> list[tuple[ActiveJob, Hold]]:
+    ) -> list[tuple[ActiveJob, Blocker]]:
         now_s = self._clock.wall_s()
         held = []
         for job in jobs:
@@ -67,7 +67,7 @@
                 held.append((job, hold))
         return held
 
-    def _tell(self, job: ActiveJob, hold: Hold, held_s: float) -> None:
+    def _tell(self, job: ActiveJob, hold: Blocker, held_s: float) -> None:
         spec = job.spec
         events.log(
             'not_ready',
@@ -95,7 +95,7 @@
     return not any(task.worker or task.done for task in progress.tasks.values())
 
 
-def _is_due_later(held: tuple[ActiveJob, Hold]) -> bool:
+def _is_due_later(held: tuple[ActiveJob, Blocker]) -> bool:
     return held[1].reason == DUE
 
 
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -23,8 +23,8 @@
     'not synced',
 ]
 
-GONE: Final = 'gone'
-LEAVING: Final = 'leaving'
+REMOVED: Final = 'gone'
+DRAINING: Final = 'leaving'
 UNREADABLE: Final = 'unreadable entry'
 REJECTED: Final = 'rejected a start'
 OTHER_INCARNATION: Final = 'entry of another incarnation'
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -6,8 +6,8 @@
 
 from curranthill.admission import KEPT, waits_for
 from curranthill.clock import Clock
+from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.unready import UnreadyJobs
-from curranthill.dispatch.work import Work
 from curranthill.placement import (
     MOST_SKEW_S,
     ActiveJob,
@@ -54,11 +54,11 @@
     ready.
     """
 
-    def __init__(self, *, clock: Clock, work: Work) -> None:
+    def __init__(self, *, clock: Clock, term: TermState) -> None:
         """Start with nothing shown."""
         self._clock = clock
-        self._work = work
-        self._unready = UnreadyJobs(clock=clock, sessions=work.sessions)
+        self._term = term
+        self._unready = UnreadyJobs(clock=clock, sessions=term.sessions)
         self._shown: set[str] = set()
 
     def show(
@@ -75,7 +75,7 @@
         :param reserved_for: the jobs that the newest round kept room for.
         """
         open_jobs = sorted(
-            (job for job in self._work.jobs.values() if not job.ended),
+            (job for job in self._term.jobs.values() if not job.ended),
             key=_accepted_at_s,
         )
         self._set_gauges(job for job in open_jobs if not job.begun)
@@ -154,7 +154,7 @@
         reserved_for: Sequence[str],
     ) -> tuple[str, ...]:
         """Return the other jobs of its service that room is kept for."""
-        others = (self._work.jobs.get(job_id) for job_id in reserved_for)
+        others = (self._term.jobs.get(job_id) for job_id in reserved_for)
         return tuple(
             other.spec.job_id
             for other in others
@@ -175,7 +175,7 @@
         service = job.spec.queue.service
         listed = [
             session
-            for session in self._work.sessions.values()
+            for session in self._term.sessions.values()
             if session.listed and session.entry.service == service
         ]
         return WorkerCounts(
--- a/src/curranthill/dispatch/workers.py
+++ b/src/curranthill/dispatch/workers.py
@@ -109,7 +109,7 @@
         self.reason = reason
 
 
-class WorkerGoneError(WorkerError):
+class WorkerReplacedError(WorkerError):
     """A worker of another id answered; this one runs nothing more."""
 
 
@@ -117,7 +117,7 @@
     """One worker.
 
     Each method raises :class:`RejectedError` if nothing was done,
-    :class:`WorkerGoneError` if a worker of another id answered,
+    :class:`WorkerReplacedError` if a worker of another id answered,
     ``WorkerUnreachableError`` if the call was not sent and
     ``WorkerReplyLostError`` if its effect is unknown, now or seconds on.
     """
@@ -153,5 +153,5 @@
     'StartOrder',
     'TaskWorker',
     'WorkerConnector',
-    'WorkerGoneError',
+    'WorkerReplacedError',
 )
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -145,7 +145,7 @@
                 store=self._store,
                 clock=clock,
                 health=self._health,
-                outlooks=self._election.outlooks,
+                outlooks=self._election.forecasts,
             ),
             revisions=self._revisions,
             clock=clock,
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -11,7 +11,7 @@
     RejectedError,
     RunReport,
     StartOrder,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.dispatch.workers import EndKind
 from curranthill.errors import (
@@ -21,9 +21,9 @@
 from curranthill.placement import WorkerEntry
 from curranthill.platform.calls import (
     Answer,
-    Caller,
     CallNotSentError,
     CallUnansweredError,
+    Caller,
 )
 from curranthill.platform.decoding import (
     Count,
@@ -299,7 +299,7 @@
 
     def _error_of(self, answer: Answer, path: str) -> Exception:
         if answer.status == _OTHER_WORKER:
-            return WorkerGoneError(
+            return WorkerReplacedError(
                 'Another worker answered.',
                 step=path,
                 peer=self._address,
--- a/src/curranthill/standin/tasks.py
+++ b/src/curranthill/standin/tasks.py
@@ -16,7 +16,7 @@
     RejectedError,
     RunReport,
     StartOrder,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.dispatch.workers import RUN_FAILED, EndKind
 from curranthill.errors import WorkerReplyLostError, WorkerUnreachableError
@@ -323,7 +323,7 @@
                 peer=self.entry.address,
             )
         if self.gone:
-            raise WorkerGoneError(
+            raise WorkerReplacedError(
                 'Another life answered.',
                 step=step,
                 peer=self.entry.address,
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -230,7 +230,7 @@
         """Return the leader's session of a worker."""
         leader = self.leading()[0].leader
         assert leader is not None
-        return leader.work.sessions[name]
+        return leader.term.sessions[name]
 
     def restart_worker(self, name: str) -> None:
         """Let a worker start again under its id, and list it anew."""
@@ -489,7 +489,7 @@
             store=self._store,
             clock=self.clock,
             health=self.health,
-            outlooks=self.election.outlooks,
+            outlooks=self.election.forecasts,
         )
         self._tasks = (
             asyncio.ensure_future(self.election.run()),
--- a/tests/promises.py
+++ b/tests/invariants.py
@@ -14,12 +14,12 @@
 STARTS_AFTER: Final = 2
 
 
-class PromiseWatch:
+class InvariantChecker:
     """Looks at all workers and remembers what must never happen.
 
     :param workers: returns every worker that there ever was.
     :param attempts: runs of one task that may fail.
-    :param faults: what was seen, a sentence each.
+    :param violations: what was seen, a sentence each.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         attempts: int,
     ) -> None:
         """Start with nothing seen."""
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self._workers = workers
         self._attempts = attempts
         self._spent: dict[TaskKey, int] = {}
         self._crashing: dict[TaskKey, int] = {}
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Check the runs of this moment and the starts since the last."""
         workers = list(self._workers())
         for worker in workers:
@@ -44,9 +44,9 @@
         noted = noted_ends(workers, 'done')
         for task, count in Counter(run.task for run in runs).items():
             if count > 1:
-                self.faults.append(f'{task} runs {count} times')
+                self.violations.append(f'{task} runs {count} times')
             if task in noted:
-                self.faults.append(f'{task} runs after its end')
+                self.violations.append(f'{task} runs after its end')
         self._look_at_failures(workers)
         self._look_at_crashes(workers)
 
@@ -64,7 +64,7 @@
                 continue
             before = self._crashing.setdefault(task, starts[task])
             if starts[task] > before + STARTS_AFTER:
-                self.faults.append(f'{task} goes on crashing workers')
+                self.violations.append(f'{task} goes on crashing workers')
 
     def _look_at_failures(self, workers: list[TaskWorkerModel]) -> None:
         """Check that nothing starts after its last allowed failure."""
@@ -72,7 +72,7 @@
         starts = Counter(order.task for order in orders)
         for task, before in self._spent.items():
             if starts[task] > before:
-                self.faults.append(f'{task} starts after its last failure')
+                self.violations.append(f'{task} starts after its last failure')
         for task, failures in noted_ends(workers, 'failed').items():
             if failures >= self._attempts:
                 self._spent[task] = starts[task]
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -12,7 +12,7 @@
     LeaseOrder,
     RejectedError,
     StartOrder,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.errors import WorkerReplyLostError, WorkerUnreachableError
 from curranthill.placement import WorkerEntry
@@ -177,7 +177,7 @@
             return await self._act(request.path, body)
         except RejectedError as rejected:
             return _answer(409, clock_ms=0, reason=rejected.reason)
-        except WorkerGoneError:
+        except WorkerReplacedError:
             return web.Response(status=421)
         except (WorkerReplyLostError, WorkerUnreachableError):
             # The caller has given up by now, or the worker starts again.
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -10,7 +10,7 @@
     RETRY_S,
     WORKERS_PER_QUESTION,
     Question,
-    TicketOffice,
+    TicketCache,
 )
 from curranthill.placement import ReadyStep
 from curranthill.tasks import Step, TaskKey
@@ -129,7 +129,7 @@
         self.jobs: list[str] = []
         self._workers = {f'w{number}': 1 for number in range(workers)}
         self._clock = ManualClock()
-        self._office = TicketOffice(advisor=self.advisor, clock=self._clock)
+        self._office = TicketCache(advisor=self.advisor, clock=self._clock)
 
     async def ask(self) -> str:
         """Ask one question; return the job that it is for."""
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -6,10 +6,10 @@
 from unittest.mock import Mock, patch
 
 from curranthill.dispatch import consistency
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.tasks import Resources, Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
-from tests.promises import PromiseWatch
+from tests.invariants import InvariantChecker
 
 FIRST: Final = TaskKey('a1', 0, 0, 0)
 SECOND: Final = TaskKey('a1', 0, 0, 1)
@@ -21,7 +21,7 @@
 #: Two looks and a start.
 MENDED_S: Final = 5.0
 
-Spoil = Callable[[Domain, Work], None]
+Spoil = Callable[[Domain, TermState], None]
 
 
 class Lines:
@@ -37,52 +37,52 @@
             self.found.append(fields['found'])
 
 
-def drop_session_run(domain: Domain, work: Work) -> None:
+def drop_session_run(domain: Domain, term: TermState) -> None:
     """Have the session forget a run that its worker lost."""
-    run = work.jobs['a1'].runs[FIRST]
-    work.sessions[run.worker_id].runs.pop(run.name)
+    run = term.jobs['a1'].runs[FIRST]
+    term.sessions[run.worker_id].runs.pop(run.name)
     domain.workers[run.worker_id].runs.clear()
 
 
-def drop_run(domain: Domain, work: Work) -> None:
+def drop_run(domain: Domain, term: TermState) -> None:
     """Forget a run that its worker lost, and keep its mark."""
-    drop_session_run(domain, work)
-    work.jobs['a1'].runs.pop(FIRST)
+    drop_session_run(domain, term)
+    term.jobs['a1'].runs.pop(FIRST)
 
 
-def drop_known_run(domain: Domain, work: Work) -> None:
+def drop_known_run(domain: Domain, term: TermState) -> None:
     """Forget a run that its worker still has, and keep its mark."""
-    run = work.jobs['a1'].runs.pop(FIRST)
-    work.sessions[run.worker_id].runs.pop(run.name)
+    run = term.jobs['a1'].runs.pop(FIRST)
+    term.sessions[run.worker_id].runs.pop(run.name)
 
 
-def drop_run_of_gone_worker(domain: Domain, work: Work) -> None:
+def drop_run_of_gone_worker(domain: Domain, term: TermState) -> None:
     """Forget a run whose worker is gone, and keep its mark."""
-    run = work.jobs['a1'].runs[FIRST]
-    drop_run(domain, work)
+    run = term.jobs['a1'].runs[FIRST]
+    drop_run(domain, term)
     domain.workers[run.worker_id].gone = True
-    work.sessions[run.worker_id].end_life()
+    term.sessions[run.worker_id].remove()
 
 
-def drop_member(domain: Domain, work: Work) -> None:
+def drop_member(domain: Domain, term: TermState) -> None:
     """Forget a member of a gang, with its mark, and not its fellow."""
-    drop_run(domain, work)
-    work.jobs['a1'].progress.task(FIRST).worker = ''
+    drop_run(domain, term)
+    term.jobs['a1'].progress.task(FIRST).worker = ''
 
 
-def end_member(domain: Domain, work: Work) -> None:
+def end_member(domain: Domain, term: TermState) -> None:
     """Take one member of a gang as done, and not its fellow."""
-    drop_member(domain, work)
-    work.jobs['a1'].progress.task(FIRST).done = True
+    drop_member(domain, term)
+    term.jobs['a1'].progress.task(FIRST).done = True
 
 
-def end_all(domain: Domain, work: Work) -> None:
+def end_all(domain: Domain, term: TermState) -> None:
     """Take all tasks as done, and the job not as ended."""
-    drop_run(domain, work)
-    job = work.jobs['a1']
+    drop_run(domain, term)
+    job = term.jobs['a1']
     for key in list(job.runs):
         run = job.runs.pop(key)
-        work.sessions[run.worker_id].runs.pop(run.name)
+        term.sessions[run.worker_id].runs.pop(run.name)
     for worker in domain.workers.values():
         worker.runs.clear()
     for key in (FIRST, SECOND):
@@ -99,7 +99,7 @@
         lines = Lines()
 
         async def case(domain: Domain) -> None:
-            watch = PromiseWatch(workers=domain.workers.values, attempts=2)
+            watch = InvariantChecker(workers=domain.workers.values, attempts=2)
             host = domain.start_host('h1')
             await domain.leader()
             await host.accept(make_spec('a1', step))
@@ -107,12 +107,12 @@
             await domain.clock.advance(0.5)
             assert host.leader is not None
             with patch.object(consistency, 'events', lines):
-                spoil(domain, host.leader.work)
+                spoil(domain, host.leader.term)
                 for _ in range(40):
                     await domain.clock.advance(0.5)
-                    watch.look()
+                    watch.check()
             self.assertEqual(domain.state('a1'), 'completed')
-            self.assertEqual(watch.faults, [])
+            self.assertEqual(watch.violations, [])
 
         in_domain(case, workers=3, run_s=3)
         return lines
@@ -165,11 +165,11 @@
             await domain.clock.until(lambda: bool(domain.starts(SECOND)))
             await domain.clock.advance(0.5)
             assert host.leader is not None
-            work = host.leader.work
-            drop_session_run(domain, work)
-            work.cancel('a1')
+            term = host.leader.term
+            drop_session_run(domain, term)
+            term.cancel('a1')
             await domain.clock.until(
-                lambda: 'a1' not in work.jobs,
+                lambda: 'a1' not in term.jobs,
                 within_s=MENDED_S,
             )
 
@@ -189,20 +189,20 @@
             await domain.clock.until(lambda: bool(domain.starts(SECOND)))
             await domain.clock.advance(0.5)
             assert host.leader is not None
-            work = host.leader.work
-            run = work.jobs['a1'].runs[FIRST]
-            session = work.sessions[run.worker_id]
+            term = host.leader.term
+            run = term.jobs['a1'].runs[FIRST]
+            session = term.sessions[run.worker_id]
             token = session.token
-            check = consistency.ConsistencyCheck(
+            checker = consistency.ConsistencyCheck(
                 clock=domain.clock,
-                work=work,
-                journal=Mock(),
-                recover=lambda job, key: work.recover_run(job, key, session),
+                term=term,
+                writer=Mock(),
+                recover=lambda job, key: term.recover_run(job, key, session),
             )
-            drop_known_run(domain, work)
-            check.look()
-            check.look()
-            found = work.jobs['a1'].runs[FIRST]
+            drop_known_run(domain, term)
+            checker.check()
+            checker.check()
+            found = term.jobs['a1'].runs[FIRST]
             self.assertEqual(found.ordered_token, token)
             self.assertGreater(session.token, token)
 
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -12,7 +12,7 @@
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
-from tests.promises import PromiseWatch
+from tests.invariants import InvariantChecker
 
 #: Tasks that end between two faults, and tasks that outlast a lease.
 RUN_TIMES_S: Final = (0.9, 9.0)
@@ -222,7 +222,7 @@
 )
 
 
-class Watch(PromiseWatch):
+class Watch(InvariantChecker):
     """The same, of the workers of a domain, and that none is too full."""
 
     def __init__(self, domain: Domain) -> None:
@@ -230,12 +230,12 @@
         super().__init__(workers=domain.workers.values, attempts=ATTEMPTS)
         self._domain = domain
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at the workers' room too: each task takes one accelerator."""
-        super().look()
+        super().check()
         for worker in self._domain.workers.values():
             if len(worker.runs) > worker.entry.room.gpus:
-                self.faults.append(f'{worker.entry.worker_id} is too full')
+                self.violations.append(f'{worker.entry.worker_id} is too full')
 
 
 class AnyFaultTest(unittest.TestCase):
@@ -295,7 +295,7 @@
                 await pass_time(domain, watch, wait_s)
             await heal(domain, faults)
             await pass_time(domain, watch, HEALING_S)
-            self.assertEqual(watch.faults, [])
+            self.assertEqual(watch.violations, [])
             self.check_ends(domain, faults)
 
         in_domain(case, workers=WORKERS, run_s=run_s)
@@ -317,16 +317,16 @@
 
 async def pass_time(
     domain: Domain,
-    watch: PromiseWatch,
+    watch: InvariantChecker,
     seconds_s: float,
 ) -> None:
     """Move time on in small steps, looking at each."""
     left_s = seconds_s
     while left_s > 0:
         await domain.clock.advance(min(left_s, 0.25))
-        watch.look()
+        watch.check()
         left_s -= 0.25
-    watch.look()
+    watch.check()
 
 
 async def heal(domain: Domain, faults: Faults) -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -278,7 +278,7 @@
             _, second = await overload(domain)
             second.election.resign()
             self.assertTrue(await is_refused(second, gang('one', domain)))
-            watch = second.election.outlooks
+            watch = second.election.forecasts
             second.clock.suspend()
             await domain.clock.advance(4.0)
             second.clock.resume()
@@ -309,7 +309,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            watch = host.election.outlooks
+            watch = host.election.forecasts
             for number, outlook in enumerate(([2, 5, 9999], 'none', 7)):
                 watch.take(90 + number, outlook)
                 new = gang(f'new-{number}', domain)
--- a/tests/test_gangs_end.py
+++ b/tests/test_gangs_end.py
@@ -23,7 +23,7 @@
 )
 from curranthill.tasks.progress import ENDED
 from tests.domain import Domain, in_domain, make_spec
-from tests.promises import PromiseWatch
+from tests.invariants import InvariantChecker
 from tests.test_dispatch_faults import ATTEMPTS, Faults, heal, pass_time
 
 #: Two tasks fit a worker, and four of the workers hold a gang.
@@ -131,7 +131,7 @@
         self._done: set[tuple[str, int]] = set()
         self._widths: dict[str, int] = {}
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Hold or end the runs of gangs that are not whole."""
         gangs: dict[tuple[str, int], list[Member]] = defaultdict(list)
         for worker in self._domain.workers.values():
@@ -172,7 +172,7 @@
                 worker.end(run, 'alone')
 
 
-class Watch(PromiseWatch):
+class Watch(InvariantChecker):
     """Looks for second runs, for workers that are too full, and for ends.
 
     :param ended: jobs whose end was stored; their rows go after some time.
@@ -185,13 +185,13 @@
         self._domain = domain
         self._rule = GangRule(domain)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Count each worker's runs and read the jobs' states too."""
-        self._rule.look()
-        super().look()
+        self._rule.check()
+        super().check()
         for worker in self._domain.workers.values():
             if len(worker.runs) > TASKS_PER_WORKER:
-                self.faults.append(f'{worker.entry.worker_id} is too full')
+                self.violations.append(f'{worker.entry.worker_id} is too full')
         for table, key in self._domain.rows.rows:
             if table == tables.PROGRESS:
                 progress = self._domain.progress(key)
@@ -249,7 +249,7 @@
                 worker.rejecting = ''
                 worker.refusing = ''
             await until_ended(domain, faults, watch)
-            self.assertEqual(watch.faults, [])
+            self.assertEqual(watch.violations, [])
             self.check_ends(faults, watch)
 
         with patch.object(consistency, 'events', lines):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 from curranthill.clock import SystemClock
 from curranthill.dispatch import LeaseOrder, RejectedError, StartOrder
 from curranthill.dispatch.leadership import LeaderRow
-from curranthill.dispatch.workers import WorkerGoneError
+from curranthill.dispatch.workers import WorkerReplacedError
 from curranthill.errors import (
     NotSentError,
     ReplyLostError,
@@ -322,7 +322,7 @@
         async def case(bench: Bench) -> None:
             connector = PlatformConnector(caller=bench.caller)
             other = connector.connect(bench.entry._replace(worker_id='i-0'))
-            with self.assertRaises(WorkerGoneError):
+            with self.assertRaises(WorkerReplacedError):
                 await other.stop(TASK, 1, 8)
             closed = connector.connect(
                 bench.entry._replace(address='127.0.0.1:1'),
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -28,8 +28,7 @@
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import TaskKey
 from tests.domain import ROOM, Domain, in_domain, make_spec
-from tests.support import ManualClock
-from tests.support import run as run_to_end
+from tests.support import ManualClock, run as run_to_end
 from tests.test_session import (
     CrossingWorker,
     Owner,
@@ -322,7 +321,7 @@
     ) -> None:
         """Pass over a run that was given up."""
 
-    async def ends_saved(self) -> None:
+    async def ends_stored(self) -> None:
         """Wait for the store."""
         await self.stored.wait()
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -4,8 +4,8 @@
 import unittest
 
 from curranthill.clock import Clock
-from curranthill.dispatch.looks import LookTurns
 from curranthill.dispatch.owner import SessionOwner
+from curranthill.dispatch.probing import ProbeLimiter
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.workers import (
     EndReport,
@@ -81,13 +81,13 @@
     def fenced(self, session: WorkerSession) -> None:
         """Pass over another leader."""
 
-    def stop_again(self, session: WorkerSession, run: Run) -> None:
+    def resend_stop(self, session: WorkerSession, run: Run) -> None:
         """Pass over a stop without effect."""
 
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
         """Pass over an end."""
 
-    def run_vanished(
+    def run_absent(
         self,
         session: WorkerSession,
         run: Run,
@@ -97,14 +97,14 @@
         newest = self._worker.renewals[-1]
         self.vanished.append((reason, newest.token))
 
-    def loss_settled(self, run: Run, *, crashed: bool) -> None:
+    def loss_resolved(self, run: Run, *, crashed: bool) -> None:
         """Pass over what a loss turns out to be."""
 
     def needs_of(self, key: TaskKey) -> Resources:
         """Return what every task takes."""
         return ONE_GPU
 
-    async def ends_saved(self) -> None:
+    async def ends_stored(self) -> None:
         """Store at once."""
 
     def session_changed(self, session: WorkerSession) -> None:
@@ -140,9 +140,9 @@
         clock=clock,
         timing=Timing(),
         token=1,
-        former_s=0.0,
+        previous_s=0.0,
         closures=AllOpen(),
-        looks=LookTurns(clock=clock),
+        probe_limiter=ProbeLimiter(clock=clock),
     )
 
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -14,8 +14,8 @@
 from aiohttp import web
 
 from curranthill.dispatch.election import SILENCE_S
-from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.leadership import take_over
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.entry import Closures, RevisionFollower
 from curranthill.errors import ReplyLostError
 from curranthill.placement import ActiveJob
@@ -387,11 +387,11 @@
                 seen_for_s=0.0,
             )
             assert leadership is not None
-            journal = Journal(leadership=leadership, clock=bench.clock)
-            writing = asyncio.ensure_future(journal.run())
+            writer = ProgressWriter(leadership=leadership, clock=bench.clock)
+            writing = asyncio.ensure_future(writer.run())
             for number in range(60):
-                journal.note(large_job(f'{number:016x}'))
-            saved = asyncio.ensure_future(journal.saved())
+                writer.record(large_job(f'{number:016x}'))
+            saved = asyncio.ensure_future(writer.stored())
             silent_s = await longest_silence_s(bench, saved)
             writing.cancel()
             self.assertLess(silent_s, SILENCE_S)
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -13,8 +13,8 @@
 
 from curranthill.clock import SystemClock
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S
-from curranthill.dispatch.session import RAISES_PER_EPOCH
-from curranthill.dispatch.work import ORDER_FRESHNESS_S
+from curranthill.dispatch.session import TOKENS_PER_EPOCH
+from curranthill.dispatch.term_state import ORDER_FRESHNESS_S
 from curranthill.entry import Closures, PauseWatch, RevisionFollower
 from curranthill.storage.rows import RowPut
 from curranthill.tasks import Revision, Step, TaskKey
@@ -54,7 +54,7 @@
     """
     late = []
     for order in host.orders:
-        epoch = order.token // RAISES_PER_EPOCH
+        epoch = order.token // TOKENS_PER_EPOCH
         stored_s = max(
             (one for one in host.led_s[epoch] if one <= order.sent_s),
             default=0.0,
--- a/tests/test_unlike_workers.py
+++ b/tests/test_unlike_workers.py
@@ -44,7 +44,7 @@
     leader = domain.leading()[0].leader
     assert leader is not None
     session: WorkerSession = domain.session(name)
-    return leader.work.learning.speed_of(session)
+    return leader.term.estimates.speed_of(session)
 
 
 class LearningTest(unittest.TestCase):
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -10,14 +10,14 @@
 
 from curranthill.commands.trace import told
 from curranthill.dispatch import unready
-from curranthill.dispatch.holds import (
+from curranthill.dispatch.blockers import (
     ALL_DONE,
     DUE,
     PARTLY_DONE,
     RUN,
     STORED,
-    Hold,
-    Holds,
+    Blocker,
+    BlockerFinder,
 )
 from curranthill.placement import MARKED, RUNNING, ActiveJob, Run, RunState
 from curranthill.tasks import JobProgress, JobSpec, Step, TaskKey, TaskProgress
@@ -37,7 +37,7 @@
         self.listed = True
         self.reachable = True
         self.synced = True
-        self.gone = False
+        self.removed = False
         self.runs: dict[Any, Run] = {}
 
 
@@ -80,12 +80,12 @@
         self.sessions[worker].runs[run.name] = run
         return run
 
-    def hold(self) -> Hold | None:
+    def hold(self) -> Blocker | None:
         """Return what holds the job."""
         sessions: Any = self.sessions
-        return Holds(clock=self.clock, sessions=sessions).of(self.job)
+        return BlockerFinder(clock=self.clock, sessions=sessions).of(self.job)
 
-    def found(self) -> Hold:
+    def found(self) -> Blocker:
         """Return what holds the job, which something does."""
         hold = self.hold()
         assert hold is not None
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -172,7 +172,7 @@
             await domain.clock.advance(3.0)
             leader = host.leader
             assert leader is not None
-            run = next(iter(leader.work.jobs['a1'].runs.values()))
+            run = next(iter(leader.term.jobs['a1'].runs.values()))
             silent, leaving, bad = sorted(
                 (name for name in domain.workers if name != 'far'),
                 key=lambda name: name != run.worker_id,
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -274,7 +274,7 @@
             await domain.clock.advance(1.0)
             leader = host.leader
             assert leader is not None
-            for run in leader.work.jobs['alone'].runs.values():
+            for run in leader.term.jobs['alone'].runs.values():
                 run.alone = True
                 name = run.worker_id
             other = next(one for one in domain.workers if one != name)
