--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -16,10 +16,10 @@
 from curranthill.telemetry.events import events
 
 #: Workers named in one question: the advisor takes longer for each.
-WORKERS_PER_QUESTION: Final = 30
+WORKERS_PER_REQUEST: Final = 30
 
 #: So many first questions may go before a repeated one that waits.
-FIRST_IN_A_ROW: Final = 4
+FIRST_REQUESTS_PER_REPEAT: Final = 4
 
 #: The pause after a question that was not answered, in seconds.
 RETRY_S: Final = 0.3
@@ -66,7 +66,7 @@
     incarnation: int
 
 
-class Question(NamedTuple):
+class TicketRequest(NamedTuple):
     """What could be asked next for a step.
 
     :param workers: the incarnations of the workers by their ids.
@@ -87,13 +87,13 @@
         self._advisor = advisor
         self._clock = clock
         self._tickets: dict[str, dict[str, Ticket]] = {}
-        self._asked: dict[str, set[tuple[str, int]]] = {}
+        self._requested: dict[str, set[tuple[str, int]]] = {}
         self._failed: dict[str, bool] = {}
-        self._numbers = count(1)
-        self._last_numbers: dict[str, int] = {}
-        self._first_in_a_row = 0
+        self._next_numbers = count(1)
+        self._request_numbers: dict[str, int] = {}
+        self._first_requests = 0
 
-    def good(
+    def valid_tickets(
         self,
         ready: ReadyStep,
         incarnations: Mapping[str, int],
@@ -112,11 +112,11 @@
             and (worker_id, ticket.incarnation) in usable
         }
 
-    def question(
+    def next_request(
         self,
         ready: ReadyStep,
         workers: Mapping[str, int],
-    ) -> Question | None:
+    ) -> TicketRequest | None:
         """Return what to ask next for a step, if anything.
 
         Each incarnation of a worker is asked for once; when all have been and
@@ -124,7 +124,7 @@
 
         :param workers: the incarnations of the workers by their ids.
         """
-        asked = self._asked.get(ready.name, set())
+        asked = self._requested.get(ready.name, set())
         names = [one for one in workers.items() if one not in asked]
         repeated = not names or self._failed.get(ready.name, False)
         if not names:
@@ -132,24 +132,24 @@
             names = [one for one in workers.items() if one[0] in had]
         if not names:
             return None
-        return Question(ready, dict(names[:WORKERS_PER_QUESTION]), repeated)
+        return TicketRequest(ready, dict(names[:WORKERS_PER_REQUEST]), repeated)
 
-    def choose(self, questions: Sequence[Question]) -> Question | None:
+    def choose(self, requests: Sequence[TicketRequest]) -> TicketRequest | None:
         """Return the question to ask now.
 
-        :param questions: one of each step at the most, in the steps' order.
+        :param requests: one of each step at the most, in the steps' order.
         """
-        first = next((one for one in questions if not one.repeated), None)
-        repeats = [one for one in questions if one.repeated]
-        due = self._first_in_a_row >= FIRST_IN_A_ROW
+        first = next((one for one in requests if not one.repeated), None)
+        repeats = [one for one in requests if one.repeated]
+        due = self._first_requests >= FIRST_REQUESTS_PER_REPEAT
         if first is not None and not (due and repeats):
             return first
-        return min(repeats, key=self._last_number, default=None)
+        return min(repeats, key=self._last_request_number, default=None)
 
-    async def ask(self, question: Question) -> None:
+    async def request(self, request: TicketRequest) -> None:
         """Ask for some workers; the answer is kept."""
-        self._count(question)
-        name, workers = question.ready.name, question.workers
+        self._record_request(request)
+        name, workers = request.ready.name, request.workers
         try:
             advice = await self._advisor.ask(name, tuple(workers))
         except AdvisorError as error:
@@ -166,37 +166,37 @@
             good=len(advice.tickets),
             validity_s=advice.validity_s,
         )
-        self._asked.setdefault(name, set()).update(workers.items())
+        self._requested.setdefault(name, set()).update(workers.items())
         kept = self._tickets.setdefault(name, {})
         for worker_id, incarnation in workers.items():
             text = advice.tickets.get(worker_id)
             if text is not None:
                 kept[worker_id] = Ticket(text, until_s, incarnation)
 
-    def forget_except(self, job_ids: set[str]) -> None:
+    def retain_jobs(self, job_ids: set[str]) -> None:
         """Drop what is kept of jobs that are over."""
         known: tuple[dict[str, Any], ...] = (
             self._tickets,
-            self._asked,
+            self._requested,
             self._failed,
-            self._last_numbers,
+            self._request_numbers,
         )
         for kept in known:
             for name in list(kept):
                 if name.split('.', 1)[0] not in job_ids:
                     kept.pop(name)
 
-    def _count(self, question: Question) -> None:
+    def _record_request(self, request: TicketRequest) -> None:
         """Note that a question is asked now, for the turns of others."""
-        self._last_numbers[question.ready.name] = next(self._numbers)
-        if question.repeated:
-            self._first_in_a_row = 0
+        self._request_numbers[request.ready.name] = next(self._next_numbers)
+        if request.repeated:
+            self._first_requests = 0
         else:
-            self._first_in_a_row += 1
+            self._first_requests += 1
 
-    def _last_number(self, question: Question) -> int:
+    def _last_request_number(self, request: TicketRequest) -> int:
         """Return the number of a step's last question."""
-        return self._last_numbers.get(question.ready.name, 0)
+        return self._request_numbers.get(request.ready.name, 0)
 
 
 __all__ = ('Advice', 'Advisor', 'AdvisorError', 'Question', 'TicketCache')
--- a/src/curranthill/dispatch/blockers.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -89,17 +89,17 @@
         self._clock = clock
         self._sessions = sessions
 
-    def of(self, job: ActiveJob) -> Blocker | None:
+    def find(self, job: ActiveJob) -> Blocker | None:
         """Return what holds a job; nothing if it is ready, ended or at work."""
-        if job.ended or self._is_at_work(job):
+        if job.ended or self._is_running(job):
             return None
         ready = False
         for occurrence, number in self._startable_steps(job):
             found = (
-                self._held_task(job, key)
+                self._blocking_task(job, key)
                 for key in job.keys_of(occurrence, number)
             )
-            tasks = tuple(sorted(filter(None, found), key=_goes_on_alone))
+            tasks = tuple(sorted(filter(None, found), key=_waits_only_for_gang))
             if tasks:
                 return Blocker(
                     _reason_of(tasks),
@@ -109,17 +109,20 @@
                     later_steps=_later_steps(job, occurrence),
                 )
             ready = True
-        return None if ready else self._idle_hold(job)
+        return None if ready else self._idle_blocker(job)
 
-    def _is_at_work(self, job: ActiveJob) -> bool:
+    def _is_running(self, job: ActiveJob) -> bool:
         """Return whether a run goes on; a gang's does with all its fellows."""
         return any(
-            all(self._goes_on(job.runs.get(one)) for one in job.members_of(key))
+            all(
+                self._is_run_active(job.runs.get(one))
+                for one in job.members_of(key)
+            )
             for key, run in job.runs.items()
-            if self._goes_on(run)
+            if self._is_run_active(run)
         )
 
-    def _goes_on(self, run: Run | None) -> bool:
+    def _is_run_active(self, run: Run | None) -> bool:
         if run is None or run.state != RUNNING or run.stop_wanted:
             return False
         session = self._sessions.get(run.worker_id)
@@ -135,21 +138,23 @@
                 if not _awaits_step(job, occurrence, number):
                     yield (occurrence, number)
 
-    def _held_task(self, job: ActiveJob, key: TaskKey) -> BlockingTask | None:
+    def _blocking_task(
+        self, job: ActiveJob, key: TaskKey
+    ) -> BlockingTask | None:
         run = job.runs.get(key)
         if run is not None:
-            return self._held_by_run(run)
+            return self._blocking_run(run)
         task = job.progress.peek(key)
         if task is None:
             return None
         if task.worker:
-            return self._held(key, task.attempt, task.worker, _STORED_TASK)
+            return self._describe(key, task.attempt, task.worker, _STORED_TASK)
         if task.done and job.step_of(key).gang:
-            return self._held(key, task.attempt, '', _DONE_TASK)
+            return self._describe(key, task.attempt, '', _DONE_TASK)
         return None
 
-    def _held_by_run(self, run: Run) -> BlockingTask:
-        held = self._held(run.key, run.attempt, run.worker_id, run.state)
+    def _blocking_run(self, run: Run) -> BlockingTask:
+        held = self._describe(run.key, run.attempt, run.worker_id, run.state)
         held['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
         held['stop_wanted'] = run.stop_wanted
         session = self._sessions.get(run.worker_id)
@@ -157,7 +162,7 @@
             held['tracked'] = session.runs.get(run.name) is run
         return held
 
-    def _held(
+    def _describe(
         self,
         key: TaskKey,
         attempt: int,
@@ -179,7 +184,7 @@
             gone=session is not None and session.removed,
         )
 
-    def _idle_hold(self, job: ActiveJob) -> Blocker:
+    def _idle_blocker(self, job: ActiveJob) -> Blocker:
         """Return what holds a job of which no step that is due is undone."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
@@ -193,7 +198,7 @@
         return Blocker(ALL_DONE)
 
 
-def _goes_on_alone(held: BlockingTask) -> bool:
+def _waits_only_for_gang(held: BlockingTask) -> bool:
     """Return whether only its fellows keep a task's run from being at work.
 
     What holds all of a gang is named first.
--- a/src/curranthill/dispatch/cleanup.py
+++ b/src/curranthill/dispatch/cleanup.py
@@ -43,7 +43,7 @@
         """Have a row removed, once what is noted by now is stored."""
         self._keys.add(key)
 
-    def awaits(self, job_id: str) -> bool:
+    def is_pending(self, job_id: str) -> bool:
         """Return whether a job's row may still be there."""
         return job_id in self._keys
 
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -23,11 +23,11 @@
 #: is no passing state.
 CHECK_INTERVAL_S: Final = 1.0
 
-RUN_UNHELD: Final = 'run_unheld'
-MARK_WITHOUT_RUN: Final = 'mark_without_run'
+RUN_UNTRACKED: Final = 'run_unheld'
+ASSIGNMENT_WITHOUT_RUN: Final = 'mark_without_run'
 GANG_INCOMPLETE: Final = 'gang_incomplete'
 GANG_PARTLY_DONE: Final = 'gang_partly_done'
-END_NOT_NOTED: Final = 'end_not_noted'
+END_NOT_RECORDED: Final = 'end_not_noted'
 
 Sessions = Mapping[str, WorkerSession]
 
@@ -49,25 +49,31 @@
 finders: Registry[Finder] = Registry(concern='inconsistency')
 
 
-@finders.register(RUN_UNHELD)
-def find_unheld_runs(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
+@finders.register(RUN_UNTRACKED)
+def find_untracked_runs(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
     """Yield runs that no session would ever tell of."""
     for key, run in job.runs.items():
         session = sessions.get(run.worker_id)
         held = session is not None and session.runs.get(run.name) is run
         if not held:
-            yield Finding(RUN_UNHELD, key, run.attempt, run.worker_id)
+            yield Finding(RUN_UNTRACKED, key, run.attempt, run.worker_id)
 
 
-@finders.register(MARK_WITHOUT_RUN)
-def find_unheld_marks(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
+@finders.register(ASSIGNMENT_WITHOUT_RUN)
+def find_assignments_without_run(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
     """Yield tasks that are marked at a worker and have no run."""
     for name, task in job.progress.tasks.items():
         if not task.worker or task.done:
             continue
         key = _key_of(job, name)
         if key not in job.runs:
-            yield Finding(MARK_WITHOUT_RUN, key, task.attempt, task.worker)
+            yield Finding(
+                ASSIGNMENT_WITHOUT_RUN, key, task.attempt, task.worker
+            )
 
 
 @finders.register(GANG_INCOMPLETE)
@@ -105,8 +111,10 @@
         return
 
 
-@finders.register(END_NOT_NOTED)
-def find_unnoted_end(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
+@finders.register(END_NOT_RECORDED)
+def find_unrecorded_end(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
     """Yield a job all of whose tasks are done."""
     if job.lasting or job.runs or not job.begun:
         return
@@ -114,7 +122,7 @@
     for occurrence in range(job.spec.occurrences):
         if not all(job.step_done(occurrence, one) for one in range(steps)):
             return
-    yield Finding(END_NOT_NOTED, TaskKey(job.spec.job_id, 0, 0, 0), 0, '')
+    yield Finding(END_NOT_RECORDED, TaskKey(job.spec.job_id, 0, 0, 0), 0, '')
 
 
 class ConsistencyCheck:
@@ -137,13 +145,13 @@
         self._writer = writer
         self._recover = recover
         self._found: set[Finding] = set()
-        self._told: set[Finding] = set()
+        self._logged: set[Finding] = set()
         self._repairs: Mapping[str, Callable[[ActiveJob, Finding], None]] = {
-            RUN_UNHELD: self._recover_mark,
-            MARK_WITHOUT_RUN: self._recover_mark,
+            RUN_UNTRACKED: self._recover_assignment,
+            ASSIGNMENT_WITHOUT_RUN: self._recover_assignment,
             GANG_INCOMPLETE: self._stop,
             GANG_PARTLY_DONE: self._finish_gang,
-            END_NOT_NOTED: self._complete,
+            END_NOT_RECORDED: self._complete,
         }
 
     async def run(self) -> None:
@@ -157,9 +165,9 @@
         """Tell of what was found at the look before too, and mend it."""
         before = self._found
         self._found = set(self._findings())
-        self._told &= self._found
+        self._logged &= self._found
         for finding in self._found & before:
-            self._tell(finding)
+            self._log(finding)
             job = self._term.jobs.get(finding.key.job_id)
             if job is not None:
                 self._repairs[finding.kind](job, finding)
@@ -168,14 +176,14 @@
         sessions = self._term.sessions
         for job in self._term.jobs.values():
             # A job that has ended is kept until its runs have.
-            kinds = (RUN_UNHELD,) if job.ended else finders
+            kinds = (RUN_UNTRACKED,) if job.ended else finders
             for kind in kinds:
                 yield from finders.get(kind)(job, sessions)
 
-    def _tell(self, finding: Finding) -> None:
-        if finding in self._told:
+    def _log(self, finding: Finding) -> None:
+        if finding in self._logged:
             return
-        self._told.add(finding)
+        self._logged.add(finding)
         metrics.inconsistencies.add(1, {'kind': finding.kind})
         events.log(
             'job_inconsistent',
@@ -186,7 +194,7 @@
             worker=finding.worker_id,
         )
 
-    def _recover_mark(self, job: ActiveJob, finding: Finding) -> None:
+    def _recover_assignment(self, job: ActiveJob, finding: Finding) -> None:
         """Have the worker tell whether the run exists."""
         job.runs.pop(finding.key, None)
         if _is_done(job, finding.key):
@@ -206,10 +214,10 @@
 
     def _finish_gang(self, job: ActiveJob, finding: Finding) -> None:
         """Take one member's end for all of them, and stop what still runs."""
-        self._term.finish(job, finding.key)
+        self._term.finish_task(job, finding.key)
 
     def _complete(self, job: ActiveJob, finding: Finding) -> None:
-        self._term.complete(job)
+        self._term.check_completion(job)
 
 
 def _is_done(job: ActiveJob, key: TaskKey) -> bool:
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -37,14 +37,14 @@
 #: Up to this age a run counts as just started, in seconds: a worker lists its
 #: runs every 1.5 s at least, so a run that was listed once and no more is
 #: younger than this.
-PROMPT_S: Final = 2.0
+PROMPT_CRASH_S: Final = 2.0
 
 #: A task that lasts starts with a clean record once it was at work for so long,
 #: in seconds: over months every one loses some workers.
-CLEARED_AFTER_S: Final = 600.0
+LOSSES_CLEARED_AFTER_S: Final = 600.0
 
 
-class DoubtfulLosses:
+class UnconfirmedLosses:
     """Runs that lapsed at one silent worker; it may have crashed or not."""
 
     def __init__(self, *, owner: SessionOwner) -> None:
@@ -56,30 +56,30 @@
         """Keep a run until the worker answers or is known to be gone."""
         self._runs.append(run)
 
-    def take_over(self, former: 'DoubtfulLosses') -> None:
+    def adopt(self, previous: 'UnconfirmedLosses') -> None:
         """Go on with what a former session of the worker left open."""
-        self._runs.extend(former.taken())
+        self._runs.extend(previous.pop_all())
 
-    def settle(self, *, crashed: bool) -> None:
+    def resolve(self, *, crashed: bool) -> None:
         """Tell of all runs that the worker crashed, or that it did not."""
-        for run in self.taken():
+        for run in self.pop_all():
             self._owner.loss_resolved(run, crashed=crashed)
 
-    def settle_by(self, incarnation: int) -> None:
+    def resolve_by_incarnation(self, incarnation: int) -> None:
         """Tell of all runs, by the incarnation that answers now."""
-        for run in self.taken():
-            told = run.incarnation and incarnation
-            crashed = bool(told) and run.incarnation != incarnation
+        for run in self.pop_all():
+            both_known = run.incarnation and incarnation
+            crashed = bool(both_known) and run.incarnation != incarnation
             self._owner.loss_resolved(run, crashed=crashed)
 
-    def taken(self) -> list[Run]:
+    def pop_all(self) -> list[Run]:
         """Return all runs and forget them."""
         runs = self._runs
         self._runs = []
         return runs
 
 
-class LossCounts:
+class LossCounter:
     """Counts lost runs in the stored progress of their tasks.
 
     :param jobs: the jobs of the term.
@@ -98,7 +98,7 @@
         self._writer = writer
         self._give_up = give_up
 
-    def note(self, run: Run, reason: str, *, leaving: bool) -> None:
+    def record(self, run: Run, reason: str, *, leaving: bool) -> None:
         """Count a run that is given up, if it was lost with its worker.
 
         :param leaving: whether the worker had said that it leaves.
@@ -110,13 +110,13 @@
             return
         task = job.progress.task(run.key)
         task.losses += 1
-        if reason != LEASE_LAPSED and run.age_s < PROMPT_S:
+        if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
         metrics.runs_lost.add(1)
         job.note_losses(run.key)
-        self._judge(job, run, reason)
+        self._log_and_check(job, run, reason)
 
-    def settle(self, run: Run, *, crashed: bool) -> None:
+    def resolve(self, run: Run, *, crashed: bool) -> None:
         """Count a lapsed run as a crash of its worker, or not at all."""
         job = self._jobs.get(run.key.job_id)
         task = None if job is None else job.progress.peek(run.key)
@@ -126,14 +126,14 @@
             task.losses = max(0, task.losses - 1)
             job.note_losses(run.key)
             self._writer.record(job)
-        elif run.age_s < PROMPT_S:
+        elif run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
             job.note_losses(run.key)
-            self._judge(job, run, 'crashed after all')
+            self._log_and_check(job, run, 'crashed after all')
 
-    def clear_if_lasting(self, run: Run) -> None:
+    def clear_if_perpetual(self, run: Run) -> None:
         """Forget the losses of a task that lasts and has worked for long."""
-        if not run.lasting or run.age_s < CLEARED_AFTER_S:
+        if not run.lasting or run.age_s < LOSSES_CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
         task = job.progress.task(run.key)
@@ -143,7 +143,7 @@
             job.note_losses(run.key)
             self._writer.record(job)
 
-    def _judge(self, job: ActiveJob, run: Run, reason: str) -> None:
+    def _log_and_check(self, job: ActiveJob, run: Run, reason: str) -> None:
         """Tell of a loss, and give the task up if it is one too many."""
         task = job.progress.task(run.key)
         events.log(
@@ -186,15 +186,15 @@
 
 
 __all__ = (
-    'CLEARED_AFTER_S',
     'LEASE_LAPSED',
+    'LOSSES_CLEARED_AFTER_S',
     'MAX_LOSSES',
     'MAX_PROMPT_CRASHES',
-    'PROMPT_S',
+    'PROMPT_CRASH_S',
     'WORKER_GONE',
     'WORKER_RESTARTED',
-    'DoubtfulLosses',
-    'LossCounts',
+    'LossCounter',
+    'UnconfirmedLosses',
     'is_given_up',
     'is_lost',
 )
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -32,10 +32,10 @@
 
 #: From so many other hosts on each looks less often; together they still see a
 #: change as soon as a few do.
-MANY_OTHERS: Final = 11
+SHARED_POLL_MIN_OTHERS: Final = 11
 
 #: The least pause before a silence that is about to be over, in seconds.
-LEAST_POLL_S: Final = 0.02
+MIN_POLL_S: Final = 0.02
 
 #: A leader silent for so long is replaced, in seconds: four heartbeats, so
 #: that one lost write and one slow one do not change the leader.
@@ -47,7 +47,7 @@
 #: The same once the store is back from an absence through which the leader has
 #: been silent, in seconds: a leader that is back too writes 0.1 s after it
 #: knows, and hosts know within some 0.3 s of each other.
-RETURN_SILENCE_S: Final = 0.4
+OUTAGE_SILENCE_S: Final = 0.4
 
 #: The pause after a reading that failed, in seconds: soon enough to see the
 #: store's return, and some seven calls a second of each host meanwhile.
@@ -56,14 +56,14 @@
 #: A leader that writes and has not read the operators' rows for so long asks
 #: for a successor, in seconds: one wait of a reading is usual, two more are
 #: lost readings.
-BLIND_S: Final = 3 * FEED_WAIT_S
+STALE_ROWS_S: Final = 3 * FEED_WAIT_S
 
 #: A host that cannot read the operators' rows takes over from a silent leader
 #: so much later, in seconds: hosts that can come first.
-BLIND_DELAY_S: Final = 0.7
+STALE_TAKEOVER_DELAY_S: Final = 0.7
 
 #: Two readings further apart than this say nothing of the time between.
-READING_GAP_S: Final = 1.2
+MAX_READ_GAP_S: Final = 1.2
 
 
 class OperatorRows(Protocol):
@@ -74,7 +74,7 @@
         """Return as of when they are known, in seconds of the clock."""
 
 
-def _nobody() -> int:
+def _no_others() -> int:
     """Return that no other host is known."""
     return 0
 
@@ -99,7 +99,7 @@
         lead: Callable[[Leadership], Awaitable[None]],
         health: StoreHealth,
         operator_rows: OperatorRows,
-        others: Callable[[], int] = _nobody,
+        others: Callable[[], int] = _no_others,
     ) -> None:
         """Start with no row seen."""
         self._operator_rows = operator_rows
@@ -117,7 +117,7 @@
         self._silence_s = SILENCE_S
         self._resigned = False
         self.forecasts = ForecastReader(clock=clock)
-        self._shares = False
+        self._shared_polling = False
 
     @property
     def leader_silent_s(self) -> float:
@@ -140,8 +140,8 @@
                 pause_s = FAILED_POLL_S * random.uniform(0.8, 1.2)
             else:
                 self._health.answered()
-                self._note(row)
-                await self._consider(row)
+                self._record_read(row)
+                await self._consider_takeover(row)
                 pause_s = self._pause_s(asked_s)
             await self._clock.sleep(pause_s)
 
@@ -151,48 +151,48 @@
         :param asked_s: when the reading was asked for.
         """
         silent_s = self.leader_silent_s
-        if not silent_s and self._others() >= MANY_OTHERS:
+        if not silent_s and self._others() >= SHARED_POLL_MIN_OTHERS:
             now_s = self._clock.monotonic_s()
             # Hosts that began together must not look together.
-            least = 0.9 if self._shares else 0
-            self._shares = True
+            least = 0.9 if self._shared_polling else 0
+            self._shared_polling = True
             due_s = asked_s + SHARED_POLL_S * random.uniform(least, 1.1)
-            return max(due_s - now_s, LEAST_POLL_S)
-        self._shares = False
+            return max(due_s - now_s, MIN_POLL_S)
+        self._shared_polling = False
         pause_s = POLL_S * random.uniform(0.8, 1.2)
         left_s = self._silence_s - silent_s
         if left_s <= 0:
             # Nobody could take over yet: asking faster does not help.
             return pause_s
         # At the very end of the silence, however seldom it was looked at.
-        return max(min(pause_s, left_s), LEAST_POLL_S)
+        return max(min(pause_s, left_s), MIN_POLL_S)
 
-    def _note(self, row: StoredRow | None) -> None:
+    def _record_read(self, row: StoredRow | None) -> None:
         """Keep for how long the row has been seen unchanged."""
         now_s = self._clock.monotonic_s()
         version = row.version if row else 0
         gap_s = now_s - self._read_s
-        if gap_s > READING_GAP_S:
+        if gap_s > MAX_READ_GAP_S:
             self._steady_since_s = now_s
         if version != self._version:
             self._seen_since_s = now_s
             self._unchanged_since_s = now_s
             self._silence_s = SILENCE_S + random.uniform(0, JITTER_S)
-        elif gap_s > READING_GAP_S:
+        elif gap_s > MAX_READ_GAP_S:
             # The leader may have been cut off like this host.
             self._unchanged_since_s = now_s
             jitter_s = random.uniform(0, JITTER_S / 3)
-            self._silence_s = RETURN_SILENCE_S + jitter_s
+            self._silence_s = OUTAGE_SILENCE_S + jitter_s
         self._version = version
         self._read_s = now_s
 
-    async def _consider(self, row: StoredRow | None) -> None:
+    async def _consider_takeover(self, row: StoredRow | None) -> None:
         try:
             leader = leader_row_of(row) if row else LeaderRow()
         except StorageError as error:
             events.log('takeover_failed', error=str(error))
             return
-        self.forecasts.take(leader.epoch, leader.forecast)
+        self.forecasts.update(leader.epoch, leader.forecast)
         if self._resigned:
             return
         holder = leader.holder
@@ -218,24 +218,26 @@
         if leadership is None:
             return
         if self._resigned:
-            await _give_back(leadership)
+            await _vacate(leadership)
             return
         await self._run_term(leadership)
 
     def _may_replace(self, leader: LeaderRow) -> bool:
         """Return whether a leader is silent, or asks for one that can read."""
-        if self._is_blind(self._steady_since_s):
-            return self.leader_silent_s >= self._silence_s + BLIND_DELAY_S
+        if self._has_stale_operator_rows(self._steady_since_s):
+            return (
+                self.leader_silent_s >= self._silence_s + STALE_TAKEOVER_DELAY_S
+            )
         return leader.yields or self.leader_silent_s >= self._silence_s
 
-    def _is_blind(self, steady_since_s: float) -> bool:
+    def _has_stale_operator_rows(self, steady_since_s: float) -> bool:
         """Return whether the operators' rows have gone unread for long.
 
         :param steady_since_s: since when the store has answered this host; an
             outage of the store is none of readings alone.
         """
         known_s = max(self._operator_rows.read_s, steady_since_s)
-        return self._clock.monotonic_s() - known_s > BLIND_S
+        return self._clock.monotonic_s() - known_s > STALE_ROWS_S
 
     async def _run_term(self, leadership: Leadership) -> None:
         term = asyncio.ensure_future(self._lead(leadership))
@@ -245,18 +247,18 @@
                 if leadership.age_s < UNREACHABLE_S:
                     self._health.answered()
                 self._ask_for_successor(leadership)
-                self.forecasts.take(leadership.epoch, leadership.forecast)
+                self.forecasts.update(leadership.epoch, leadership.forecast)
                 await wait_at_most(term, timeout_s=POLL_S, clock=self._clock)
         finally:
             term.cancel()
-            await _end(term)
+            await _await_end(term)
 
     def _ask_for_successor(self, leadership: Leadership) -> None:
-        blind = self._is_blind(leadership.steady_since_s)
-        if blind != leadership.yields:
-            leadership.yields = blind
+        stale = self._has_stale_operator_rows(leadership.steady_since_s)
+        if stale != leadership.yields:
+            leadership.yields = stale
             events.log(
-                'leader_yields' if blind else 'leader_stays',
+                'leader_yields' if stale else 'leader_stays',
                 epoch=leadership.epoch,
                 operator_rows_age_s=round(
                     self._clock.monotonic_s() - self._operator_rows.read_s,
@@ -265,7 +267,7 @@
             )
 
 
-async def _give_back(leadership: Leadership) -> None:
+async def _vacate(leadership: Leadership) -> None:
     """Vacate a row that was won while this host was told to stop.
 
     Kept, it would hold up its successor for the silence and for as long as a
@@ -277,7 +279,7 @@
         events.log('step_down_needless', reason=str(lost))
 
 
-async def _end(term: asyncio.Future[None]) -> None:
+async def _await_end(term: asyncio.Future[None]) -> None:
     """Wait for a term's end; tell of an error in it."""
     await asyncio.gather(term, return_exceptions=True)
     if term.cancelled():
--- a/src/curranthill/dispatch/ends.py
+++ b/src/curranthill/dispatch/ends.py
@@ -9,57 +9,57 @@
 
 #: While ends wait to be stored a renewal is made so often, in seconds: the
 #: worker lists them again at once each time.
-UNSAVED_PAUSE_S: Final = 0.5
+UNSTORED_RETRY_S: Final = 0.5
 
 
-class EndLog:
+class EndTracker:
     """The numbers of one incarnation's ends, as far as each has come.
 
-    :param noted: ends up to this number were taken note of.
+    :param recorded: ends up to this number were taken note of.
     :param acknowledged: ends up to this number are stored; the worker may
         forget them.
-    :param told: the worker has heard that ends up to this number are stored.
+    :param confirmed: the worker has heard that ends up to this number are stored.
     """
 
     def __init__(
         self,
         *,
-        saved: Callable[[], Awaitable[None]],
+        wait_stored: Callable[[], Awaitable[None]],
         clock: Clock,
     ) -> None:
         """Start with a worker that has ended nothing.
 
-        :param saved: returns once all that was noted by its call is stored.
+        :param wait_stored: returns once all that was noted by its call is stored.
         """
-        self.noted = 0
+        self.recorded = 0
         self.acknowledged = 0
-        self.told = 0
-        self._saved = saved
+        self.confirmed = 0
+        self._wait_stored = wait_stored
         self._clock = clock
-        self._saving: asyncio.Future[None] | None = None
-        self._saving_upto = 0
+        self._storing: asyncio.Future[None] | None = None
+        self._storing_through = 0
 
     @property
     def all_stored(self) -> bool:
         """Return whether all ends that were noted are stored."""
-        return self.acknowledged == self.noted
+        return self.acknowledged == self.recorded
 
     @property
-    def settled(self) -> bool:
+    def all_confirmed(self) -> bool:
         """Return whether the worker has heard that all its ends are stored."""
-        return self.told == self.noted
+        return self.confirmed == self.recorded
 
-    def new_of(self, ends: tuple[EndReport, ...]) -> list[EndReport]:
+    def unrecorded(self, ends: tuple[EndReport, ...]) -> list[EndReport]:
         """Return the ends that are not noted yet."""
-        return [end for end in ends if end.number > self.noted]
+        return [end for end in ends if end.number > self.recorded]
 
-    def note(self, end: EndReport) -> None:
+    def record(self, end: EndReport) -> None:
         """Take note of an end."""
-        self.noted = max(self.noted, end.number)
+        self.recorded = max(self.recorded, end.number)
 
-    def tell(self, number: int) -> None:
+    def confirm(self, number: int) -> None:
         """Take note that the worker has heard of a number."""
-        self.told = max(self.told, number)
+        self.confirmed = max(self.confirmed, number)
 
     async def acknowledge(self) -> None:
         """Acknowledge ends that are stored; wait a while for those noted.
@@ -67,27 +67,27 @@
         A store that is away must not keep the lease from being renewed: the
         worker's other runs would lapse.
         """
-        if self._saving is None:
+        if self._storing is None:
             if self.all_stored:
                 return
-            self._saving_upto = self.noted
-            self._saving = asyncio.ensure_future(self._saved())
+            self._storing_through = self.recorded
+            self._storing = asyncio.ensure_future(self._wait_stored())
         if await wait_at_most(
-            self._saving,
-            timeout_s=UNSAVED_PAUSE_S,
+            self._storing,
+            timeout_s=UNSTORED_RETRY_S,
             clock=self._clock,
         ):
-            if self._saving.cancelled():
+            if self._storing.cancelled():
                 # Closed meanwhile: nobody asks for these numbers any more.
                 return
-            self._saving.result()
-            self.acknowledged = self._saving_upto
-            self._saving = None
+            self._storing.result()
+            self.acknowledged = self._storing_through
+            self._storing = None
 
     def close(self) -> None:
         """Wait for the store no more."""
-        if self._saving is not None:
-            self._saving.cancel()
+        if self._storing is not None:
+            self._storing.cancel()
 
 
-__all__ = ('EndLog',)
+__all__ = ('EndTracker',)
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -77,23 +77,25 @@
         self._timing = timing
         self._leadership = leadership
         self._progress: dict[str, bytes] = {}
-        self._bad: dict[tuple[str, str], int] = {}
+        self._bad_versions: dict[tuple[str, str], int] = {}
 
     async def start(self) -> None:
         """Read everything once, then follow what changes."""
         # Jobs first: an end that a worker reports must find its job.
-        intake = self._follower(tables.INTAKE, self._take_jobs, self._take_jobs)
+        intake = self._follower(
+            tables.INTAKE, self._apply_jobs, self._apply_jobs
+        )
         await self._read_progress()
         await intake.read()
         # Of the rest only the state is kept.
         for job_id, content in self._progress.items():
             if job_id not in self._term.jobs:
-                self._note_ended(job_id, content)
+                self._record_ended(job_id, content)
         self._progress.clear()
         workers = self._follower(
             self._worker_feed.table,
-            self._take_workers_anew,
-            self._take_workers,
+            self._replace_workers,
+            self._apply_workers,
             gather_s=GATHER_S,
         )
         await workers.read()
@@ -125,12 +127,12 @@
         """
         progress = self._follower(
             tables.PROGRESS,
-            self._take_progress,
-            self._take_progress,
+            self._keep_progress,
+            self._keep_progress,
         )
         await progress.read()
 
-    def _note_ended(self, job_id: str, content: bytes) -> None:
+    def _record_ended(self, job_id: str, content: bytes) -> None:
         try:
             progress = decode(content, JobProgress)
         except MalformedRecordError as error:
@@ -140,19 +142,19 @@
         if progress.ended_at_s:
             self._term.ended_at_s[job_id] = progress.ended_at_s
 
-    def _take_progress(self, rows: tuple[StoredRow, ...]) -> None:
+    def _keep_progress(self, rows: tuple[StoredRow, ...]) -> None:
         self._progress.update({row.key: row.content for row in rows})
 
-    def _take_jobs(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_jobs(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             try:
-                self._take_intake(row)
+                self._apply_intake(row)
             except MalformedRecordError as error:
                 # Of a job whose progress is unknown nothing may start.
-                self._tell_bad(row, 'job', error)
+                self._log_bad_row(row, 'job', error)
         self._term.changed.set()
 
-    def _tell_bad(
+    def _log_bad_row(
         self,
         row: StoredRow,
         kind: str,
@@ -160,9 +162,9 @@
     ) -> None:
         """Tell once of a version of a row that can't be read."""
         name = (row.table, row.key)
-        if self._bad.get(name) == row.version:
+        if self._bad_versions.get(name) == row.version:
             return
-        self._bad[name] = row.version
+        self._bad_versions[name] = row.version
         events.log(
             f'{kind}_row_bad',
             key=row.key,
@@ -171,19 +173,19 @@
         )
         metrics.records_bad.add(1, {'kind': kind})
 
-    def _take_workers_anew(self, rows: tuple[StoredRow, ...]) -> None:
+    def _replace_workers(self, rows: tuple[StoredRow, ...]) -> None:
         present = {row.key for row in rows}
         for worker_id in list(self._term.sessions):
             if worker_id not in present:
                 self._delist(worker_id)
-        self._take_workers(rows)
+        self._apply_workers(rows)
 
-    def _take_workers(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_workers(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             if row.removed:
                 self._delist(row.key)
             else:
-                self._take_worker(row)
+                self._apply_worker(row)
         self._term.changed.set()
 
     def _delist(self, worker_id: str) -> None:
@@ -193,11 +195,11 @@
             session.listed = False
             session.wake()
 
-    def _take_worker(self, row: StoredRow) -> None:
+    def _apply_worker(self, row: StoredRow) -> None:
         try:
             entry = self._worker_feed.decode(row)
         except MalformedRecordError as error:
-            self._tell_bad(row, 'worker', error)
+            self._log_bad_row(row, 'worker', error)
             self._mark_unreadable(row.key)
             return
         session = self._term.sessions.get(entry.worker_id)
@@ -207,7 +209,7 @@
             session.connect(self._connector.connect(entry))
         if entry.leaving and not session.entry.leaving:
             events.log('worker_leaving', worker=entry.worker_id)
-        session.relist(entry)
+        session.update_entry(entry)
 
     def _mark_unreadable(self, worker_id: str) -> None:
         """Place nothing at a worker whose entry can't be read.
@@ -221,11 +223,11 @@
 
     def _open_session(self, entry: WorkerEntry) -> WorkerSession:
         token = self._leadership.epoch * TOKENS_PER_EPOCH
-        former = self._term.sessions.get(entry.worker_id)
-        if former is not None:
+        previous = self._term.sessions.get(entry.worker_id)
+        if previous is not None:
             # A worker that was given up may have seen all of its tokens; one
             # that it rejects would be taken for another leader's.
-            token = former.token + 1
+            token = previous.token + 1
         session = WorkerSession(
             entry=entry,
             worker=self._connector.connect(entry) if entry.address else None,
@@ -237,29 +239,29 @@
             closures=self._closures,
             probe_limiter=self._probe_limiter,
         )
-        if former is not None:
-            session.doubtful.take_over(former.doubtful)
+        if previous is not None:
+            session.unconfirmed_losses.adopt(previous.unconfirmed_losses)
         self._term.sessions[entry.worker_id] = session
         self._spawner.spawn(session.run())
         return session
 
-    def _take_intake(self, row: StoredRow) -> None:
+    def _apply_intake(self, row: StoredRow) -> None:
         if row.removed:
             return
         if row.key.endswith(tables.CANCEL_SUFFIX):
             self._term.cancel(row.key.removesuffix(tables.CANCEL_SUFFIX))
             return
         if row.key in self._term.jobs or row.key in self._term.ended_at_s:
-            self._term.handed_in_again(row.key)
+            self._term.drop_duplicate(row.key)
             return
         spec = decode(row.content, JobSpec)
         state = JobProgress(queue=spec.queue.name)
         progress = self._progress.get(spec.job_id)
         if progress is not None:
             state = decode(progress, JobProgress)
-        job = self._term.take_job(spec, state)
+        job = self._term.add_job(spec, state)
         self._recover_runs(job)
-        self._term.recovered(job)
+        self._term.resume_job(job)
 
     def _recover_runs(self, job: ActiveJob) -> None:
         """Take each stored mark as a run that may exist."""
@@ -273,11 +275,11 @@
         worker_id = job.progress.task(key).worker
         session = self._term.sessions.get(worker_id)
         if session is None or session.removed:
-            session = self._open_session(_unlisted(worker_id))
+            session = self._open_session(_unlisted_entry(worker_id))
         self._term.recover_run(job, key, session)
 
 
-def _unlisted(worker_id: str) -> WorkerEntry:
+def _unlisted_entry(worker_id: str) -> WorkerEntry:
     """Return an entry for a worker that the platform lists no more."""
     return WorkerEntry(
         worker_id=worker_id,
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -15,16 +15,16 @@
 from curranthill.telemetry.events import events
 
 #: How often an outlook is made, in seconds.
-INTERVAL_S: Final = 1.0
+PUBLISH_INTERVAL_S: Final = 1.0
 
 #: A term's first outlook is made so late, in seconds: by then most workers
 #: have told what runs there.
-FIRST_S: Final = 2.0
+FIRST_DELAY_S: Final = 2.0
 
 #: After a call without an answer nobody is refused for so long, in seconds: the
 #: store may yet carry out what was left so, and a job that came before would
 #: run though it was refused when it came again.
-NO_REFUSAL_S: Final = 5.0
+REFUSAL_PAUSE_S: Final = 5.0
 
 
 class ForecastPublisher:
@@ -35,7 +35,7 @@
         self._clock = clock
         self._term = term
         self._number = 0
-        self._due_s = clock.monotonic_s() + FIRST_S
+        self._due_s = clock.monotonic_s() + FIRST_DELAY_S
 
     @property
     def due(self) -> bool:
@@ -44,13 +44,13 @@
 
     def make(self, revision: Revision | None) -> Outlook | None:
         """Return what hosts should know now, if anything."""
-        self._due_s = self._clock.monotonic_s() + INTERVAL_S
+        self._due_s = self._clock.monotonic_s() + PUBLISH_INTERVAL_S
         if revision is None:
             return None
         self._number += 1
         return outlook_of(
             self._term.jobs.values(),
-            rooms=self._rooms(),
+            rooms=self._capacities(),
             guaranteed={
                 one.name: one.guaranteed_gpus for one in revision.workspaces
             },
@@ -58,7 +58,7 @@
             number=self._number,
         )
 
-    def _rooms(self) -> dict[str, ServiceRoom]:
+    def _capacities(self) -> dict[str, ServiceRoom]:
         """Return the room of all workers that may take work, busy or not.
 
         One that does not answer now counts too: the wait is rather told as
@@ -74,13 +74,13 @@
                     Resources.plus,
                     (session.entry.room for session in sessions),
                 ),
-                _FreeRoom(sessions),
+                _LargestFree(sessions),
             )
             for service, sessions in by_service.items()
         }
 
 
-class _FreeRoom:
+class _LargestFree:
     """Adds up what is free; asked only when something waits for long."""
 
     def __init__(self, sessions: list[WorkerSession]) -> None:
@@ -113,16 +113,16 @@
         self._epoch = 0
         self._forecast: Outlook | None = None
         self._since_s = 0.0
-        self._missed_s = -NO_REFUSAL_S
+        self._missed_s = -REFUSAL_PAUSE_S
 
     def newest(self) -> tuple[Outlook | None, float]:
         """Return the newest outlook and its age in seconds."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._missed_s < NO_REFUSAL_S:
+        if now_s - self._missed_s < REFUSAL_PAUSE_S:
             return (None, 0.0)
         return (self._forecast, now_s - self._since_s)
 
-    def take(self, epoch: int, content: Any) -> None:
+    def update(self, epoch: int, content: Any) -> None:
         """Take what stands in the leader's row.
 
         Every outlook has a number of its own, so one that is made anew is
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -15,7 +15,7 @@
 from curranthill.dispatch.leadership import Leadership, LeadershipLostError
 from curranthill.dispatch.owner import ClosureSource
 from curranthill.dispatch.progress_writer import ProgressWriter
-from curranthill.dispatch.rounds import RevisionSource, Rounds
+from curranthill.dispatch.rounds import PlacementRounds, RevisionSource
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.workers import WorkerConnector
@@ -26,7 +26,7 @@
 from curranthill.telemetry.events import events
 
 #: Rows of ended jobs are kept so much longer than promised, in seconds.
-KEEP_MARGIN_S: Final = 30.0
+RETENTION_MARGIN_S: Final = 30.0
 
 #: How often rows of ended jobs are looked for, in seconds.
 SWEEP_INTERVAL_S: Final = 10.0
@@ -87,7 +87,7 @@
             writer=self._writer,
             recover=self._feeds.recover,
         )
-        self._rounds = Rounds(
+        self._rounds = PlacementRounds(
             clock=clock,
             term=self._term,
             writer=self._writer,
@@ -107,13 +107,13 @@
         metrics.takeovers.add(1)
         events.log('leading', epoch=self._leadership.epoch)
         try:
-            await self._run_parts()
+            await self._run_tasks()
         finally:
             events.log('term_over', epoch=self._leadership.epoch)
             self._leadership.abandon()
             await self._spawner.end()
 
-    async def _run_parts(self) -> None:
+    async def _run_tasks(self) -> None:
         self._spawner.spawn(self._writer.run())
         await self._feeds.start()
         self._spawner.spawn(self._rounds.run())
@@ -133,7 +133,7 @@
 
     async def _sweep(self) -> None:
         """Remove the rows of jobs that ended long ago."""
-        kept_s = self._timing.status_s + KEEP_MARGIN_S
+        kept_s = self._timing.status_s + RETENTION_MARGIN_S
         while True:
             await self._clock.sleep(SWEEP_INTERVAL_S)
             oldest_s = self._clock.wall_s() - kept_s
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -75,10 +75,10 @@
             its writer renews for a bounded time from the write, which was
             before the row was first seen.
         """
-        most_s = self.previous_s
+        max_s = self.previous_s
         if self.holder:
-            most_s = max(most_s, RENEW_WITHOUT_STORE_S)
-        return max(0.0, most_s - seen_for_s)
+            max_s = max(max_s, RENEW_WITHOUT_STORE_S)
+        return max(0.0, max_s - seen_for_s)
 
 
 def leader_row_of(stored: StoredRow) -> LeaderRow:
@@ -123,7 +123,7 @@
     ) -> None:
         """Keep the row that this process wrote."""
         self._began_s = began_s
-        self._former_s = row.previous_s
+        self._previous_s = row.previous_s
         self._resigning = False
         self._store = store
         self._clock = clock
@@ -154,7 +154,7 @@
     def previous_s(self) -> float:
         """Return for how long those who led before may still renew leases."""
         led_s = self._clock.monotonic_s() - self._began_s
-        return max(0.0, self._former_s - led_s)
+        return max(0.0, self._previous_s - led_s)
 
     @property
     def resigning(self) -> bool:
@@ -198,13 +198,13 @@
             if version:
                 self._version = version
                 self._row = row
-                self._note_applied(first_s)
+                self._record_applied(first_s)
                 metrics.commit_s.record(self._clock.monotonic_s() - first_s)
                 return
             await self._clock.sleep(RETRY_DELAY_S)
         raise LeadershipLostError('This process leads no more.', step='write')
 
-    def _note_applied(self, first_s: float) -> None:
+    def _record_applied(self, first_s: float) -> None:
         if first_s - self.confirmed_s > STEADY_GAP_S:
             self.steady_since_s = first_s
         self.confirmed_s = first_s
@@ -229,13 +229,15 @@
                 removals=removals,
             )
         except RowConflictError as conflict:
-            return self._settle(conflict.rows, operation)
+            return self._resolve_conflict(conflict.rows, operation)
         except StorageError as error:
             metrics.commits_retried.add(1)
             events.log('leader_write_retried', error=str(error))
             return 0
 
-    def _settle(self, rows: tuple[StoredRow, ...], operation: str) -> int:
+    def _resolve_conflict(
+        self, rows: tuple[StoredRow, ...], operation: str
+    ) -> int:
         """Tell this write's own earlier try from another leader's write."""
         for stored in rows:
             row = leader_row_of(stored)
@@ -259,12 +261,12 @@
     :param seen_for_s: for how long the row has been seen so, in seconds.
     :raises StorageError: if the store did not say.
     """
-    former = LeaderRow() if seen is None else leader_row_of(seen)
+    previous = LeaderRow() if seen is None else leader_row_of(seen)
     row = LeaderRow(
         holder=holder,
-        epoch=former.epoch + 1,
+        epoch=previous.epoch + 1,
         operation=uuid.uuid4().hex,
-        previous_s=former.previous_after_s(seen_for_s),
+        previous_s=previous.previous_after_s(seen_for_s),
     )
     check = RowCheck(
         tables.LEADER,
--- a/src/curranthill/dispatch/lease.py
+++ b/src/curranthill/dispatch/lease.py
@@ -9,7 +9,7 @@
 
 #: Added to every lease before it counts as lapsed, in seconds: covers the
 #: error of the estimated worker clock and the time a kill takes.
-LAPSE_MARGIN_S: Final = 0.4
+EXPIRY_MARGIN_S: Final = 0.4
 
 
 class Lease:
@@ -37,7 +37,7 @@
         self._end_s = self._end_if_granted_now_s() + previous_s
 
     @property
-    def lapsed(self) -> bool:
+    def expired(self) -> bool:
         """Return whether nothing can run there any more."""
         return self._clock.monotonic_s() >= self._end_s
 
@@ -52,12 +52,12 @@
         self.worker_clock_s = clock_s
         self._read_s = self._clock.monotonic_s()
 
-    def bound(self) -> None:
+    def exclude_older_grants(self) -> None:
         """Reckon with this leader's grants only: older orders are shut out."""
         self._end_s = self._end_if_granted_now_s()
 
     def _end_if_granted_now_s(self) -> float:
-        lease_s = self._length_s * CLOCK_DRIFT + LAPSE_MARGIN_S
+        lease_s = self._length_s * CLOCK_DRIFT + EXPIRY_MARGIN_S
         return self._clock.monotonic_s() + lease_s
 
 
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -28,10 +28,10 @@
 
 #: Runs on slow workers that are moved at one look; a move is a guess, and the
 #: next look sees what has become of it.
-SLOW_MOVES_AT_ONCE: Final = 1
+MAX_SLOW_MOVES: Final = 1
 
 #: What a task's progress keeps of each reason.
-_MARKS: Final[dict[MoveReason, int]] = {
+_MOVE_FLAGS: Final[dict[MoveReason, int]] = {
     STALLED: MOVED_STALLED,
     SLOW: MOVED_SLOW,
 }
@@ -51,7 +51,7 @@
     move: Move
 
 
-class RunWatch:
+class RunMigrator:
     """Looks at all runs every now and then.
 
     :param without: mechanisms that are switched off.
@@ -70,7 +70,7 @@
         self._term = term
         self._writer = writer
         self._without = without
-        self._looked_s = 0.0
+        self._checked_s = 0.0
 
     def check(self, *, idle: bool) -> None:
         """Count runs that stand still; move those better started elsewhere.
@@ -79,13 +79,13 @@
             on slow workers are moved to; others would come before them.
         """
         now_s = self._clock.monotonic_s()
-        if now_s - self._looked_s < CHECK_INTERVAL_S:
+        if now_s - self._checked_s < CHECK_INTERVAL_S:
             return
-        self._looked_s = now_s
-        slow_moves = SLOW_MOVES_AT_ONCE if idle else 0
+        self._checked_s = now_s
+        slow_moves = MAX_SLOW_MOVES if idle else 0
         for found in self._candidates():
             if found.move.reason == SLOW:
-                if not slow_moves or not self._has_faster_room(found):
+                if not slow_moves or not self._fits_on_faster_worker(found):
                     continue
                 slow_moves -= 1
             self._move(found)
@@ -124,9 +124,9 @@
         if reason == STALLED and not _stalled_as_whole_gang(job, run):
             return False
         task = job.progress.peek(run.key)
-        return task is None or not task.moves & _MARKS[reason]
+        return task is None or not task.moves & _MOVE_FLAGS[reason]
 
-    def _has_faster_room(self, found: _Candidate) -> bool:
+    def _fits_on_faster_worker(self, found: _Candidate) -> bool:
         """Return whether a worker that is not known to be slow has room."""
         step = self._term.jobs[found.run.key.job_id].step_of(found.run.key)
         for session in self._term.sessions.values():
@@ -135,17 +135,17 @@
                 continue
             if self._term.estimates.speed_of(session).factor < 1:
                 continue
-            if session.accepts_work and _has_room(session, found.run):
+            if session.accepts_work and _fits(session, found.run):
                 return True
         return False
 
     def _move(self, found: _Candidate) -> None:
         run = found.run
         job = self._term.jobs[run.key.job_id]
-        job.progress.task(run.key).moves |= _MARKS[found.move.reason]
+        job.progress.task(run.key).moves |= _MOVE_FLAGS[found.move.reason]
         self._writer.record(job)
         if found.move.reason == STALLED:
-            found.session.troubles_s.append(self._clock.monotonic_s())
+            found.session.failure_times_s.append(self._clock.monotonic_s())
         metrics.moves.add(1, {'reason': found.move.reason})
         events.log(
             f'moved_{found.move.reason}',
@@ -170,7 +170,7 @@
     return whole_s >= run.shortest_stall_s
 
 
-def _has_room(session: WorkerSession, run: Run) -> bool:
+def _fits(session: WorkerSession, run: Run) -> bool:
     """Return whether one more run like this fits beside those of a worker."""
     taken = run.needs
     for one in session.runs.values():
@@ -178,4 +178,4 @@
     return session.entry.room.covers(taken)
 
 
-__all__ = ('RunWatch',)
+__all__ = ('RunMigrator',)
--- a/src/curranthill/dispatch/pace_estimates.py
+++ b/src/curranthill/dispatch/pace_estimates.py
@@ -36,9 +36,11 @@
         self.durations = DurationBook()
         self.speeds = SpeedBook(durations=self.durations)
         self._refreshed_s = 0.0
-        self._told: dict[str, int] = {}
+        self._logged_levels: dict[str, int] = {}
 
-    def note(self, session: 'WorkerSession', job: ActiveJob, run: Run) -> None:
+    def record(
+        self, session: 'WorkerSession', job: ActiveJob, run: Run
+    ) -> None:
         """Learn from a run's pace, if its report tells of one."""
         if not run.pace or run.incarnation != session.incarnation:
             return
@@ -64,7 +66,7 @@
         self.speeds.refresh()
         present = [session for session in sessions if not session.removed]
         self.speeds.forget_except(one.worker_id for one in present)
-        self._tell_unlike(present)
+        self._log_deviating(present)
 
     def ratio_of(self, queue: str) -> float:
         """Return run time over estimate in a queue."""
@@ -74,15 +76,15 @@
         """Return the speed of the present life of a worker."""
         return self.speeds.speed_of(session.worker_id, session.incarnation)
 
-    def _tell_unlike(self, sessions: Iterable['WorkerSession']) -> None:
+    def _log_deviating(self, sessions: Iterable['WorkerSession']) -> None:
         """Tell of each worker that is found to differ, or no more."""
-        unlike: dict[str, int] = {}
+        deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
             level = level_of(speed.factor)
             if level:
-                unlike[session.worker_id] = level
-            if level != self._told.get(session.worker_id, 0):
+                deviating[session.worker_id] = level
+            if level != self._logged_levels.get(session.worker_id, 0):
                 events.log(
                     'worker_speed',
                     worker=session.worker_id,
@@ -90,10 +92,10 @@
                     spread=round(speed.spread, 2),
                     steps=speed.steps,
                 )
-        self._told = unlike
-        slow = sum(1 for level in unlike.values() if level < 0)
+        self._logged_levels = deviating
+        slow = sum(1 for level in deviating.values() if level < 0)
         metrics.workers_slow.set(slow)
-        metrics.workers_fast.set(len(unlike) - slow)
+        metrics.workers_fast.set(len(deviating) - slow)
 
 
 __all__ = ('Learning',)
--- a/src/curranthill/dispatch/probing.py
+++ b/src/curranthill/dispatch/probing.py
@@ -14,12 +14,12 @@
 #: Workers looked at side by side: a look takes some 0.8 ms of a core, so they
 #: hold up a heartbeat by 26 ms, on half a core by 50 ms. Over 3,000 workers
 #: 15 of 17 terms were lost within 12 s when all were looked at in one go.
-LOOKS_AT_ONCE: Final = 32
+MAX_CONCURRENT_PROBES: Final = 32
 
 #: How long a worker that does not answer keeps others from their turn, in
 #: seconds: a usual answer takes a few milliseconds, and a look is given up
 #: after 0.7 s.
-TURN_S: Final = 0.05
+SLOT_HOLD_S: Final = 0.05
 
 
 class ProbeLimiter:
@@ -28,28 +28,28 @@
     def __init__(self, *, clock: Clock) -> None:
         """Start with all turns free."""
         self._clock = clock
-        self._turns = asyncio.Semaphore(LOOKS_AT_ONCE)
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
-    async def take(self, look: Coroutine[Any, Any, None]) -> None:
+    async def run(self, probe: Coroutine[Any, Any, None]) -> None:
         """Make a look in its turn; return once it is over.
 
         A look that takes long goes on after its turn.
         """
-        looking: asyncio.Future[None] | None = None
+        running: asyncio.Future[None] | None = None
         try:
-            async with self._turns:
-                looking = asyncio.ensure_future(look)
+            async with self._slots:
+                running = asyncio.ensure_future(probe)
                 await wait_at_most(
-                    looking,
-                    timeout_s=TURN_S,
+                    running,
+                    timeout_s=SLOT_HOLD_S,
                     clock=self._clock,
                 )
-            await looking
+            await running
         finally:
-            if looking is None:
-                look.close()
+            if running is None:
+                probe.close()
             else:
-                looking.cancel()
+                running.cancel()
 
 
 __all__ = ('ProbeLimiter',)
--- a/src/curranthill/dispatch/progress_writer.py
+++ b/src/curranthill/dispatch/progress_writer.py
@@ -10,11 +10,11 @@
 from curranthill.tasks import encode, tables
 
 #: Most jobs in one write; the platform takes 100 entries a call.
-JOBS_PER_WRITE: Final = 64
+MAX_JOBS_PER_WRITE: Final = 64
 
 #: Most bytes of progress in one write, unless one job has more. Each write
 #: carries the heartbeat, which a large one would hold up on a slow link.
-BYTES_PER_WRITE: Final = 64_000
+MAX_BYTES_PER_WRITE: Final = 64_000
 
 #: The leader writes at least so often, in seconds, so that others see it
 #: alive; a standby takes over after some four silent intervals.
@@ -33,7 +33,7 @@
         self._pending: bytes = b''
         self._pending_written: bytes = b''
         self._wake = asyncio.Event()
-        self._next: asyncio.Future[None] | None = None
+        self._next_write: asyncio.Future[None] | None = None
 
     def record(self, job: ActiveJob) -> None:
         """Have a job's progress written."""
@@ -54,10 +54,10 @@
 
     async def stored(self) -> None:
         """Return once all that was noted so far is stored."""
-        if self._next is None:
-            self._next = asyncio.get_running_loop().create_future()
+        if self._next_write is None:
+            self._next_write = asyncio.get_running_loop().create_future()
         self._wake.set()
-        await asyncio.shield(self._next)
+        await asyncio.shield(self._next_write)
 
     async def run(self) -> None:
         """Write until leadership is lost.
@@ -71,17 +71,17 @@
                 clock=self._clock,
             )
             self._wake.clear()
-            waiting = self._next
-            self._next = None
+            waiters = self._next_write
+            self._next_write = None
             try:
                 await self._write_all()
             except BaseException as error:
-                if waiting is not None and not waiting.done():
-                    waiting.set_exception(error)
-                    waiting.exception()
+                if waiters is not None and not waiters.done():
+                    waiters.set_exception(error)
+                    waiters.exception()
                 raise
-            if waiting is not None and not waiting.done():
-                waiting.set_result(None)
+            if waiters is not None and not waiters.done():
+                waiters.set_result(None)
 
     async def _write_all(self) -> None:
         """Write all that is noted now; at least the heartbeat."""
@@ -92,7 +92,9 @@
         for job in jobs:
             content = encode(job.progress)
             size += len(content)
-            full = len(batch) >= JOBS_PER_WRITE or size > BYTES_PER_WRITE
+            full = (
+                len(batch) >= MAX_JOBS_PER_WRITE or size > MAX_BYTES_PER_WRITE
+            )
             if batch and full:
                 await self._leadership.write(batch)
                 batch = []
@@ -103,7 +105,7 @@
                 RowPut(tables.LEADER, tables.PENDING_KEY, self._pending),
             )
         pending = self._pending
-        removals = self._removals[: JOBS_PER_WRITE // 3]
+        removals = self._removals[: MAX_JOBS_PER_WRITE // 3]
         self._removals = self._removals[len(removals) :]
         await self._leadership.write(batch, removals)
         self._pending_written = pending
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -6,16 +6,16 @@
 import msgspec
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.dispatch.advice import Question, TicketCache
+from curranthill.dispatch.advice import TicketCache, TicketRequest
 from curranthill.dispatch.forecasts import ForecastPublisher
 from curranthill.dispatch.leadership import LeadershipLostError
-from curranthill.dispatch.migration import RunWatch
+from curranthill.dispatch.migration import RunMigrator
 from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.term_state import TermState
-from curranthill.dispatch.unused import UnusedWorkers
-from curranthill.dispatch.waiting import WaitingBoard
+from curranthill.dispatch.unused import UnusedWorkerReporter
+from curranthill.dispatch.waiting import WaitingReporter
 from curranthill.placement import (
     ALL_ON,
     DOUBT,
@@ -45,7 +45,7 @@
 
 #: How long a run that failed or stood still counts against its worker, in
 #: seconds: longer than the spells for which workers misbehave.
-TROUBLE_MEMORY_S: Final = 10.0
+FAILURE_MEMORY_S: Final = 10.0
 
 #: How often the gauges are set, in seconds.
 GAUGES_INTERVAL_S: Final = 1.0
@@ -62,7 +62,7 @@
         """Return the configuration, or nothing before the first."""
 
 
-class Rounds:
+class PlacementRounds:
     """Makes rounds whenever something has changed."""
 
     def __init__(
@@ -81,27 +81,29 @@
         :param without: mechanisms that are switched off.
         """
         self._without = without
-        self._watch = RunWatch(
+        self._migrator = RunMigrator(
             clock=clock,
             term=term,
             writer=writer,
             without=without,
         )
         self._ticket_cache = ticket_cache
-        self._asking = False
-        self._questions: list[Question] = []
+        self._requesting = False
+        self._requests: list[TicketRequest] = []
         self._clock = clock
         self._term = term
         self._writer = writer
         self._spawner = spawner
         self._revision = revision
         self._forecasts = ForecastPublisher(clock=clock, term=term)
-        self._board = WaitingBoard(clock=clock, term=term)
-        self._turns = ReservationTurns()
+        self._waiting_reporter = WaitingReporter(clock=clock, term=term)
+        self._windows = ReservationTurns()
         self._backlog = BacklogCursor()
-        self._unused = UnusedWorkers(clock=clock, sessions=term.sessions)
+        self._unused_reporter = UnusedWorkerReporter(
+            clock=clock, sessions=term.sessions
+        )
         self._reserved_for: tuple[str, ...] = ()
-        self._shown_s = 0.0
+        self._gauges_set_s = 0.0
 
     async def run(self) -> None:
         """Make a round whenever something has changed."""
@@ -114,41 +116,41 @@
             await self._clock.sleep(ROUND_PAUSE_S)
             self._term.changed.clear()
             self._plan_round()
-            self._note_pending()
+            self._record_pending()
             self._publish_forecast()
 
     def _plan_round(self) -> None:
         self._reserved_for = ()
         if not self._term.may_order():
             return
-        self._term.empty_leaving_workers()
+        self._term.evacuate_draining_workers()
         began_s = self._clock.monotonic_s()
         now_s = self._clock.wall_s()
         waits = self._anything_waits(now_s)
         self._term.estimates.refresh(self._term.sessions.values(), began_s)
-        self._watch.check(idle=not waits)
+        self._migrator.check(idle=not waits)
         if not waits:
             # Most rounds end here: reports and ends cause rounds too, and
             # adding up all workers' room is the costly part of a round.
             return
-        self._questions.clear()
+        self._requests.clear()
         planner = Planner(
-            rooms=self._rooms(),
+            rooms=self._capacities(),
             guaranteed=self._guaranteed(),
             now_s=now_s,
-            tickets=self._tickets,
-            turns=self._turns,
+            tickets=self._valid_tickets,
+            turns=self._windows,
             backlog=self._backlog,
             without=self._without,
             ratio_of=self._term.estimates.ratio_of,
         )
         plan = planner.plan(self._term.jobs.values())
-        self._ask_next()
+        self._request_next()
         self._reserved_for = plan.reserved_for
         metrics.decision_s.record(self._clock.monotonic_s() - began_s)
         self._preempt(plan)
         for placement in plan.placements:
-            self._mark(placement)
+            self._assign(placement)
 
     def _preempt(self, plan: Plan) -> None:
         """Stop the victims; a job's stops of one round count as one."""
@@ -181,7 +183,9 @@
             for ready in job.ready_steps(now_s)
         )
 
-    def _tickets(self, job: ActiveJob, ready: ReadyStep) -> dict[str, str]:
+    def _valid_tickets(
+        self, job: ActiveJob, ready: ReadyStep
+    ) -> dict[str, str]:
         """Return a step's good tickets; note what to ask if they do not do."""
         usable = {
             session.worker_id: session.incarnation
@@ -189,34 +193,34 @@
             if session.accepts_work
             and session.entry.service == job.spec.queue.service
         }
-        good = self._ticket_cache.good(ready, usable)
-        if not self._asking and len(good) < len(ready.tasks):
+        valid_tickets = self._ticket_cache.valid_tickets(ready, usable)
+        if not self._requesting and len(valid_tickets) < len(ready.tasks):
             without = {
                 worker_id: incarnation
                 for worker_id, incarnation in usable.items()
-                if worker_id not in good
+                if worker_id not in valid_tickets
             }
-            question = self._ticket_cache.question(ready, without)
-            if question is not None:
-                self._questions.append(question)
-        return good
+            request = self._ticket_cache.next_request(ready, without)
+            if request is not None:
+                self._requests.append(request)
+        return valid_tickets
 
-    def _ask_next(self) -> None:
+    def _request_next(self) -> None:
         """Ask one of the questions of this round."""
-        question = self._ticket_cache.choose(self._questions)
-        if question is not None:
-            self._asking = True
-            self._spawner.spawn(self._ask(question))
+        request = self._ticket_cache.choose(self._requests)
+        if request is not None:
+            self._requesting = True
+            self._spawner.spawn(self._request_tickets(request))
 
-    async def _ask(self, question: Question) -> None:
+    async def _request_tickets(self, request: TicketRequest) -> None:
         try:
-            await self._ticket_cache.ask(question)
+            await self._ticket_cache.request(request)
         finally:
-            self._asking = False
-        self._ticket_cache.forget_except(set(self._term.jobs))
+            self._requesting = False
+        self._ticket_cache.retain_jobs(set(self._term.jobs))
         self._term.changed.set()
 
-    def _rooms(self) -> dict[str, list[Room]]:
+    def _capacities(self) -> dict[str, list[Room]]:
         rooms: dict[str, list[Room]] = {}
         for session in self._term.sessions.values():
             if not session.accepts_work:
@@ -224,7 +228,7 @@
             room = Room(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=self._doubt(session),
+                doubt=self._failure_score(session),
                 speed=self._speed(session),
             )
             rooms.setdefault(session.entry.service, []).append(room)
@@ -236,16 +240,16 @@
             return 1.0
         return self._term.estimates.speed_of(session).factor
 
-    def _doubt(self, session: WorkerSession) -> float:
+    def _failure_score(self, session: WorkerSession) -> float:
         """Return how many runs failed or stood still at a worker of late."""
         if DOUBT in self._without:
             return 0.0
-        if session.troubles_s:
-            oldest_s = self._clock.monotonic_s() - TROUBLE_MEMORY_S
-            session.troubles_s = [
-                one for one in session.troubles_s if one > oldest_s
+        if session.failure_times_s:
+            oldest_s = self._clock.monotonic_s() - FAILURE_MEMORY_S
+            session.failure_times_s = [
+                one for one in session.failure_times_s if one > oldest_s
             ]
-        return len(session.troubles_s) + session.stalled_runs
+        return len(session.failure_times_s) + session.stalled_runs
 
     def _guaranteed(self) -> dict[str, int]:
         revision = self._revision.current
@@ -253,7 +257,7 @@
             return {}
         return {one.name: one.guaranteed_gpus for one in revision.workspaces}
 
-    def _mark(self, placement: Placement) -> None:
+    def _assign(self, placement: Placement) -> None:
         """Store the starts, then order them."""
         job = placement.job
         tasks = tuple(key for key, _ in placement.workers)
@@ -264,7 +268,7 @@
             checkpoint = checkpoint_of(
                 [job.progress.task(key) for key in tasks],
             )
-        runs = self._mark_runs(placement, shared, checkpoint)
+        runs = self._assign_runs(placement, shared, checkpoint)
         if job.progress.state == QUEUED:
             job.progress.state = RUNNING
             waited_s = self._clock.wall_s() - job.spec.accepted_at_s
@@ -283,7 +287,7 @@
         self._writer.record(job)
         self._spawner.spawn(self._start(job, runs))
 
-    def _mark_runs(
+    def _assign_runs(
         self,
         placement: Placement,
         shared: int,
@@ -328,12 +332,12 @@
             else:
                 await session.start(run, job.spec.payload)
 
-    def _show_waiting(self, waiting: list[JobSpec]) -> None:
+    def _set_gauges(self, waiting: list[JobSpec]) -> None:
         """Show how many jobs wait, and for how long, by priority."""
         now_s = self._clock.wall_s()
-        if now_s - self._shown_s < GAUGES_INTERVAL_S:
+        if now_s - self._gauges_set_s < GAUGES_INTERVAL_S:
             return
-        self._shown_s = now_s
+        self._gauges_set_s = now_s
         for priority in PRIORITIES:
             ages_s = [
                 now_s - spec.accepted_at_s
@@ -351,7 +355,7 @@
             ),
         )
 
-    def _note_pending(self) -> None:
+    def _record_pending(self) -> None:
         """Count each queue's jobs of which nothing has started."""
         waiting = [
             job.spec
@@ -361,7 +365,7 @@
         counts: dict[str, int] = {}
         for spec in waiting:
             counts[spec.queue.name] = counts.get(spec.queue.name, 0) + 1
-        self._show_waiting(waiting)
+        self._set_gauges(waiting)
         self._writer.record_pending(msgspec.json.encode(counts))
 
     def _publish_forecast(self) -> None:
@@ -370,10 +374,12 @@
             return
         forecast = self._forecasts.make(self._revision.current)
         if TURNING_AWAY not in self._without:
-            told = msgspec.to_builtins(forecast, str_keys=True)
-            self._writer.publish_forecast(told)
-        self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
-        self._unused.show()
+            content = msgspec.to_builtins(forecast, str_keys=True)
+            self._writer.publish_forecast(content)
+        self._waiting_reporter.report(
+            self._guaranteed(), self._capacities, self._reserved_for
+        )
+        self._unused_reporter.report()
 
 
 __all__ = ('RevisionSource', 'Rounds')
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -4,7 +4,7 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.crashes import WORKER_RESTARTED
-from curranthill.dispatch.ends import EndLog
+from curranthill.dispatch.ends import EndTracker
 from curranthill.dispatch.owner import SessionOwner
 from curranthill.dispatch.workers import (
     EndReport,
@@ -24,7 +24,7 @@
 
 #: An end tells how long a run took only if the report before is no older, in
 #: seconds: twice as long as a renewal waits for an end.
-PROMPT_S: Final = 3.0
+MAX_REPORT_GAP_S: Final = 3.0
 
 
 class RunList:
@@ -32,7 +32,7 @@
 
     :param runs: by task and attempt.
     :param ends: of the worker's present incarnation.
-    :param unproven: runs whose start was answered and that no list has shown.
+    :param unconfirmed: runs whose start was answered and that no list has shown.
     """
 
     def __init__(
@@ -44,18 +44,18 @@
     ) -> None:
         """Start with nothing known of the worker."""
         self.runs: dict[tuple[TaskKey, int], Run] = {}
-        self.unproven: set[tuple[TaskKey, int]] = set()
-        self._outlived: set[tuple[TaskKey, int]] = set()
-        self._clock_s = 0.0
+        self.unconfirmed: set[tuple[TaskKey, int]] = set()
+        self._previous_runs: set[tuple[TaskKey, int]] = set()
+        self._reported_clock_s = 0.0
         self._session = session
         self._owner = owner
         self._clock = clock
-        self.ends = EndLog(saved=owner.ends_stored, clock=clock)
+        self.ends = EndTracker(wait_stored=owner.ends_stored, clock=clock)
 
     @property
-    def any_unproven(self) -> bool:
+    def any_unconfirmed(self) -> bool:
         """Return whether some start may have reached another incarnation."""
-        if self.unproven:
+        if self.unconfirmed:
             return True
         return any(run.state == ORDERED for run in self.runs.values())
 
@@ -73,9 +73,9 @@
     def start_answered(self, run: Run) -> None:
         """Wait for a list to show a run, unless one has shown its end."""
         if self.runs.get(run.name) is run:
-            self.unproven.add(run.name)
+            self.unconfirmed.add(run.name)
 
-    def begin_anew(self, *, restarted: bool = True) -> None:
+    def reset(self, *, restarted: bool = True) -> None:
         """Forget the numbers of ends: another incarnation counts anew.
 
         Taken for those of the former one, its first ends would pass for known
@@ -85,11 +85,13 @@
         :param restarted: whether there was a former one that was known.
         """
         self.ends.close()
-        self.ends = EndLog(saved=self._owner.ends_stored, clock=self._clock)
+        self.ends = EndTracker(
+            wait_stored=self._owner.ends_stored, clock=self._clock
+        )
         if restarted:
-            self._outlived.update(self.runs)
+            self._previous_runs.update(self.runs)
 
-    def take(
+    def apply(
         self,
         report: LeaseReport,
         order: LeaseOrder,
@@ -97,39 +99,39 @@
     ) -> None:
         """Take in a list that answers an order sent at a moment."""
         seen = {(one.task, one.attempt) for one in report.runs}
-        new_ends = self.ends.new_of(report.ends)
-        self._tell_passed_over(report.ends)
+        new_ends = self.ends.unrecorded(report.ends)
+        self._log_skipped_ends(report.ends)
         seen.update((end.task, end.attempt) for end in new_ends)
-        self.unproven.difference_update(seen)
-        self._outlived.difference_update(seen)
+        self.unconfirmed.difference_update(seen)
+        self._previous_runs.difference_update(seen)
         for one in report.runs:
-            self._take_run(one, report.clock_s)
+            self._apply_run(one, report.clock_s)
         for run in list(self.runs.values()):
             if run.name not in seen:
                 self._check_absent(run, order, sent_s)
-        self._take_ends(new_ends, report.clock_s)
+        self._apply_ends(new_ends, report.clock_s)
 
-    def doubt_ordered(self) -> None:
+    def invalidate_ordered(self) -> None:
         """Take it as unknown whether starts under way took effect."""
         for run in self.runs.values():
             if run.state == ORDERED:
                 run.state = UNKNOWN
 
-    def vanish(self, run: Run, reason: str) -> None:
+    def drop_absent(self, run: Run, reason: str) -> None:
         """Give up a run that will never exist again."""
         if self.runs.get(run.name) is not run:
             return
         self.runs.pop(run.name)
-        self.unproven.discard(run.name)
-        self._outlived.discard(run.name)
+        self.unconfirmed.discard(run.name)
+        self._previous_runs.discard(run.name)
         self._owner.run_absent(self._session, run, reason)
 
-    def vanish_all(self, reason: str) -> None:
+    def drop_all(self, reason: str) -> None:
         """Give up all runs."""
         for run in list(self.runs.values()):
-            self.vanish(run, reason)
+            self.drop_absent(run, reason)
 
-    def _take_run(self, report: RunReport, clock_s: float) -> None:
+    def _apply_run(self, report: RunReport, clock_s: float) -> None:
         run = self.runs.get((report.task, report.attempt))
         now_s = self._clock.monotonic_s()
         if run is None:
@@ -175,24 +177,26 @@
 
     def _check_absent(self, run: Run, order: LeaseOrder, sent_s: float) -> None:
         """Give up a run that an answer should have listed and did not."""
-        outlived = self._is_outlived(run)
+        previous = self._is_previous(run)
         if run.state == UNKNOWN:
             if run.ordered_token < order.token:
-                reason = WORKER_RESTARTED if outlived else 'never started'
-                self.vanish(run, reason)
+                reason = WORKER_RESTARTED if previous else 'never started'
+                self.drop_absent(run, reason)
         elif run.state == RUNNING and run.settled_s < sent_s:
-            self.vanish(run, WORKER_RESTARTED if outlived else 'not listed')
+            self.drop_absent(
+                run, WORKER_RESTARTED if previous else 'not listed'
+            )
 
-    def _is_outlived(self, run: Run) -> bool:
+    def _is_previous(self, run: Run) -> bool:
         """Return whether a run was placed in a former life of the worker."""
         if run.incarnation and self._session.incarnation:
             return run.incarnation != self._session.incarnation
-        return run.name in self._outlived
+        return run.name in self._previous_runs
 
-    def _tell_passed_over(self, ends: tuple[EndReport, ...]) -> None:
+    def _log_skipped_ends(self, ends: tuple[EndReport, ...]) -> None:
         """Tell of an end that passes for known though its run is not over."""
         for end in ends:
-            known = end.number <= self.ends.noted
+            known = end.number <= self.ends.recorded
             if known and (end.task, end.attempt) in self.runs:
                 events.log(
                     'end_passed_over',
@@ -201,12 +205,12 @@
                     how=end.kind,
                     worker=self._session.worker_id,
                     number=end.number,
-                    noted=self.ends.noted,
+                    noted=self.ends.recorded,
                 )
 
-    def _take_ends(self, ends: list[EndReport], clock_s: float) -> None:
-        prompt = clock_s - self._clock_s < PROMPT_S
-        self._clock_s = clock_s
+    def _apply_ends(self, ends: list[EndReport], clock_s: float) -> None:
+        prompt = clock_s - self._reported_clock_s < MAX_REPORT_GAP_S
+        self._reported_clock_s = clock_s
         if not ends:
             return
         for end in ends:
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -13,7 +13,7 @@
 from curranthill.dispatch.crashes import (
     LEASE_LAPSED,
     WORKER_REMOVED,
-    DoubtfulLosses,
+    UnconfirmedLosses,
     is_lost,
 )
 from curranthill.dispatch.lease import Lease
@@ -64,10 +64,10 @@
 
 #: The same while an urgent run has shown no progress yet: two reports then
 #: tell within a second that it stands still.
-FIRST_SIGN_WAIT_S: Final = 0.35
+FIRST_PROGRESS_WAIT_S: Final = 0.35
 
 #: The pause after a renewal without an answer, in seconds.
-MISSED_DELAY_S: Final = 0.25
+LOST_REPLY_DELAY_S: Final = 0.25
 
 #: A worker that rejected a start is given no other for so long, in seconds:
 #: the same start would be rejected again some hundred times a second.
@@ -81,10 +81,10 @@
     :param incarnation: the one that answered last, 0 as long as none told.
     :param runs: all runs that may exist there, by task and attempt.
     :param readable: whether the newest entry could be read.
-    :param troubles_s: when runs failed or stood still here since the last one
+    :param failure_times_s: when runs failed or stood still here since the last one
         that was done.
     :param stalled_runs: how many runs stood still when last looked at.
-    :param doubtful: runs of which it is not known whether they crashed the
+    :param unconfirmed_losses: runs of which it is not known whether they crashed the
         worker.
     """
 
@@ -107,16 +107,16 @@
         """
         self.entry = entry
         self.incarnation = entry.incarnation
-        self._list = RunList(session=self, owner=owner, clock=clock)
-        self.runs = self._list.runs
+        self._run_list = RunList(session=self, owner=owner, clock=clock)
+        self.runs = self._run_list.runs
         self.listed = worker is not None
         self.readable = True
         self.removed = False
         self.reachable = False
         self.synced = False
-        self.troubles_s: list[float] = []
+        self.failure_times_s: list[float] = []
         self.stalled_runs = 0
-        self.doubtful = DoubtfulLosses(owner=owner)
+        self.unconfirmed_losses = UnconfirmedLosses(owner=owner)
         self.rejected_s = -REJECTION_PAUSE_S
         self._worker = worker
         self._owner = owner
@@ -130,12 +130,12 @@
             clock_s=entry.clock_s,
             previous_s=previous_s,
         )
-        self._urgent = asyncio.Event()
-        self._order_turn = asyncio.Lock()
+        self._wake_event = asyncio.Event()
+        self._order_lock = asyncio.Lock()
         # Not set from a raise of the token until a renewal under it tells what
         # became of the orders before, or that the worker is silent.
-        self._settled = asyncio.Event()
-        self._settled.set()
+        self._orders_resolved = asyncio.Event()
+        self._orders_resolved.set()
 
     @property
     def worker_id(self) -> str:
@@ -178,7 +178,7 @@
         self._worker = worker
         self.wake()
 
-    def relist(self, entry: WorkerEntry) -> None:
+    def update_entry(self, entry: WorkerEntry) -> None:
         """Take the worker's newest entry.
 
         The entry of another incarnation ends nothing by itself, since it may
@@ -193,7 +193,7 @@
 
     def wake(self) -> None:
         """Look at the worker at once."""
-        self._urgent.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
         """Renew the lease while anything may run, until the worker is gone."""
@@ -201,43 +201,43 @@
             while not self.removed:
                 await self._run_once()
         finally:
-            self._list.ends.close()
+            self._run_list.ends.close()
 
     async def _run_once(self) -> None:
         if self._is_idle():
-            await self._urgent.wait()
-        self._urgent.clear()
+            await self._wake_event.wait()
+        self._wake_event.clear()
         if self.reachable:
             await self._renew()
         else:
-            await self._probe_limiter.take(self._renew())
+            await self._probe_limiter.run(self._renew())
 
     async def start(self, run: Run, payload: str) -> None:
         """Order one start; the run's state tells what became of it."""
-        async with self._order_turn:
-            await self._settled.wait()
+        async with self._order_lock:
+            await self._orders_resolved.wait()
             if run.state != MARKED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
                 # Placed by the room of a former incarnation.
-                self._list.vanish(run, 'placed before a restart')
+                self._run_list.drop_absent(run, 'placed before a restart')
                 return
             if self.entry.leaving or not self.reachable:
                 # So since orders without an answer held this one up.
                 leaving = self.entry.leaving
                 reason = 'worker leaving' if leaving else 'worker unreachable'
-                self._list.vanish(run, reason)
+                self._run_list.drop_absent(run, reason)
                 return
             if not self._closures.allows_starts(self.entry.data_centre):
                 # It was closed while the start waited for its turn.
-                self._list.vanish(run, 'data centre closed')
+                self._run_list.drop_absent(run, 'data centre closed')
                 return
-            if not self._list.fits(run, self.entry.room):
+            if not self._run_list.fits(run, self.entry.room):
                 # Its room has shrunk while the start waited for its turn.
-                self._list.vanish(run, 'room shrunk')
+                self._run_list.drop_absent(run, 'room shrunk')
                 return
             if not self._owner.may_order() or self._worker is None:
-                self._list.vanish(run, 'not ordered')
+                self._run_list.drop_absent(run, 'not ordered')
                 return
             run.state = ORDERED
             run.ordered_token = self._token
@@ -254,12 +254,12 @@
 
     async def stop(self, run: Run) -> None:
         """Order one stop; the run takes room until its end is listed."""
-        async with self._order_turn:
-            await self._settled.wait()
+        async with self._order_lock:
+            await self._orders_resolved.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
                 return
             if run.state == MARKED:
-                self._list.vanish(run, 'stopped before its start')
+                self._run_list.drop_absent(run, 'stopped before its start')
                 return
             run.stop_sent_s = self._clock.monotonic_s()
             if not self._owner.may_order():
@@ -272,11 +272,11 @@
                     self._token,
                 )
             except WorkerError as error:
-                _tell_unanswered('stop', run, error)
+                _log_unanswered('stop', run, error)
                 self.increment_token()
             else:
                 self._read_clock(clock_s, known_clock_s)
-            self._urgent.set()
+            self._wake_event.set()
 
     async def _order_start(self, run: Run, order: StartOrder) -> None:
         assert self._worker is not None  # noqa: S101
@@ -289,7 +289,7 @@
         except (WorkerReplacedError, WorkerUnreachableError) as error:
             self._not_started(run, error)
         except WorkerError as error:
-            _tell_unanswered('start', run, error)
+            _log_unanswered('start', run, error)
             if run.state == ORDERED:
                 run.state = UNKNOWN
             self.increment_token()
@@ -297,22 +297,22 @@
             self._read_clock(clock_s, known_clock_s)
             run.settled_s = self._clock.monotonic_s()
             run.begin(clock_s)
-            self._list.start_answered(run)
+            self._run_list.start_answered(run)
             metrics.start_order_s.record(run.settled_s - sent_s)
             run.percent_changed_s = run.settled_s
             if run.state == ORDERED:
                 run.state = RUNNING
-            self._urgent.set()
+            self._wake_event.set()
 
     def _not_started(self, run: Run, error: WorkerError) -> None:
         """Let a task start elsewhere whose start never reached its worker."""
         if isinstance(error, WorkerReplacedError):
-            self._list.vanish(run, 'another worker answered its start')
+            self._run_list.drop_absent(run, 'another worker answered its start')
             self.remove(replaced=True)
             return
-        self._list.vanish(run, 'not sent')
-        self._note_unreachable(error)
-        self._urgent.set()
+        self._run_list.drop_absent(run, 'not sent')
+        self._set_unreachable(error)
+        self._wake_event.set()
 
     def _start_rejected(self, run: Run, rejected: RejectedError) -> None:
         events.log(
@@ -329,20 +329,20 @@
             run.state = UNKNOWN
             self.increment_token()
             return
-        self._list.vanish(run, f'rejected: {rejected.reason}')
+        self._run_list.drop_absent(run, f'rejected: {rejected.reason}')
 
     def _is_idle(self) -> bool:
         if not self.reachable or not self.synced:
             return False
-        ended = not self.runs and self._list.ends.settled
-        return ended and not self._urgent.is_set()
+        ended = not self.runs and self._run_list.ends.all_confirmed
+        return ended and not self._wake_event.is_set()
 
     async def _renew(self) -> None:
         """Make one renewal and take in its answer."""
-        await self._list.ends.acknowledge()
+        await self._run_list.ends.acknowledge()
         if self._worker is None or not self._owner.may_renew():
-            await self._clock.sleep(MISSED_DELAY_S)
-            self._check_lapse()
+            await self._clock.sleep(LOST_REPLY_DELAY_S)
+            self._check_expiry()
             return
         order = LeaseOrder(
             token=self._token,
@@ -358,16 +358,16 @@
             report = await self._call(order)
         except RejectedError as rejected:
             self._renewal_rejected(order, rejected)
-            await self._clock.sleep(MISSED_DELAY_S)
+            await self._clock.sleep(LOST_REPLY_DELAY_S)
         except WorkerReplacedError:
             self.remove(replaced=True)
         except WorkerError as error:
-            await self._missed(error)
+            await self._handle_lost_reply(error)
         else:
             if report is not None:
-                self._list.ends.tell(order.acknowledged)
+                self._run_list.ends.confirm(order.acknowledged)
                 self._check_incarnation(report, known_clock_s)
-                self._take(report, order, sent_s)
+                self._apply_report(report, order, sent_s)
 
     async def _call(self, order: LeaseOrder) -> LeaseReport | None:
         """Return the report, or nothing if the token was raised meanwhile."""
@@ -375,23 +375,23 @@
         renewal = asyncio.ensure_future(self._worker.renew(order))
         try:
             while not renewal.done() and order.token == self._token:
-                await self._wait_for_news(renewal)
+                await self._wait_for_reply(renewal)
             return renewal.result() if renewal.done() else None
         finally:
             renewal.cancel()
 
-    async def _wait_for_news(
+    async def _wait_for_reply(
         self, renewal: asyncio.Future[LeaseReport]
     ) -> None:
-        self._urgent.clear()
-        urgent = asyncio.ensure_future(self._urgent.wait())
+        self._wake_event.clear()
+        woken = asyncio.ensure_future(self._wake_event.wait())
         try:
             await asyncio.wait(
-                (renewal, urgent),
+                (renewal, woken),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            urgent.cancel()
+            woken.cancel()
 
     def _renewal_wait_s(self) -> float:
         """Return how long the worker may keep the next renewal for an end.
@@ -399,10 +399,10 @@
         One that tells of stored ends waits like any other: told apart, eight
         ends cost sixteen renewals.
         """
-        if not self.synced or not self._list.ends.all_stored:
+        if not self.synced or not self._run_list.ends.all_stored:
             return 0.0
         if any(run.awaits_sign for run in self.runs.values()):
-            return FIRST_SIGN_WAIT_S
+            return FIRST_PROGRESS_WAIT_S
         return RENEWAL_WAIT_S if self.runs else 0.0
 
     def _number_to_acknowledge(self) -> int:
@@ -411,9 +411,9 @@
         A start that no list has shown may have reached a new incarnation and
         have ended there under that number: it would be forgotten unread.
         """
-        if not self.synced or self._list.any_unproven:
+        if not self.synced or self._run_list.any_unconfirmed:
             return 0
-        return self._list.ends.acknowledged
+        return self._run_list.ends.acknowledged
 
     def _renewal_rejected(
         self,
@@ -429,20 +429,20 @@
         if rejected.reason != FENCE:
             # Nothing was renewed, so the lease runs out like that of a worker
             # that is silent.
-            self._note_unreachable(rejected)
-            self._check_lapse()
+            self._set_unreachable(rejected)
+            self._check_expiry()
         elif order.token == self._token:
             # No order of ours had a higher token, so another leader's had.
             self._owner.fenced(self)
 
-    async def _missed(self, error: WorkerError) -> None:
+    async def _handle_lost_reply(self, error: WorkerError) -> None:
         """A renewal without an answer: its effect is unknown."""
-        self._note_unreachable(error)
+        self._set_unreachable(error)
         self.increment_token()
-        await self._clock.sleep(MISSED_DELAY_S)
-        self._check_lapse()
+        await self._clock.sleep(LOST_REPLY_DELAY_S)
+        self._check_expiry()
 
-    def _note_unreachable(self, error: WorkerError) -> None:
+    def _set_unreachable(self, error: WorkerError) -> None:
         """Place nothing here until the worker answers."""
         if not self.reachable:
             return
@@ -455,15 +455,15 @@
         self.reachable = False
         self._owner.session_changed(self)
 
-    def _check_lapse(self) -> None:
+    def _check_expiry(self) -> None:
         """Give up all runs once no lease can reach this far."""
-        self._settled.set()
-        if not self._lease.lapsed:
+        self._orders_resolved.set()
+        if not self._lease.expired:
             return
         for run in self.runs.values():
             if is_lost(run, LEASE_LAPSED, leaving=self.entry.leaving):
-                self.doubtful.add(run)
-        self._list.vanish_all(LEASE_LAPSED)
+                self.unconfirmed_losses.add(run)
+        self._run_list.drop_all(LEASE_LAPSED)
         if not self.listed:
             self.remove()
 
@@ -472,9 +472,9 @@
         self._token += 1
         self.synced = False
         if not self.removed:
-            self._settled.clear()
-        self._list.doubt_ordered()
-        self._urgent.set()
+            self._orders_resolved.clear()
+        self._run_list.invalidate_ordered()
+        self._wake_event.set()
 
     def _read_clock(self, clock_s: float, known_s: float) -> None:
         """Take the clock of an answer to an order.
@@ -492,7 +492,7 @@
             known_s=known_s,
             clock_s=clock_s,
         )
-        self._list.begin_anew()
+        self._run_list.reset()
         self.increment_token()
 
     def _check_incarnation(self, report: LeaseReport, known_s: float) -> None:
@@ -517,11 +517,11 @@
         # The first word of an incarnation tells nothing of one before.
         known = bool(self.incarnation) or not report.incarnation
         self.incarnation = report.incarnation or self.incarnation
-        self.troubles_s.clear()
+        self.failure_times_s.clear()
         self.stalled_runs = 0
         if known:
-            self.doubtful.settle(crashed=True)
-        self._list.begin_anew(restarted=known)
+            self.unconfirmed_losses.resolve(crashed=True)
+        self._run_list.reset(restarted=known)
 
     def remove(self, *, replaced: bool = False) -> None:
         """Take the worker as gone for good.
@@ -531,9 +531,9 @@
         if self.removed:
             return
         if replaced:
-            self.doubtful.settle(crashed=not self.entry.leaving)
+            self.unconfirmed_losses.resolve(crashed=not self.entry.leaving)
         self.removed = True
-        self._settled.set()
+        self._orders_resolved.set()
         events.log(
             'worker_gone',
             worker=self.worker_id,
@@ -541,11 +541,11 @@
             listed=self.listed,
             runs=[str(run.key) for run in self.runs.values()],
         )
-        self._list.vanish_all(WORKER_REMOVED)
-        self._urgent.set()
+        self._run_list.drop_all(WORKER_REMOVED)
+        self._wake_event.set()
         self._owner.session_changed(self)
 
-    def _take(
+    def _apply_report(
         self,
         report: LeaseReport,
         order: LeaseOrder,
@@ -553,16 +553,16 @@
     ) -> None:
         accepted_work = self.accepts_work
         self._lease.read_clock(report.clock_s)
-        self.doubtful.settle_by(report.incarnation)
+        self.unconfirmed_losses.resolve_by_incarnation(report.incarnation)
         if not self.reachable:
             self.reachable = True
             events.log('worker_reachable', worker=self.worker_id)
         if order.token == self._token:
             self.synced = True
-            self._settled.set()
+            self._orders_resolved.set()
             # Orders of lower tokens are shut out, so no lease is longer.
-            self._lease.bound()
-        self._list.take(report, order, sent_s)
+            self._lease.exclude_older_grants()
+        self._run_list.apply(report, order, sent_s)
         if self.accepts_work != accepted_work:
             self._owner.session_changed(self)
 
@@ -573,11 +573,11 @@
     Another one may be of another kind, with other room and labels.
     """
     listed = session.entry.incarnation
-    told = listed and session.incarnation
-    return not told or listed == session.incarnation
+    both_known = listed and session.incarnation
+    return not both_known or listed == session.incarnation
 
 
-def _tell_unanswered(order: str, run: Run, error: WorkerError) -> None:
+def _log_unanswered(order: str, run: Run, error: WorkerError) -> None:
     events.log(
         f'{order}_unanswered',
         task=str(run.key),
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -9,7 +9,7 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.cleanup import IntakeCleanup
-from curranthill.dispatch.crashes import LossCounts
+from curranthill.dispatch.crashes import LossCounter
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S, Leadership
 from curranthill.dispatch.pace_estimates import PaceEstimates
 from curranthill.dispatch.progress_writer import ProgressWriter
@@ -73,7 +73,7 @@
         self._spawner = spawner
         self.estimates = PaceEstimates()
         self._cancelled: set[str] = set()
-        self._losses = LossCounts(
+        self._losses = LossCounter(
             jobs=self.jobs,
             writer=writer,
             give_up=self._end_job,
@@ -108,8 +108,8 @@
             return
         if run.checkpoint:
             task.checkpoint = run.checkpoint
-        self.estimates.note(session, job, run)
-        self._losses.clear_if_lasting(run)
+        self.estimates.record(session, job, run)
+        self._losses.clear_if_perpetual(run)
 
     def fenced(self, session: WorkerSession) -> None:
         """End the term: a worker has seen another leader's token."""
@@ -124,7 +124,9 @@
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
         """Note an end in its job's progress, if it is the newest run's."""
         job = self.jobs.get(end.task.job_id)
-        counts = job is not None and self._counts(job, end, session.worker_id)
+        counts = job is not None and self._end_counts(
+            job, end, session.worker_id
+        )
         events.log(
             'run_ended',
             task=str(end.task),
@@ -136,21 +138,21 @@
         )
         metrics.runs_ended.add(1, {'how': end.kind})
         if end.kind == RUN_FAILED:
-            session.troubles_s.append(self._clock.monotonic_s())
+            session.failure_times_s.append(self._clock.monotonic_s())
         elif end.kind == DONE:
-            session.troubles_s.clear()
+            session.failure_times_s.clear()
         if job is None:
             return
         run = job.runs.get(end.task)
         if run is not None and run.attempt == end.attempt:
             job.runs.pop(end.task)
             if end.kind == DONE and not job.step_of(end.task).gang:
-                self.estimates.note(session, job, run)
+                self.estimates.record(session, job, run)
         if counts:
-            self._note_end(job, end)
+            self._record_end(job, end)
             self._writer.record(job)
             self.changed.set()
-        self._settle(job)
+        self._drop_if_ended(job)
 
     def run_absent(
         self,
@@ -175,18 +177,18 @@
             return
         if job.runs.get(run.key) is run:
             job.runs.pop(run.key)
-        self._settle(job)
+        self._drop_if_ended(job)
         task = job.progress.peek(run.key)
         if task is None or task.attempt != run.attempt or task.done:
             return
         task.worker = ''
-        self._stop_fellows(job, run.key, run.attempt)
+        self._stop_other_members(job, run.key, run.attempt)
         self._writer.record(job)
-        self._losses.note(run, reason, leaving=session.entry.leaving)
+        self._losses.record(run, reason, leaving=session.entry.leaving)
 
     def loss_resolved(self, run: Run, *, crashed: bool) -> None:
         """Count a lapsed run as a crash of its worker, or not at all."""
-        self._losses.settle(run, crashed=crashed)
+        self._losses.resolve(run, crashed=crashed)
 
     def needs_of(self, key: TaskKey) -> Resources:
         """Return the room a task takes."""
@@ -201,19 +203,19 @@
 
     # Jobs.
 
-    def take_job(self, spec: JobSpec, progress: JobProgress) -> ActiveJob:
+    def add_job(self, spec: JobSpec, progress: JobProgress) -> ActiveJob:
         """Take in an accepted job."""
         job = ActiveJob(spec=spec, progress=progress)
         self.jobs[spec.job_id] = job
         return job
 
-    def recovered(self, job: ActiveJob) -> None:
+    def resume_job(self, job: ActiveJob) -> None:
         """Go on with a job whose stored runs have been taken in."""
         if job.spec.job_id in self._cancelled:
             self.cancel(job.spec.job_id)
-        self._settle(job)
+        self._drop_if_ended(job)
 
-    def handed_in_again(self, job_id: str) -> None:
+    def drop_duplicate(self, job_id: str) -> None:
         """Drop the new row of a job that is known already."""
         if job_id in self.ended_at_s:
             self._cleanup.add(job_id)
@@ -225,7 +227,7 @@
         if job is not None and not job.ended:
             self._end_job(job, CANCELLED)
 
-    def empty_leaving_workers(self) -> None:
+    def evacuate_draining_workers(self) -> None:
         """Stop what can go on elsewhere from its checkpoint."""
         for session in self.sessions.values():
             if not session.entry.leaving:
@@ -245,7 +247,7 @@
         As long as the job's own row may be there its state stays: without it
         the job would be taken for a new one.
         """
-        if self._cleanup.awaits(job_id):
+        if self._cleanup.is_pending(job_id):
             return
         self.ended_at_s.pop(job_id)
         self._writer.remove(RowRemoval(tables.PROGRESS, job_id))
@@ -298,7 +300,9 @@
 
     # Ends.
 
-    def _counts(self, job: ActiveJob, end: EndReport, worker_id: str) -> bool:
+    def _end_counts(
+        self, job: ActiveJob, end: EndReport, worker_id: str
+    ) -> bool:
         """Return whether an end tells something of its task.
 
         It is that of the newest run, or a late "done" of a run that was
@@ -311,20 +315,20 @@
             return end.kind == DONE
         return task.worker == worker_id or end.kind == DONE
 
-    def _note_end(self, job: ActiveJob, end: EndReport) -> None:
+    def _record_end(self, job: ActiveJob, end: EndReport) -> None:
         task = job.progress.task(end.task)
         if task.attempt == end.attempt:
             task.worker = ''
         if end.checkpoint and job.step_of(end.task).checkpointable:
             task.checkpoint = end.checkpoint
         if end.kind == DONE and not job.step_of(end.task).perpetual:
-            self.finish(job, end.task, end.attempt)
+            self.finish_task(job, end.task, end.attempt)
         elif end.kind == RUN_FAILED:
-            self._note_failure(job, end)
+            self._record_failure(job, end)
         else:
-            self._stop_fellows(job, end.task, end.attempt)
+            self._stop_other_members(job, end.task, end.attempt)
 
-    def _settle(self, job: ActiveJob) -> None:
+    def _drop_if_ended(self, job: ActiveJob) -> None:
         """Drop what nobody needs of a job that ended and runs no more.
 
         A leader that takes over then reads only the jobs that matter: with
@@ -341,7 +345,9 @@
         self._writer.record(job)
         self._cleanup.add(job_id)
 
-    def finish(self, job: ActiveJob, key: TaskKey, attempt: int = 0) -> None:
+    def finish_task(
+        self, job: ActiveJob, key: TaskKey, attempt: int = 0
+    ) -> None:
         """Take a task and its fellows as done.
 
         :param attempt: runs of any other attempt are needless and stopped.
@@ -353,9 +359,9 @@
             run = job.runs.get(member)
             if run is not None and run.attempt != attempt:
                 self.stop_run(run)
-        self.complete(job)
+        self.check_completion(job)
 
-    def complete(self, job: ActiveJob) -> None:
+    def check_completion(self, job: ActiveJob) -> None:
         """End a job if all its tasks are done."""
         self._writer.record(job)
         now_s = self._clock.wall_s()
@@ -366,9 +372,9 @@
                 took_s=round(now_s - job.spec.accepted_at_s, 2),
                 late_s=round(now_s - job.spec.objective_s, 2),
             )
-            self._settle(job)
+            self._drop_if_ended(job)
 
-    def _note_failure(self, job: ActiveJob, end: EndReport) -> None:
+    def _record_failure(self, job: ActiveJob, end: EndReport) -> None:
         failures = 0
         for key in job.members_of(end.task):
             task = job.progress.task(key)
@@ -377,14 +383,16 @@
                 task.failed_attempt = end.attempt
                 task.failures += 1
             failures = max(failures, task.failures)
-        self._stop_fellows(job, end.task, end.attempt)
+        self._stop_other_members(job, end.task, end.attempt)
         if job.step_of(end.task).perpetual:
             return
         if failures >= job.spec.queue.attempts:
             reason = f'Task {end.task} failed {failures} times.'
             self._end_job(job, FAILED, reason)
 
-    def _stop_fellows(self, job: ActiveJob, key: TaskKey, attempt: int) -> None:
+    def _stop_other_members(
+        self, job: ActiveJob, key: TaskKey, attempt: int
+    ) -> None:
         """Stop the rest of a gang that lost one of its members."""
         for member in job.members_of(key):
             run = job.runs.get(member)
@@ -410,7 +418,7 @@
         for run in list(job.runs.values()):
             self.stop_run(run)
         self._writer.record(job)
-        self._settle(job)
+        self._drop_if_ended(job)
 
     def stop_run(self, run: Run) -> None:
         """Order a run to stop, unless it is stopping already."""
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -34,16 +34,16 @@
 NOT_SYNCED: Final = 'not synced'
 
 #: A worker is told of that has accepted no work for so long, in seconds.
-TOLD_FROM_S: Final = 5.0
+LOGGED_FROM_S: Final = 5.0
 
 #: The least time between two lines, in seconds.
-LINES_INTERVAL_S: Final = 5.0
+LOG_INTERVAL_S: Final = 5.0
 
 #: Workers that one line names; the rest are counted.
-NAMED_WORKERS: Final = 40
+MAX_NAMED_WORKERS: Final = 40
 
 
-class UnusedWorkers:
+class UnusedWorkerReporter:
     """Logs the listed workers that accept no work, whenever they change.
 
     :param sessions: by worker.
@@ -59,20 +59,20 @@
         self._clock = clock
         self._sessions = sessions
         self._since_s: dict[str, float] = {}
-        self._told: dict[str, UnusedReason] = {}
-        self._told_s = clock.monotonic_s() - LINES_INTERVAL_S
+        self._logged: dict[str, UnusedReason] = {}
+        self._logged_s = clock.monotonic_s() - LOG_INTERVAL_S
 
-    def show(self) -> None:
+    def report(self) -> None:
         """Set the gauge, and log what is unused if that has changed."""
         unused = self._unused()
         metrics.workers_unused.set(len(unused))
         now_s = self._clock.monotonic_s()
-        if unused == self._told or now_s - self._told_s < LINES_INTERVAL_S:
+        if unused == self._logged or now_s - self._logged_s < LOG_INTERVAL_S:
             return
-        self._told = unused
-        self._told_s = now_s
+        self._logged = unused
+        self._logged_s = now_s
         named: dict[str, list[str]] = {}
-        for worker_id in sorted(unused)[:NAMED_WORKERS]:
+        for worker_id in sorted(unused)[:MAX_NAMED_WORKERS]:
             named.setdefault(unused[worker_id], []).append(worker_id)
         events.log(
             'workers_unused',
@@ -96,7 +96,7 @@
         return {
             worker_id: reason
             for worker_id, reason in reasons.items()
-            if now_s - self._since_s[worker_id] > TOLD_FROM_S
+            if now_s - self._since_s[worker_id] > LOGGED_FROM_S
         }
 
 
@@ -111,5 +111,5 @@
     'UNREACHABLE',
     'UNREADABLE',
     'UnusedReason',
-    'UnusedWorkers',
+    'UnusedWorkerReporter',
 )
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -7,7 +7,7 @@
 from curranthill.admission import KEPT, waits_for
 from curranthill.clock import Clock
 from curranthill.dispatch.term_state import TermState
-from curranthill.dispatch.unready import UnreadyJobs
+from curranthill.dispatch.unready import UnreadyJobReporter
 from curranthill.placement import (
     MOST_SKEW_S,
     ActiveJob,
@@ -21,16 +21,16 @@
 from curranthill.telemetry.labels import OTHERS
 
 #: Workspaces with a gauge label of their own, those with the most waiting jobs.
-MOST_WORKSPACE_LABELS: Final = 10
+MAX_WORKSPACE_LABELS: Final = 10
 
 #: Waiting jobs logged for each priority and second, the oldest first.
-LOGGED_JOBS: Final = 2
+MAX_LOGGED_JOBS: Final = 2
 
 #: Shorter waits are not logged, in seconds.
 LOGGED_FROM_S: Final = 1.0
 
 #: Jobs that one line names as those that room is kept for.
-NAMED_JOBS: Final = 3
+MAX_NAMED_JOBS: Final = 3
 
 
 class WorkerCounts(NamedTuple):
@@ -47,7 +47,7 @@
     with_suspect: int
 
 
-class WaitingBoard:
+class WaitingReporter:
     """Sets the gauges of workspaces, and logs the oldest waiting jobs.
 
     A job that could start and finds no room waits; one that could not is not
@@ -58,10 +58,10 @@
         """Start with nothing shown."""
         self._clock = clock
         self._term = term
-        self._unready = UnreadyJobs(clock=clock, sessions=term.sessions)
-        self._shown: set[str] = set()
+        self._unready = UnreadyJobReporter(clock=clock, sessions=term.sessions)
+        self._labelled: set[str] = set()
 
-    def show(
+    def report(
         self,
         guaranteed: Mapping[str, int],
         rooms_now: Callable[[], Mapping[str, list[Room]]],
@@ -79,7 +79,7 @@
             key=_accepted_at_s,
         )
         self._set_gauges(job for job in open_jobs if not job.begun)
-        self._unready.show(open_jobs)
+        self._unready.report(open_jobs)
         waiting = self._oldest_waiting(open_jobs)
         if waiting:
             covered = covered_jobs(open_jobs, guaranteed)
@@ -96,7 +96,7 @@
                     advised=job.spec.queue.advisor,
                     patient=waits_for_rack(job, ready, self._clock.wall_s()),
                 )
-                self._tell(
+                self._log(
                     job,
                     ready,
                     reason,
@@ -111,10 +111,10 @@
             waited_s = now_s - job.spec.accepted_at_s
             ages_s[job.spec.workspace].append(waited_s)
         largest = sorted(ages_s, key=lambda name: -len(ages_s[name]))
-        shown: dict[str, list[float]] = dict.fromkeys(self._shown, [])
-        for name in largest[:MOST_WORKSPACE_LABELS]:
+        shown: dict[str, list[float]] = dict.fromkeys(self._labelled, [])
+        for name in largest[:MAX_WORKSPACE_LABELS]:
             shown[name] = ages_s[name]
-        rest = largest[MOST_WORKSPACE_LABELS:]
+        rest = largest[MAX_WORKSPACE_LABELS:]
         if rest:
             shown[OTHERS] = [age for name in rest for age in ages_s[name]]
         for name, ages in shown.items():
@@ -123,7 +123,7 @@
             oldest_s = max(ages, default=0.0)
             metrics.workspace_oldest_waiting_s.set(oldest_s, labels)
         # One that waits no more is shown once more, as nothing.
-        self._shown = {name for name, ages in shown.items() if ages}
+        self._labelled = {name for name, ages in shown.items() if ages}
 
     def _oldest_waiting(
         self,
@@ -140,7 +140,7 @@
             waited_s = now_s - job.spec.accepted_at_s
             if -MOST_SKEW_S <= waited_s < LOGGED_FROM_S:
                 continue
-            if found[job.spec.queue.priority] >= LOGGED_JOBS:
+            if found[job.spec.queue.priority] >= MAX_LOGGED_JOBS:
                 continue
             ready = next(job.ready_steps(now_s), None)
             if ready is not None and not job.runs:
@@ -185,7 +185,7 @@
             with_suspect=sum(1 for room in rooms if room.held_alone),
         )
 
-    def _tell(
+    def _log(
         self,
         job: ActiveJob,
         ready: ReadyStep,
@@ -202,7 +202,7 @@
             step=ready.number,
             tasks=len(ready.tasks),
             waits_for=reason,
-            kept_for=kept_for[:NAMED_JOBS],
+            kept_for=kept_for[:MAX_NAMED_JOBS],
             workers_listed=counts.listed,
             workers_usable=counts.usable,
             workers_empty=counts.empty,
@@ -216,4 +216,4 @@
     return job.spec.accepted_at_s
 
 
-__all__ = ('WaitingBoard', 'WorkerCounts')
+__all__ = ('WaitingReporter', 'WorkerCounts')
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -6,11 +6,11 @@
 
 from curranthill.dispatch import Advice, AdvisorError
 from curranthill.dispatch.advice import (
-    FIRST_IN_A_ROW,
+    FIRST_REQUESTS_PER_REPEAT,
     RETRY_S,
-    WORKERS_PER_QUESTION,
-    Question,
+    WORKERS_PER_REQUEST,
     TicketCache,
+    TicketRequest,
 )
 from curranthill.placement import ReadyStep
 from curranthill.tasks import Step, TaskKey
@@ -129,13 +129,13 @@
         self.jobs: list[str] = []
         self._workers = {f'w{number}': 1 for number in range(workers)}
         self._clock = ManualClock()
-        self._office = TicketCache(advisor=self.advisor, clock=self._clock)
+        self._tickets = TicketCache(advisor=self.advisor, clock=self._clock)
 
     async def ask(self) -> str:
         """Ask one question; return the job that it is for."""
-        question = self._office.choose(list(self._questions()))
+        question = self._tickets.choose(list(self._questions()))
         assert question is not None
-        asking = asyncio.ensure_future(self._office.ask(question))
+        asking = asyncio.ensure_future(self._tickets.request(question))
         await self._clock.advance(VALIDITY_S + RETRY_S)
         await asking
         return question.ready.tasks[0].job_id
@@ -144,11 +144,11 @@
         """Ask so many questions; return the jobs that they are for."""
         return [await self.ask() for _ in range(times)]
 
-    def _questions(self) -> Iterator[Question]:
+    def _questions(self) -> Iterator[TicketRequest]:
         for job_id in self.jobs:
             key = TaskKey(job_id, 0, 0, 0)
             ready = ReadyStep(0, 0, Step(1, ONE_GPU), (key,))
-            question = self._office.question(ready, self._workers)
+            question = self._tickets.next_request(ready, self._workers)
             if question is not None:
                 yield question
 
@@ -197,7 +197,7 @@
             asker.jobs = ['a1']
             await asker.ask()
             asked = []
-            for number in range(2 * FIRST_IN_A_ROW):
+            for number in range(2 * FIRST_REQUESTS_PER_REPEAT):
                 asker.jobs.insert(0, f'b{number}')
                 asked.append(await asker.ask())
             self.assertIn('a1', asked)
@@ -208,7 +208,7 @@
         """Three questions name them all; then the next step's turn comes."""
 
         async def case() -> None:
-            asker = Asker(workers=2 * WORKERS_PER_QUESTION + 1)
+            asker = Asker(workers=2 * WORKERS_PER_REQUEST + 1)
             asker.jobs = ['a1', 'a2']
             self.assertEqual(await asker.asked(4), ['a1', 'a1', 'a1', 'a2'])
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -311,7 +311,7 @@
             await domain.leader()
             watch = host.election.forecasts
             for number, outlook in enumerate(([2, 5, 9999], 'none', 7)):
-                watch.take(90 + number, outlook)
+                watch.update(90 + number, outlook)
                 new = gang(f'new-{number}', domain)
                 with self.subTest(outlook=outlook):
                     self.assertFalse(await is_refused(host, new))
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -217,10 +217,10 @@
             await domain.ended('a1')
             worker.failing = False
             session = domain.session('w0')
-            self.assertEqual(len(session.troubles_s), 2)
+            self.assertEqual(len(session.failure_times_s), 2)
             domain.restart_worker('w0')
             await domain.clock.advance(1)
-            self.assertEqual(session.troubles_s, [])
+            self.assertEqual(session.failure_times_s, [])
 
         in_domain(case, workers=1)
 
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -83,7 +83,7 @@
     def hold(self) -> Blocker | None:
         """Return what holds the job."""
         sessions: Any = self.sessions
-        return BlockerFinder(clock=self.clock, sessions=sessions).of(self.job)
+        return BlockerFinder(clock=self.clock, sessions=sessions).find(self.job)
 
     def found(self) -> Blocker:
         """Return what holds the job, which something does."""
@@ -276,7 +276,7 @@
                 self.assertIn('due', names)
                 lines.lines.clear()
                 await domain.clock.advance(1.0)
-            self.assertLessEqual(len(lines.lines), unready.LOGGED_JOBS)
+            self.assertLessEqual(len(lines.lines), unready.MAX_LOGGED_JOBS)
             self.assertEqual(
                 [line['job'] for line in lines.lines],
                 ['a0', 'a1'],
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -17,7 +17,7 @@
 from tests.test_waiting import Lines
 
 #: By then all that is unused has been told, a line before it included.
-TOLD_S = unused.TOLD_FROM_S + unused.LINES_INTERVAL_S + 2.0
+TOLD_S = unused.LOGGED_FROM_S + unused.LOG_INTERVAL_S + 2.0
 
 
 class Gauge:
@@ -51,7 +51,9 @@
         self.gauge = Gauge()
         self.sessions = {f'w{number:03}': Session() for number in range(count)}
         sessions: Any = self.sessions
-        self.board = unused.UnusedWorkers(clock=self.clock, sessions=sessions)
+        self.board = unused.UnusedWorkerReporter(
+            clock=self.clock, sessions=sessions
+        )
 
     async def look(self, seconds: int) -> list[dict[str, Any]]:
         """Return the lines of some seconds."""
@@ -62,7 +64,7 @@
         ):
             for _ in range(seconds):
                 await self.clock.advance(1.0)
-                self.board.show()
+                self.board.report()
         return self.lines.of('workers_unused')
 
 
@@ -117,7 +119,7 @@
         lines = await watch.look(10)
         self.assertEqual(lines[0]['unused'], 500)
         named = lines[0]['workers'][unused.CLOSED]
-        self.assertEqual(len(named), unused.NAMED_WORKERS)
+        self.assertEqual(len(named), unused.MAX_NAMED_WORKERS)
 
     async def test_a_worker_that_is_not_listed_is_not_told(self) -> None:
         """Nobody expects work there."""
