--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -199,4 +199,4 @@
         return self._request_numbers.get(request.ready.name, 0)
 
 
-__all__ = ('Advice', 'Advisor', 'AdvisorError', 'Question', 'TicketCache')
+__all__ = ('Advice', 'Advisor', 'AdvisorError', 'TicketCache', 'TicketRequest')
--- a/src/curranthill/dispatch/blockers.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -243,7 +243,7 @@
     'PARTLY_DONE',
     'RUN',
     'STORED',
+    'Blocker',
+    'BlockerFinder',
     'BlockingTask',
-    'Hold',
-    'Holds',
 )
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -191,7 +191,7 @@
     'MAX_LOSSES',
     'MAX_PROMPT_CRASHES',
     'PROMPT_CRASH_S',
-    'WORKER_GONE',
+    'WORKER_REMOVED',
     'WORKER_RESTARTED',
     'LossCounter',
     'UnconfirmedLosses',
--- a/src/curranthill/dispatch/ends.py
+++ b/src/curranthill/dispatch/ends.py
@@ -1,4 +1,4 @@
-"""Which ends of a worker are noted, stored, acknowledged and told."""
+"""Tracks which run ends of a worker are recorded, stored and acknowledged."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,18 +7,18 @@
 from curranthill.clock import Clock, wait_at_most
 from curranthill.dispatch.workers import EndReport
 
-#: While ends wait to be stored a renewal is made so often, in seconds: the
-#: worker lists them again at once each time.
+#: While ends wait to be stored a renewal is made this often, in seconds: the
+#: worker lists the same ends again in the reply to each one.
 UNSTORED_RETRY_S: Final = 0.5
 
 
 class EndTracker:
-    """The numbers of one incarnation's ends, as far as each has come.
+    """How far the numbered run ends of one incarnation have been processed.
 
-    :param recorded: ends up to this number were taken note of.
+    :param recorded: ends up to this number are recorded in memory.
     :param acknowledged: ends up to this number are stored; the worker may
         forget them.
-    :param confirmed: the worker has heard that ends up to this number are stored.
+    :param confirmed: the worker knows that ends up to this number are stored.
     """
 
     def __init__(
@@ -27,9 +27,10 @@
         wait_stored: Callable[[], Awaitable[None]],
         clock: Clock,
     ) -> None:
-        """Start with a worker that has ended nothing.
+        """Initialize the tracker of a worker without ends.
 
-        :param wait_stored: returns once all that was noted by its call is stored.
+        :param wait_stored: returns once all that was recorded before its call
+            is stored.
         """
         self.recorded = 0
         self.acknowledged = 0
@@ -41,31 +42,31 @@
 
     @property
     def all_stored(self) -> bool:
-        """Return whether all ends that were noted are stored."""
+        """Return whether all recorded ends are stored."""
         return self.acknowledged == self.recorded
 
     @property
     def all_confirmed(self) -> bool:
-        """Return whether the worker has heard that all its ends are stored."""
+        """Return whether the worker knows that all its ends are stored."""
         return self.confirmed == self.recorded
 
     def unrecorded(self, ends: tuple[EndReport, ...]) -> list[EndReport]:
-        """Return the ends that are not noted yet."""
+        """Return the ends that are not recorded yet."""
         return [end for end in ends if end.number > self.recorded]
 
     def record(self, end: EndReport) -> None:
-        """Take note of an end."""
+        """Record an end."""
         self.recorded = max(self.recorded, end.number)
 
     def confirm(self, number: int) -> None:
-        """Take note that the worker has heard of a number."""
+        """Record that the worker knows ends up to a number are stored."""
         self.confirmed = max(self.confirmed, number)
 
     async def acknowledge(self) -> None:
-        """Acknowledge ends that are stored; wait a while for those noted.
+        """Acknowledge stored ends; wait a bounded time for recorded ones.
 
-        A store that is away must not keep the lease from being renewed: the
-        worker's other runs would lapse.
+        The wait is bounded because an outage of the store must not delay the
+        renewal of the lease: the worker's other runs would be ended.
         """
         if self._storing is None:
             if self.all_stored:
@@ -78,14 +79,14 @@
             clock=self._clock,
         ):
             if self._storing.cancelled():
-                # Closed meanwhile: nobody asks for these numbers any more.
+                # The tracker was closed meanwhile; its numbers are obsolete.
                 return
             self._storing.result()
             self.acknowledged = self._storing_through
             self._storing = None
 
     def close(self) -> None:
-        """Wait for the store no more."""
+        """Stop waiting for the store."""
         if self._storing is not None:
             self._storing.cancel()
 
--- a/src/curranthill/dispatch/lease.py
+++ b/src/curranthill/dispatch/lease.py
@@ -1,23 +1,24 @@
-"""A worker's lease as the leader reckons it, from the worker's clock."""
+"""The leader's estimate of a worker's lease, on the worker's clock."""
 
 from typing import Final
 
 from curranthill.clock import Clock
 
-#: A worker's clock may be 2% slow; its lease then lasts so much longer.
+#: A worker's clock may be 2% slow; its lease then lasts 2% longer.
 CLOCK_DRIFT: Final = 1.02
 
-#: Added to every lease before it counts as lapsed, in seconds: covers the
-#: error of the estimated worker clock and the time a kill takes.
+#: Added to every lease before it counts as expired, in seconds: covers the
+#: error of the estimated worker clock and the time that killing a run takes.
 EXPIRY_MARGIN_S: Final = 0.4
 
 
 class Lease:
-    """When the lease of one worker ends at the latest.
+    """The latest time at which the lease of one worker may end.
 
-    :param length_s: the longest lease that the worker grants.
-    :param clock_s: the worker's steady clock when it was listed.
-    :param previous_s: how long another leader may have gone on renewing.
+    :param length_s: the longest lease that the worker grants, in seconds.
+    :param clock_s: the worker's monotonic clock when it was listed.
+    :param previous_s: for how long another leader may still have renewed the
+        lease, in seconds.
     :param worker_clock_s: the newest reading of the worker's clock.
     """
 
@@ -29,7 +30,7 @@
         clock_s: float,
         previous_s: float,
     ) -> None:
-        """Reckon with all that a former leader may have granted."""
+        """Assume the longest lease that a previous leader may have granted."""
         self._clock = clock
         self._length_s = length_s
         self.worker_clock_s = clock_s
@@ -38,7 +39,7 @@
 
     @property
     def expired(self) -> bool:
-        """Return whether nothing can run there any more."""
+        """Return whether no run can exist there any more."""
         return self._clock.monotonic_s() >= self._end_s
 
     def grant(self) -> float:
@@ -48,12 +49,12 @@
         return self.worker_clock_s + since_s + self._length_s
 
     def read_clock(self, clock_s: float) -> None:
-        """Take note of the worker's clock."""
+        """Store a reading of the worker's clock."""
         self.worker_clock_s = clock_s
         self._read_s = self._clock.monotonic_s()
 
     def exclude_older_grants(self) -> None:
-        """Reckon with this leader's grants only: older orders are shut out."""
+        """Count only this leader's grants, as older orders are fenced off."""
         self._end_s = self._end_if_granted_now_s()
 
     def _end_if_granted_now_s(self) -> float:
--- a/src/curranthill/dispatch/owner.py
+++ b/src/curranthill/dispatch/owner.py
@@ -1,4 +1,4 @@
-"""What a session asks of the term that it belongs to, and tells it."""
+"""The interface between a worker session and the term that owns it."""
 
 from typing import TYPE_CHECKING, Protocol
 
@@ -11,14 +11,14 @@
 
 
 class ClosureSource(Protocol):
-    """Knows the data centres that operators have closed."""
+    """Provides the data centres that operators have closed."""
 
     def allows_starts(self, data_centre: str) -> bool:
         """Return whether a data centre is known to be open."""
 
 
 class SessionOwner(Protocol):
-    """Who is told of what a session learns."""
+    """Receives what a session learns, and decides what it may order."""
 
     def may_renew(self) -> bool:
         """Return whether the leader may still extend leases."""
@@ -27,16 +27,16 @@
         """Return whether the leader may still start and stop tasks."""
 
     def run_reported(self, session: 'WorkerSession', run: Run) -> None:
-        """Take note of a run's progress."""
+        """Handle a report of a run's progress."""
 
     def fenced(self, session: 'WorkerSession') -> None:
-        """Take note that another leader orders the worker."""
+        """Handle a sign that another leader sends orders to the worker."""
 
     def resend_stop(self, session: 'WorkerSession', run: Run) -> None:
-        """Order a stop once more that has had no effect yet."""
+        """Order a stop again that has had no effect yet."""
 
     def run_ended(self, session: 'WorkerSession', end: EndReport) -> None:
-        """Take note of an end; the run takes no more room."""
+        """Handle the end of a run, which uses no capacity any more."""
 
     def run_absent(
         self,
@@ -44,19 +44,19 @@
         run: Run,
         reason: str,
     ) -> None:
-        """Take note that a run does not exist and never will."""
+        """Handle a run that does not exist and never will."""
 
     def loss_resolved(self, run: Run, *, crashed: bool) -> None:
-        """Take note whether a run whose lease lapsed crashed its worker."""
+        """Handle whether a run with an expired lease crashed its worker."""
 
     def needs_of(self, key: TaskKey) -> Resources:
-        """Return the room a task takes, for runs found at a worker."""
+        """Return the resources of a task, for runs found at a worker."""
 
     async def ends_stored(self) -> None:
-        """Return once every end noted so far is stored."""
+        """Return once every end recorded so far is stored."""
 
     def session_changed(self, session: 'WorkerSession') -> None:
-        """Look at placements again."""
+        """Request another round of placement."""
 
 
 __all__ = ('ClosureSource', 'SessionOwner')
--- a/src/curranthill/dispatch/pace_estimates.py
+++ b/src/curranthill/dispatch/pace_estimates.py
@@ -98,4 +98,4 @@
         metrics.workers_fast.set(len(deviating) - slow)
 
 
-__all__ = ('Learning',)
+__all__ = ('PaceEstimates',)
--- a/src/curranthill/dispatch/probing.py
+++ b/src/curranthill/dispatch/probing.py
@@ -1,8 +1,8 @@
-"""Turns in which a leader looks at workers that have not answered yet.
+"""Limits the first renewals that a new leader sends to unconfirmed workers.
 
-Answers a takeover over thousands of workers: looked at in one go, they keep a
-host of one core from its heartbeat for longer than its term lasts. Whoever
-holds runs is listed first, so that it is looked at first.
+After a takeover with thousands of workers, probing all of them at once keeps a
+host with one core from writing its heartbeat for longer than its term lasts.
+Workers that hold runs are listed first, and so are probed first.
 """
 
 import asyncio
@@ -11,29 +11,28 @@
 
 from curranthill.clock import Clock, wait_at_most
 
-#: Workers looked at side by side: a look takes some 0.8 ms of a core, so they
-#: hold up a heartbeat by 26 ms, on half a core by 50 ms. Over 3,000 workers
-#: 15 of 17 terms were lost within 12 s when all were looked at in one go.
+#: Workers probed at the same time. A probe takes some 0.8 ms of a core, so
+#: they delay a heartbeat by 26 ms, and by 50 ms on half a core. When 3,000
+#: workers were probed all at once, 15 of 17 terms were lost within 12 s.
 MAX_CONCURRENT_PROBES: Final = 32
 
-#: How long a worker that does not answer keeps others from their turn, in
-#: seconds: a usual answer takes a few milliseconds, and a look is given up
-#: after 0.7 s.
+#: How long a worker that does not reply may occupy a slot, in seconds: a reply
+#: usually takes a few milliseconds, and a probe times out after 0.7 s.
 SLOT_HOLD_S: Final = 0.05
 
 
 class ProbeLimiter:
-    """Bounds how many workers are looked at side by side."""
+    """Bounds the number of concurrent probes."""
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start with all turns free."""
+        """Initialize the limiter with all slots free."""
         self._clock = clock
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
     async def run(self, probe: Coroutine[Any, Any, None]) -> None:
-        """Make a look in its turn; return once it is over.
+        """Run a probe once a slot is free; return when it has finished.
 
-        A look that takes long goes on after its turn.
+        A slow probe continues after it has given up its slot.
         """
         running: asyncio.Future[None] | None = None
         try:
--- a/src/curranthill/dispatch/progress_writer.py
+++ b/src/curranthill/dispatch/progress_writer.py
@@ -111,4 +111,4 @@
         self._pending_written = pending
 
 
-__all__ = ('HEARTBEAT_S', 'Journal')
+__all__ = ('HEARTBEAT_S', 'ProgressWriter')
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -382,4 +382,4 @@
         self._unused_reporter.report()
 
 
-__all__ = ('RevisionSource', 'Rounds')
+__all__ = ('PlacementRounds', 'RevisionSource')
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -1,4 +1,4 @@
-"""The runs that may exist at one worker, judged by what the worker lists."""
+"""The runs that may exist at one worker, reconciled with its reports."""
 
 from typing import TYPE_CHECKING, Final
 
@@ -19,20 +19,21 @@
 if TYPE_CHECKING:
     from curranthill.dispatch.session import WorkerSession
 
-#: How soon an unanswered stop is sent again, in seconds.
+#: An unanswered stop is sent again after so long, in seconds.
 STOP_REPEAT_S: Final = 0.5
 
-#: An end tells how long a run took only if the report before is no older, in
-#: seconds: twice as long as a renewal waits for an end.
+#: The end of a run gives its duration only if the previous report is at most
+#: so old, in seconds: twice as long as a renewal waits for a run to end.
 MAX_REPORT_GAP_S: Final = 3.0
 
 
 class RunList:
-    """All runs that may exist at a worker, and which of its ends are noted.
+    """All runs that may exist at a worker, and how far its ends are recorded.
 
     :param runs: by task and attempt.
-    :param ends: of the worker's present incarnation.
-    :param unconfirmed: runs whose start was answered and that no list has shown.
+    :param ends: of the worker's current incarnation.
+    :param unconfirmed: runs whose start was answered and that no report has
+        listed yet.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         owner: SessionOwner,
         clock: Clock,
     ) -> None:
-        """Start with nothing known of the worker."""
+        """Initialize the list of a worker that has not reported yet."""
         self.runs: dict[tuple[TaskKey, int], Run] = {}
         self.unconfirmed: set[tuple[TaskKey, int]] = set()
         self._previous_runs: set[tuple[TaskKey, int]] = set()
@@ -60,9 +61,9 @@
         return any(run.state == ORDERED for run in self.runs.values())
 
     def fits(self, run: Run, room: Resources) -> bool:
-        """Return whether a room holds one more run beside those sent there.
+        """Return whether a capacity holds one more run beside those sent there.
 
-        What is being stopped still takes its room.
+        Runs that are being stopped still use capacity.
         """
         taken = run.needs
         for one in self.runs.values():
@@ -71,18 +72,18 @@
         return room.covers(taken)
 
     def start_answered(self, run: Run) -> None:
-        """Wait for a list to show a run, unless one has shown its end."""
+        """Expect a report to list a run, unless one has listed its end."""
         if self.runs.get(run.name) is run:
             self.unconfirmed.add(run.name)
 
     def reset(self, *, restarted: bool = True) -> None:
-        """Forget the numbers of ends: another incarnation counts anew.
+        """Start to count ends from zero, as another incarnation does.
 
-        Taken for those of the former one, its first ends would pass for known
-        and be acknowledged unread: tasks that are done would run again. Runs
-        are judged by the lists of the new incarnation.
+        With the old count, its first ends would be taken for known ones and be
+        acknowledged unread, so tasks that are done would run again. Runs are
+        checked against the reports of the new incarnation.
 
-        :param restarted: whether there was a former one that was known.
+        :param restarted: whether a previous incarnation was known.
         """
         self.ends.close()
         self.ends = EndTracker(
@@ -97,7 +98,7 @@
         order: LeaseOrder,
         sent_s: float,
     ) -> None:
-        """Take in a list that answers an order sent at a moment."""
+        """Apply the report that answers an order sent at the given time."""
         seen = {(one.task, one.attempt) for one in report.runs}
         new_ends = self.ends.unrecorded(report.ends)
         self._log_skipped_ends(report.ends)
@@ -112,13 +113,13 @@
         self._apply_ends(new_ends, report.clock_s)
 
     def invalidate_ordered(self) -> None:
-        """Take it as unknown whether starts under way took effect."""
+        """Set starts under way to unknown: they may or may not take effect."""
         for run in self.runs.values():
             if run.state == ORDERED:
                 run.state = UNKNOWN
 
     def drop_absent(self, run: Run, reason: str) -> None:
-        """Give up a run that will never exist again."""
+        """Drop a run that does not exist and never will."""
         if self.runs.get(run.name) is not run:
             return
         self.runs.pop(run.name)
@@ -127,7 +128,7 @@
         self._owner.run_absent(self._session, run, reason)
 
     def drop_all(self, reason: str) -> None:
-        """Give up all runs."""
+        """Drop all runs as absent."""
         for run in list(self.runs.values()):
             self.drop_absent(run, reason)
 
@@ -154,7 +155,7 @@
         self._owner.run_reported(self._session, run)
 
     def _adopt_stray(self, report: RunReport, now_s: float) -> Run:
-        """Take in a run that no row names; it is stopped."""
+        """Track a run without a stored assignment, in order to stop it."""
         events.log(
             'stray_run',
             task=str(report.task),
@@ -176,7 +177,7 @@
         return run
 
     def _check_absent(self, run: Run, order: LeaseOrder, sent_s: float) -> None:
-        """Give up a run that an answer should have listed and did not."""
+        """Drop a run that a report should have listed and did not."""
         previous = self._is_previous(run)
         if run.state == UNKNOWN:
             if run.ordered_token < order.token:
@@ -188,13 +189,13 @@
             )
 
     def _is_previous(self, run: Run) -> bool:
-        """Return whether a run was placed in a former life of the worker."""
+        """Return whether a run was placed in a previous incarnation."""
         if run.incarnation and self._session.incarnation:
             return run.incarnation != self._session.incarnation
         return run.name in self._previous_runs
 
     def _log_skipped_ends(self, ends: tuple[EndReport, ...]) -> None:
-        """Tell of an end that passes for known though its run is not over."""
+        """Log ends that count as recorded although their runs are tracked."""
         for end in ends:
             known = end.number <= self.ends.recorded
             if known and (end.task, end.attempt) in self.runs:
@@ -219,7 +220,7 @@
                 run.read_end(clock_s)
             self._owner.run_ended(self._session, end)
             self.runs.pop((end.task, end.attempt), None)
-            self.ends.note(end)
+            self.ends.record(end)
         self._owner.session_changed(self._session)
 
 
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -1,9 +1,9 @@
-"""The leader's dealings with one worker, straight down.
+"""The leader's session with one worker.
 
 The session renews the worker's lease while anything may run there, reads
-what runs and what ended, and raises the fencing token after every order
-whose effect is unknown: once a call under the raised token is answered, no
-older order can take effect any more.
+which runs exist and which have ended, and increments the fencing token after
+every order whose effect is unknown: once a call under the new token is
+answered, no older order can take effect.
 """
 
 import asyncio
@@ -54,38 +54,38 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Raises of the token that one epoch has room for; far above what one term
-#: of one leader makes at one raise a lost reply.
+#: Fencing tokens reserved for each epoch. One lost reply increments the token
+#: once, which in one term of one leader stays far below this.
 TOKENS_PER_EPOCH: Final = 1 << 20
 
-#: How long a renewal waits at the worker for an end, in seconds: three
-#: renewals then fall into the shortest lease of six seconds.
+#: How long a renewal may wait at the worker for a run to end, in seconds: the
+#: shortest lease of six seconds then sees three renewals.
 RENEWAL_WAIT_S: Final = 1.5
 
-#: The same while an urgent run has shown no progress yet: two reports then
-#: tell within a second that it stands still.
+#: The same while an urgent run has reported no progress yet, in seconds: two
+#: reports within a second then show that it is stalled.
 FIRST_PROGRESS_WAIT_S: Final = 0.35
 
-#: The pause after a renewal without an answer, in seconds.
+#: The delay after a renewal without a reply, in seconds.
 LOST_REPLY_DELAY_S: Final = 0.25
 
-#: A worker that rejected a start is given no other for so long, in seconds:
-#: the same start would be rejected again some hundred times a second.
+#: No start is sent to a worker for so long after it rejected one, in seconds:
+#: otherwise it would reject the same start some hundred times a second.
 REJECTION_PAUSE_S: Final = 0.5
 
 
 class WorkerSession:
-    """One worker under one id, through all its incarnations.
+    """The session of one worker id, across all incarnations of the worker.
 
-    :param entry: the worker as listed last.
-    :param incarnation: the one that answered last, 0 as long as none told.
+    :param entry: the worker's newest entry.
+    :param incarnation: the one that replied last; 0 until one is known.
     :param runs: all runs that may exist there, by task and attempt.
     :param readable: whether the newest entry could be read.
-    :param failure_times_s: when runs failed or stood still here since the last one
+    :param failure_times_s: when runs failed or stalled here since the last run
         that was done.
-    :param stalled_runs: how many runs stood still when last looked at.
-    :param unconfirmed_losses: runs of which it is not known whether they crashed the
-        worker.
+    :param stalled_runs: the number of stalled runs at the last check.
+    :param unconfirmed_losses: runs of which it is unknown whether they crashed
+        the worker.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         closures: ClosureSource,
         probe_limiter: ProbeLimiter,
     ) -> None:
-        """Start with nothing known of the worker.
+        """Initialize the session of a worker that has not replied yet.
 
         :param token: the fencing token of the first order.
         """
@@ -132,8 +132,9 @@
         )
         self._wake_event = asyncio.Event()
         self._order_lock = asyncio.Lock()
-        # Not set from a raise of the token until a renewal under it tells what
-        # became of the orders before, or that the worker is silent.
+        # Cleared when the token is incremented, and set by the next renewal
+        # under the new token: its reply, or the lack of one, resolves what
+        # became of the earlier orders.
         self._orders_resolved = asyncio.Event()
         self._orders_resolved.set()
 
@@ -164,7 +165,7 @@
             NOT_SYNCED: not self.synced,
         }
         if not any(reasons.values()):
-            # Asked of every worker in each round: most answers end here.
+            # Checked for every worker in each round; usually nothing holds.
             return None
         return next(reason for reason, holds in reasons.items() if holds)
 
@@ -174,15 +175,15 @@
         return self._token
 
     def connect(self, worker: TaskWorker) -> None:
-        """Take a client of the worker at its present address."""
+        """Use a client of the worker at its current address."""
         self._worker = worker
         self.wake()
 
     def update_entry(self, entry: WorkerEntry) -> None:
-        """Take the worker's newest entry.
+        """Store the worker's newest entry.
 
-        The entry of another incarnation ends nothing by itself, since it may
-        be older than what the worker has said: the worker is asked.
+        An entry of another incarnation does not end any run: it may be older
+        than what the worker has reported, so the worker is asked.
         """
         news = entry.incarnation != self.entry.incarnation
         self.entry = entry
@@ -192,11 +193,11 @@
             self.increment_token()
 
     def wake(self) -> None:
-        """Look at the worker at once."""
+        """Renew the lease at once."""
         self._wake_event.set()
 
     async def run(self) -> None:
-        """Renew the lease while anything may run, until the worker is gone."""
+        """Renew the lease while anything may run, until the id is removed."""
         try:
             while not self.removed:
                 await self._run_once()
@@ -213,27 +214,27 @@
             await self._probe_limiter.run(self._renew())
 
     async def start(self, run: Run, payload: str) -> None:
-        """Order one start; the run's state tells what became of it."""
+        """Order one start; the state of the run then shows its outcome."""
         async with self._order_lock:
             await self._orders_resolved.wait()
             if run.state != MARKED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
-                # Placed by the room of a former incarnation.
+                # Placed on the capacity of a previous incarnation.
                 self._run_list.drop_absent(run, 'placed before a restart')
                 return
             if self.entry.leaving or not self.reachable:
-                # So since orders without an answer held this one up.
+                # This changed while lost replies delayed the start.
                 leaving = self.entry.leaving
                 reason = 'worker leaving' if leaving else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
                 return
             if not self._closures.allows_starts(self.entry.data_centre):
-                # It was closed while the start waited for its turn.
+                # The data centre was closed while the start was queued.
                 self._run_list.drop_absent(run, 'data centre closed')
                 return
             if not self._run_list.fits(run, self.entry.room):
-                # Its room has shrunk while the start waited for its turn.
+                # The capacity shrank while the start was queued.
                 self._run_list.drop_absent(run, 'room shrunk')
                 return
             if not self._owner.may_order() or self._worker is None:
@@ -253,7 +254,7 @@
             await self._order_start(run, order)
 
     async def stop(self, run: Run) -> None:
-        """Order one stop; the run takes room until its end is listed."""
+        """Order one stop; the run uses capacity until its end is listed."""
         async with self._order_lock:
             await self._orders_resolved.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
@@ -305,7 +306,7 @@
             self._wake_event.set()
 
     def _not_started(self, run: Run, error: WorkerError) -> None:
-        """Let a task start elsewhere whose start never reached its worker."""
+        """Release a task whose start did not reach the worker."""
         if isinstance(error, WorkerReplacedError):
             self._run_list.drop_absent(run, 'another worker answered its start')
             self.remove(replaced=True)
@@ -324,8 +325,9 @@
         )
         self.rejected_s = self._clock.monotonic_s()
         if rejected.reason == FENCE:
-            # Settled by the next renewal, which also tells who leads. A worker
-            # that started again has forgotten the token and accepts it.
+            # The next renewal resolves the run and shows whether another
+            # leader exists: a restarted worker has forgotten the token and
+            # accepts the renewal.
             run.state = UNKNOWN
             self.increment_token()
             return
@@ -338,7 +340,7 @@
         return ended and not self._wake_event.is_set()
 
     async def _renew(self) -> None:
-        """Make one renewal and take in its answer."""
+        """Make one renewal and apply its reply."""
         await self._run_list.ends.acknowledge()
         if self._worker is None or not self._owner.may_renew():
             await self._clock.sleep(LOST_REPLY_DELAY_S)
@@ -347,8 +349,8 @@
         order = LeaseOrder(
             token=self._token,
             acknowledged=self._number_to_acknowledge(),
-            # A worker that does not answer is only looked at: were its lease
-            # extended by calls that may yet arrive, it would never lapse.
+            # An unreachable worker is only probed: if calls that may still
+            # arrive extended its lease, the lease would never expire.
             deadline_s=self._lease.grant() if self.reachable else 0.0,
             wait_s=self._renewal_wait_s(),
         )
@@ -370,7 +372,7 @@
                 self._apply_report(report, order, sent_s)
 
     async def _call(self, order: LeaseOrder) -> LeaseReport | None:
-        """Return the report, or nothing if the token was raised meanwhile."""
+        """Return the report; None if the token was incremented meanwhile."""
         assert self._worker is not None  # noqa: S101
         renewal = asyncio.ensure_future(self._worker.renew(order))
         try:
@@ -394,10 +396,10 @@
             woken.cancel()
 
     def _renewal_wait_s(self) -> float:
-        """Return how long the worker may keep the next renewal for an end.
+        """Return how long the worker may hold the next renewal for an end.
 
-        One that tells of stored ends waits like any other: told apart, eight
-        ends cost sixteen renewals.
+        A renewal that acknowledges ends waits like any other: sent separately,
+        the acknowledgements of eight ends took sixteen renewals.
         """
         if not self.synced or not self._run_list.ends.all_stored:
             return 0.0
@@ -408,8 +410,9 @@
     def _number_to_acknowledge(self) -> int:
         """Return the number of an end that this incarnation has listed, or 0.
 
-        A start that no list has shown may have reached a new incarnation and
-        have ended there under that number: it would be forgotten unread.
+        A start that no report has confirmed may have reached a new incarnation
+        and have ended there under that number: acknowledged, that end would be
+        forgotten without having been read.
         """
         if not self.synced or self._run_list.any_unconfirmed:
             return 0
@@ -427,23 +430,23 @@
             token=order.token,
         )
         if rejected.reason != FENCE:
-            # Nothing was renewed, so the lease runs out like that of a worker
-            # that is silent.
+            # Nothing was renewed, so the lease expires as it does for a worker
+            # that does not reply.
             self._set_unreachable(rejected)
             self._check_expiry()
         elif order.token == self._token:
-            # No order of ours had a higher token, so another leader's had.
+            # This leader has used no higher token, so another leader has.
             self._owner.fenced(self)
 
     async def _handle_lost_reply(self, error: WorkerError) -> None:
-        """A renewal without an answer: its effect is unknown."""
+        """Handle a renewal without a reply, whose effect is unknown."""
         self._set_unreachable(error)
         self.increment_token()
         await self._clock.sleep(LOST_REPLY_DELAY_S)
         self._check_expiry()
 
     def _set_unreachable(self, error: WorkerError) -> None:
-        """Place nothing here until the worker answers."""
+        """Exclude the worker from placement until it replies."""
         if not self.reachable:
             return
         events.log(
@@ -456,7 +459,7 @@
         self._owner.session_changed(self)
 
     def _check_expiry(self) -> None:
-        """Give up all runs once no lease can reach this far."""
+        """Drop all runs once every lease that was granted has expired."""
         self._orders_resolved.set()
         if not self._lease.expired:
             return
@@ -468,7 +471,7 @@
             self.remove()
 
     def increment_token(self) -> None:
-        """Shut out all orders so far, and have the worker tell what runs."""
+        """Fence off all earlier orders and have the worker report its runs."""
         self._token += 1
         self.synced = False
         if not self.removed:
@@ -477,11 +480,11 @@
         self._wake_event.set()
 
     def _read_clock(self, clock_s: float, known_s: float) -> None:
-        """Take the clock of an answer to an order.
+        """Store the worker's clock from the reply to an order.
 
-        :param known_s: the clock as it was known when the order was sent. An
-            earlier one is that of another incarnation: the worker is asked
-            which one it is.
+        :param known_s: the clock as known when the order was sent. A reply
+            with an earlier clock comes from another incarnation: a renewal
+            asks which one.
         """
         self._lease.read_clock(clock_s)
         if clock_s >= known_s:
@@ -496,10 +499,10 @@
         self.increment_token()
 
     def _check_incarnation(self, report: LeaseReport, known_s: float) -> None:
-        """Begin anew with a worker that has started again under its id.
+        """Reset what is known of a worker that restarted under its id.
 
-        Renewals are answered in the order in which they are sent, so another
-        incarnation than before is a newer one.
+        Renewals are answered in the order in which they are sent, so a
+        different incarnation is always a newer one.
         """
         restarted = report.incarnation != self.incarnation
         if not report.incarnation:
@@ -514,7 +517,7 @@
             runs=[str(run.key) for run in self.runs.values()],
         )
         metrics.workers_restarted.add(1)
-        # The first word of an incarnation tells nothing of one before.
+        # The first report of an incarnation says nothing about a previous one.
         known = bool(self.incarnation) or not report.incarnation
         self.incarnation = report.incarnation or self.incarnation
         self.failure_times_s.clear()
@@ -524,9 +527,9 @@
         self._run_list.reset(restarted=known)
 
     def remove(self, *, replaced: bool = False) -> None:
-        """Take the worker as gone for good.
+        """Mark the worker's id as removed for good.
 
-        :param replaced: another one answers at its address.
+        :param replaced: whether another worker replied at its address.
         """
         if self.removed:
             return
@@ -560,7 +563,8 @@
         if order.token == self._token:
             self.synced = True
             self._orders_resolved.set()
-            # Orders of lower tokens are shut out, so no lease is longer.
+            # Orders under older tokens are fenced off, so the lease ends with
+            # this leader's own grants at the latest.
             self._lease.exclude_older_grants()
         self._run_list.apply(report, order, sent_s)
         if self.accepts_work != accepted_work:
@@ -568,9 +572,9 @@
 
 
 def _is_current(session: WorkerSession) -> bool:
-    """Return whether the entry is of the incarnation that answered.
+    """Return whether the entry is of the incarnation that replied.
 
-    Another one may be of another kind, with other room and labels.
+    Another incarnation may be of another kind, with other capacity and labels.
     """
     listed = session.entry.incarnation
     both_known = listed and session.incarnation
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -432,4 +432,4 @@
         self._spawner.spawn(session.stop(run))
 
 
-__all__ = ('Work',)
+__all__ = ('TermState',)
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -102,12 +102,12 @@
 
 __all__ = (
     'CLOSED',
-    'GONE',
-    'LEAVING',
+    'DRAINING',
     'NOT_LISTED',
     'NOT_SYNCED',
     'OTHER_INCARNATION',
     'REJECTED',
+    'REMOVED',
     'UNREACHABLE',
     'UNREADABLE',
     'UnusedReason',
