--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -1,9 +1,9 @@
-"""Tickets for queues whose policy lets only some workers run a step.
+"""Tickets for queues whose policy allows only some workers to run a step.
 
-Only an advisor outside of the product knows the policy. It is asked for many
-workers at once and one call after the other, since it takes one at a time. So
-the steps that wait for tickets share it: what was not asked yet goes before
-what was asked in vain, and that takes turns.
+Only an external advisor knows the policy. It handles one call at a time, so
+the calls are sequential and name many workers each, and the steps that wait
+for tickets share it: first requests go before repeated ones, and repeated
+requests are sent in rotation.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,25 +15,25 @@
 from curranthill.placement import ReadyStep
 from curranthill.telemetry.events import events
 
-#: Workers named in one question: the advisor takes longer for each.
+#: Workers named in one request: the advisor takes longer for each of them.
 WORKERS_PER_REQUEST: Final = 30
 
-#: So many first questions may go before a repeated one that waits.
+#: How many first requests may be sent while a repeated one waits.
 FIRST_REQUESTS_PER_REPEAT: Final = 4
 
-#: The pause after a question that was not answered, in seconds.
+#: The delay after a request without a reply, in seconds.
 RETRY_S: Final = 0.3
 
-#: A ticket is not used in its last part, in seconds: a start may be under way
+#: A ticket is not used for its last part, in seconds: a start may be under way
 #: for so long.
 TICKET_MARGIN_S: Final = 0.7
 
 
 class Advice(NamedTuple):
-    """An advisor's answer.
+    """The reply of an advisor.
 
     :param tickets: by the ids of the workers that may run the step.
-    :param validity_s: how long the tickets are good for, in seconds.
+    :param validity_s: how long the tickets are valid, in seconds.
     """
 
     tickets: dict[str, str]
@@ -41,24 +41,24 @@
 
 
 class AdvisorError(CurranthillError):
-    """The advisor did not answer, or has too many questions waiting."""
+    """The advisor did not reply, or has too many requests queued."""
 
 
 class Advisor(Protocol):
-    """Who knows the policy."""
+    """The interface to the service that knows the policy."""
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Return tickets for those of the workers that may run a step.
+        """Request tickets for those of the workers that may run a step.
 
-        :raises AdvisorError: if there was no answer.
+        :raises AdvisorError: if there was no reply.
         """
 
 
 class Ticket(NamedTuple):
     """A worker's permission to run a step.
 
-    :param until_s: on the leader's monotonic clock.
-    :param incarnation: that of the worker; no other one takes the ticket.
+    :param until_s: the end of its validity on the leader's monotonic clock.
+    :param incarnation: the worker's incarnation; no other accepts the ticket.
     """
 
     text: str
@@ -67,11 +67,11 @@
 
 
 class TicketRequest(NamedTuple):
-    """What could be asked next for a step.
+    """A request for tickets that may be sent next for a step.
 
     :param workers: the incarnations of the workers by their ids.
-    :param repeated: whether the workers were asked for before, or the step's
-        last question failed.
+    :param repeated: whether tickets for the workers were requested before, or
+        the step's last request failed.
     """
 
     ready: ReadyStep
@@ -80,10 +80,10 @@
 
 
 class TicketCache:
-    """Asks for tickets and keeps them while they are good."""
+    """Requests tickets and caches them while they are valid."""
 
     def __init__(self, *, advisor: Advisor, clock: Clock) -> None:
-        """Start without tickets."""
+        """Initialize an empty cache."""
         self._advisor = advisor
         self._clock = clock
         self._tickets: dict[str, dict[str, Ticket]] = {}
@@ -98,7 +98,7 @@
         ready: ReadyStep,
         incarnations: Mapping[str, int],
     ) -> dict[str, str]:
-        """Return the good tickets of a step by worker.
+        """Return the valid tickets of a step by worker.
 
         :param incarnations: of the workers that may be used now, by their ids.
         """
@@ -117,10 +117,11 @@
         ready: ReadyStep,
         workers: Mapping[str, int],
     ) -> TicketRequest | None:
-        """Return what to ask next for a step, if anything.
+        """Return the next request for a step, or None if there is none.
 
-        Each incarnation of a worker is asked for once; when all have been and
-        no ticket is good any more, those that had tickets are asked again.
+        Tickets are requested once for each incarnation of a worker. When that
+        is done and no ticket is valid any more, they are requested again for
+        the workers that had one.
 
         :param workers: the incarnations of the workers by their ids.
         """
@@ -135,9 +136,9 @@
         return TicketRequest(ready, dict(names[:WORKERS_PER_REQUEST]), repeated)
 
     def choose(self, requests: Sequence[TicketRequest]) -> TicketRequest | None:
-        """Return the question to ask now.
+        """Return the request to send now.
 
-        :param requests: one of each step at the most, in the steps' order.
+        :param requests: at most one of each step, in the order of the steps.
         """
         first = next((one for one in requests if not one.repeated), None)
         repeats = [one for one in requests if one.repeated]
@@ -147,7 +148,7 @@
         return min(repeats, key=self._last_request_number, default=None)
 
     async def request(self, request: TicketRequest) -> None:
-        """Ask for some workers; the answer is kept."""
+        """Request tickets for some workers and cache those in the reply."""
         self._record_request(request)
         name, workers = request.ready.name, request.workers
         try:
@@ -174,7 +175,7 @@
                 kept[worker_id] = Ticket(text, until_s, incarnation)
 
     def retain_jobs(self, job_ids: set[str]) -> None:
-        """Drop what is kept of jobs that are over."""
+        """Remove everything cached for jobs other than the given ones."""
         known: tuple[dict[str, Any], ...] = (
             self._tickets,
             self._requested,
@@ -187,7 +188,7 @@
                     kept.pop(name)
 
     def _record_request(self, request: TicketRequest) -> None:
-        """Note that a question is asked now, for the turns of others."""
+        """Record a request for the order of the following ones."""
         self._request_numbers[request.ready.name] = next(self._next_numbers)
         if request.repeated:
             self._first_requests = 0
@@ -195,7 +196,7 @@
             self._first_requests += 1
 
     def _last_request_number(self, request: TicketRequest) -> int:
-        """Return the number of a step's last question."""
+        """Return the number of a step's last request, 0 if there was none."""
         return self._request_numbers.get(request.ready.name, 0)
 
 
--- a/src/curranthill/dispatch/blockers.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -1,7 +1,7 @@
-"""What keeps a job from being ready while none of its runs is at work.
+"""Finds what keeps a job from being ready while none of its runs is active.
 
-Tells a job that cannot start from one that finds no room: a run or a mark in
-the store holds its tasks, or nothing of it is due yet.
+Distinguishes a job that can't start from one that lacks free capacity: its
+tasks have a run or a stored assignment, or nothing of it is due yet.
 """
 
 from collections.abc import Iterator, Mapping
@@ -12,7 +12,7 @@
 from curranthill.placement import RUNNING, ActiveJob, Run, RunState
 from curranthill.tasks import TaskKey
 
-#: Why a job is not ready, in an operator's words.
+#: Why a job is not ready, as logged for operators.
 BlockReason = Literal[
     'a run that is not at work',
     'a stored worker without a run',
@@ -27,8 +27,8 @@
 DUE: Final = 'its due time'
 ALL_DONE: Final = 'nothing, all its steps are done'
 
-#: What holds a task. ``stored``: its progress names a worker and no run is
-#: known; ``done``: it is done and the rest of its gang is not.
+#: What blocks a task. ``stored``: it has a stored assignment and no known run;
+#: ``done``: it is done and the rest of its gang is not.
 BlockingState = RunState | Literal['stored', 'done']
 
 _STORED_TASK: Final = 'stored'
@@ -36,11 +36,11 @@
 
 
 class BlockingTask(TypedDict):
-    """One task that a run or a mark holds, and what is known of its worker.
+    """A task that a run or an assignment blocks, and its worker's state.
 
-    :param held_s: for how long its run has been known, 0 without one.
-    :param stop_wanted: its run is to end.
-    :param tracked: the worker's session knows the run.
+    :param held_s: for how long its run has been known; 0 without a run.
+    :param stop_wanted: whether its run is to end.
+    :param tracked: whether the worker's session tracks the run.
     """
 
     task: str
@@ -57,12 +57,12 @@
 
 
 class Blocker(NamedTuple):
-    """What holds a job.
+    """What blocks a job.
 
-    :param step: the first one that is held, or the next one that is due.
-    :param tasks: those whose run goes on and waits for its fellows come last.
-    :param later_steps: how many of the occurrence wait for earlier ones.
-    :param due_in_s: 0 unless it waits for its due time.
+    :param step: the first step that is blocked, or the next one that is due.
+    :param tasks: those whose run only waits for its gang come last.
+    :param later_steps: how many steps of the occurrence wait for others.
+    :param due_in_s: the time until it is due; 0 unless that is the reason.
     """
 
     reason: BlockReason
@@ -74,9 +74,9 @@
 
 
 class BlockerFinder:
-    """Finds out what holds a job.
+    """Finds what blocks a job.
 
-    :param sessions: by worker.
+    :param sessions: the worker sessions by worker id.
     """
 
     def __init__(
@@ -85,12 +85,12 @@
         clock: Clock,
         sessions: Mapping[str, WorkerSession],
     ) -> None:
-        """Keep where to look."""
+        """Initialize the finder with the sessions that it reads."""
         self._clock = clock
         self._sessions = sessions
 
     def find(self, job: ActiveJob) -> Blocker | None:
-        """Return what holds a job; nothing if it is ready, ended or at work."""
+        """Return what blocks a job; None if it is ready, ended or running."""
         if job.ended or self._is_running(job):
             return None
         ready = False
@@ -112,7 +112,7 @@
         return None if ready else self._idle_blocker(job)
 
     def _is_running(self, job: ActiveJob) -> bool:
-        """Return whether a run goes on; a gang's does with all its fellows."""
+        """Return whether a run of the job, or a whole gang, is active."""
         return any(
             all(
                 self._is_run_active(job.runs.get(one))
@@ -129,7 +129,7 @@
         return session is not None and session.reachable
 
     def _startable_steps(self, job: ActiveJob) -> Iterator[tuple[int, int]]:
-        """Yield the steps that are due, undone and wait for no other step."""
+        """Yield the steps that are due, not done and wait for no other step."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
             if job.spec.due_s(occurrence) > now_s:
@@ -154,13 +154,15 @@
         return None
 
     def _blocking_run(self, run: Run) -> BlockingTask:
-        held = self._describe(run.key, run.attempt, run.worker_id, run.state)
-        held['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
-        held['stop_wanted'] = run.stop_wanted
+        blocking = self._describe(
+            run.key, run.attempt, run.worker_id, run.state
+        )
+        blocking['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
+        blocking['stop_wanted'] = run.stop_wanted
         session = self._sessions.get(run.worker_id)
         if session is not None:
-            held['tracked'] = session.runs.get(run.name) is run
-        return held
+            blocking['tracked'] = session.runs.get(run.name) is run
+        return blocking
 
     def _describe(
         self,
@@ -185,7 +187,7 @@
         )
 
     def _idle_blocker(self, job: ActiveJob) -> Blocker:
-        """Return what holds a job of which no step that is due is undone."""
+        """Return what blocks a job whose due steps are all done."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
             due_s = job.spec.due_s(occurrence)
@@ -198,13 +200,15 @@
         return Blocker(ALL_DONE)
 
 
-def _waits_only_for_gang(held: BlockingTask) -> bool:
-    """Return whether only its fellows keep a task's run from being at work.
+def _waits_only_for_gang(blocking: BlockingTask) -> bool:
+    """Return whether a run is blocked only by other members of its gang.
 
-    What holds all of a gang is named first.
+    Tasks that block the whole gang are listed first.
     """
-    answers = held['reachable'] and held['tracked']
-    return held['state'] == RUNNING and answers and not held['stop_wanted']
+    answers = blocking['reachable'] and blocking['tracked']
+    return (
+        blocking['state'] == RUNNING and answers and not blocking['stop_wanted']
+    )
 
 
 def _reason_of(tasks: tuple[BlockingTask, ...]) -> BlockReason:
@@ -215,7 +219,7 @@
 
 
 def _later_steps(job: ActiveJob, occurrence: int) -> int:
-    """Return how many steps of an occurrence wait for others."""
+    """Return how many steps of an occurrence wait for other steps."""
     return sum(
         1
         for number in _undone_steps(job, occurrence)
--- a/src/curranthill/dispatch/cleanup.py
+++ b/src/curranthill/dispatch/cleanup.py
@@ -1,4 +1,4 @@
-"""Removes rows of the intake that nobody needs any more."""
+"""Removes intake rows of jobs whose end is stored."""
 
 import asyncio
 from typing import Final
@@ -10,20 +10,20 @@
 from curranthill.tasks import tables
 from curranthill.telemetry.events import events
 
-#: How often rows are removed, in seconds: what came together goes in one
-#: commit a partition.
+#: The interval at which rows are removed, in seconds; the rows that gather
+#: meanwhile are removed in one commit per partition.
 CLEANUP_INTERVAL_S: Final = 2.0
 
-#: Most rows in one commit; the platform takes 100 entries a call.
+#: The most rows in one commit; the platform accepts 100 entries a call.
 ROWS_PER_COMMIT: Final = 64
 
 
 class IntakeCleanup:
-    """Removes accepted jobs whose end is stored, and their cancellations.
+    """Removes the rows of accepted jobs whose end is stored, and of cancels.
 
-    The rows lie outside the leader's partition, so their removal cannot be
-    conditional on leadership; as the job's end is stored before, it is right
-    whoever leads by then, and however late it takes effect.
+    The rows lie outside the leader's partition, so their removal can't be
+    conditional on leadership. It is correct whoever leads and however late it
+    takes effect, because the job's end is stored before.
     """
 
     def __init__(
@@ -33,18 +33,18 @@
         clock: Clock,
         writer: ProgressWriter,
     ) -> None:
-        """Start with nothing to remove."""
+        """Initialize the cleanup without rows to remove."""
         self._store = store
         self._clock = clock
         self._writer = writer
         self._keys: set[str] = set()
 
     def add(self, key: str) -> None:
-        """Have a row removed, once what is noted by now is stored."""
+        """Queue a row for removal once all current changes are stored."""
         self._keys.add(key)
 
     def is_pending(self, job_id: str) -> bool:
-        """Return whether a job's row may still be there."""
+        """Return whether a job's intake row may still exist."""
         return job_id in self._keys
 
     async def run(self) -> None:
@@ -66,7 +66,7 @@
             )
 
     async def _remove(self, keys: list[str]) -> None:
-        """Remove rows of one partition; keep them for the next turn if not."""
+        """Remove rows of one partition; on an error they stay queued."""
         removals = [RowRemoval(tables.INTAKE, key) for key in keys]
         try:
             await self._store.commit(removals=removals)
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -1,9 +1,9 @@
-"""Finds tasks that wait for an event which can't come any more.
+"""Detects and repairs tasks that wait for an event that can't happen.
 
 Each task of a job that has not ended is done, has a run that its worker's
-session holds, or may start once its turn comes. Anything else is a fault of
-the program or of a stored record: it is told, and put back into one of these
-states, never beside a run that may exist.
+session tracks, or may be placed later. Any other state results from a fault in
+the program or in a stored record: it is logged, and the task is put back into
+one of these states, but never while another run of it may exist.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -19,8 +19,8 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often all jobs are looked at, in seconds. What two looks in a row find
-#: is no passing state.
+#: The interval at which all jobs are checked, in seconds. A finding of two
+#: consecutive checks is not a transient state.
 CHECK_INTERVAL_S: Final = 1.0
 
 RUN_UNTRACKED: Final = 'run_unheld'
@@ -33,9 +33,9 @@
 
 
 class Finding(NamedTuple):
-    """One task in a state that nothing ends.
+    """One task in a state that no event ends.
 
-    :param worker_id: where a run of it may exist, or empty.
+    :param worker_id: where a run of it may exist; empty if nowhere.
     """
 
     kind: str
@@ -53,11 +53,11 @@
 def find_untracked_runs(
     job: ActiveJob, sessions: Sessions
 ) -> Iterator[Finding]:
-    """Yield runs that no session would ever tell of."""
+    """Yield runs that no session tracks, so that no report can end them."""
     for key, run in job.runs.items():
         session = sessions.get(run.worker_id)
-        held = session is not None and session.runs.get(run.name) is run
-        if not held:
+        tracked = session is not None and session.runs.get(run.name) is run
+        if not tracked:
             yield Finding(RUN_UNTRACKED, key, run.attempt, run.worker_id)
 
 
@@ -65,7 +65,7 @@
 def find_assignments_without_run(
     job: ActiveJob, sessions: Sessions
 ) -> Iterator[Finding]:
-    """Yield tasks that are marked at a worker and have no run."""
+    """Yield tasks that are assigned to a worker and have no run."""
     for name, task in job.progress.tasks.items():
         if not task.worker or task.done:
             continue
@@ -81,7 +81,7 @@
     job: ActiveJob,
     sessions: Sessions,
 ) -> Iterator[Finding]:
-    """Yield runs whose fellows neither run nor will, nor are done."""
+    """Yield runs of gangs in which another member has no run and no end."""
     for key, run in job.runs.items():
         if run.stop_wanted or not job.step_of(key).gang:
             continue
@@ -97,7 +97,7 @@
     job: ActiveJob,
     sessions: Sessions,
 ) -> Iterator[Finding]:
-    """Yield members that are done while a fellow is not."""
+    """Yield gang members that are done while another member is not."""
     if not any(step.gang for step in job.spec.steps):
         return
     for name, task in list(job.progress.tasks.items()):
@@ -115,7 +115,7 @@
 def find_unrecorded_end(
     job: ActiveJob, sessions: Sessions
 ) -> Iterator[Finding]:
-    """Yield a job all of whose tasks are done."""
+    """Yield a job that has not ended although all its tasks are done."""
     if job.lasting or job.runs or not job.begun:
         return
     steps = len(job.spec.steps)
@@ -126,9 +126,9 @@
 
 
 class ConsistencyCheck:
-    """Looks at all jobs every now and then.
+    """Checks all jobs periodically.
 
-    :param recover: takes a task's stored mark as a run that may exist.
+    :param recover: recovers the run of a task's stored assignment.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
         writer: ProgressWriter,
         recover: Callable[[ActiveJob, TaskKey], None],
     ) -> None:
-        """Start with nothing found."""
+        """Initialize the check without findings."""
         self._clock = clock
         self._term = term
         self._writer = writer
@@ -155,14 +155,14 @@
         }
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
             if self._term.may_order():
                 self.check()
 
     def check(self) -> None:
-        """Tell of what was found at the look before too, and mend it."""
+        """Log and repair what the previous check found as well."""
         before = self._found
         self._found = set(self._findings())
         self._logged &= self._found
@@ -175,7 +175,7 @@
     def _findings(self) -> Iterator[Finding]:
         sessions = self._term.sessions
         for job in self._term.jobs.values():
-            # A job that has ended is kept until its runs have.
+            # A job that has ended is tracked until its runs have ended.
             kinds = (RUN_UNTRACKED,) if job.ended else finders
             for kind in kinds:
                 yield from finders.get(kind)(job, sessions)
@@ -195,7 +195,7 @@
         )
 
     def _recover_assignment(self, job: ActiveJob, finding: Finding) -> None:
-        """Have the worker tell whether the run exists."""
+        """Have the worker report whether the run exists."""
         job.runs.pop(finding.key, None)
         if _is_done(job, finding.key):
             return
@@ -203,7 +203,7 @@
         self._writer.record(job)
         self._recover(job, finding.key)
         session = self._term.sessions[finding.worker_id]
-        # Its start may have been ordered in this term, by the newest token.
+        # Its start may have been ordered in this term, under the newest token.
         job.runs[finding.key].ordered_token = session.token
         session.increment_token()
 
@@ -213,7 +213,7 @@
             self._term.stop_run(run)
 
     def _finish_gang(self, job: ActiveJob, finding: Finding) -> None:
-        """Take one member's end for all of them, and stop what still runs."""
+        """Apply one member's end to the whole gang; stop remaining runs."""
         self._term.finish_task(job, finding.key)
 
     def _complete(self, job: ActiveJob, finding: Finding) -> None:
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -1,8 +1,9 @@
-"""Tasks that crash their workers: which losses count, and when is enough.
+"""Tasks that crash their workers: which losses count, and the limits.
 
-Nobody reports the end of a run whose worker has crashed, so the leader counts
-what it concludes itself: such a run is neither done nor failed, and without a
-count its task would crash one worker after another.
+The end of a run is not reported if its worker has crashed. Such a run is
+neither done nor failed, so the leader counts the losses that it infers:
+otherwise the task would be started again without limit and crash one worker
+after another.
 """
 
 from collections.abc import Callable, Mapping
@@ -15,65 +16,66 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Why a run was given up that may have crashed its worker. ``gone`` and
-#: ``restarted``: another life of the worker answered. ``lapsed``: none did for
-#: as long as a lease lasts, so it crashed or was cut off.
+#: Why a run was dropped that may have crashed its worker. ``gone`` and
+#: ``restarted``: another incarnation or worker replied. ``lapsed``: there was
+#: no reply for as long as a lease lasts, so the worker crashed or was cut off.
 WORKER_REMOVED: Final = 'worker gone'
 WORKER_RESTARTED: Final = 'worker restarted'
 LEASE_LAPSED: Final = 'lease lapsed'
 
 _LOST: Final = frozenset((WORKER_REMOVED, WORKER_RESTARTED, LEASE_LAPSED))
 
-#: Runs of one task that may be lost with their worker. The platform allows two
-#: starts of such a task after three workers have crashed under it; whoever
-#: has nothing to do with the crashes has all five tries.
+#: Runs of one task that may be lost with their workers. The platform allows
+#: two more starts of such a task after three workers have crashed under it; a
+#: task that did not cause the crashes has all five attempts.
 MAX_LOSSES: Final = 5
 
-#: Runs of one task whose worker crashed right after their start. Workers crash
-#: by themselves at any moment: on one that does so every 10 s, one start in
-#: five is followed by a crash within 2 s, three in a row once in 125 tasks.
+#: Runs of one task that may be lost to a crash right after their start.
+#: Workers also crash for other reasons: on a worker that crashes every 10 s,
+#: one start in five is followed by a crash within 2 s, and three in a row
+#: happen to one task in 125.
 MAX_PROMPT_CRASHES: Final = 3
 
-#: Up to this age a run counts as just started, in seconds: a worker lists its
-#: runs every 1.5 s at least, so a run that was listed once and no more is
+#: Up to this age a run counts as just started, in seconds: a worker reports
+#: its runs at least every 1.5 s, so a run that was reported only once is
 #: younger than this.
 PROMPT_CRASH_S: Final = 2.0
 
-#: A task that lasts starts with a clean record once it was at work for so long,
-#: in seconds: over months every one loses some workers.
+#: The losses of a perpetual task are cleared after it has run for so long, in
+#: seconds: over months every such task loses some workers.
 LOSSES_CLEARED_AFTER_S: Final = 600.0
 
 
 class UnconfirmedLosses:
-    """Runs that lapsed at one silent worker; it may have crashed or not."""
+    """Runs with an expired lease, whose worker may have crashed or not."""
 
     def __init__(self, *, owner: SessionOwner) -> None:
-        """Start without doubt."""
+        """Initialize the losses of a worker without any."""
         self._runs: list[Run] = []
         self._owner = owner
 
     def add(self, run: Run) -> None:
-        """Keep a run until the worker answers or is known to be gone."""
+        """Keep a run until the worker replies or is removed."""
         self._runs.append(run)
 
     def adopt(self, previous: 'UnconfirmedLosses') -> None:
-        """Go on with what a former session of the worker left open."""
+        """Take over the losses of a previous session of the worker."""
         self._runs.extend(previous.pop_all())
 
     def resolve(self, *, crashed: bool) -> None:
-        """Tell of all runs that the worker crashed, or that it did not."""
+        """Resolve all runs as crashes of the worker, or as none."""
         for run in self.pop_all():
             self._owner.loss_resolved(run, crashed=crashed)
 
     def resolve_by_incarnation(self, incarnation: int) -> None:
-        """Tell of all runs, by the incarnation that answers now."""
+        """Resolve all runs by the incarnation that replied."""
         for run in self.pop_all():
             both_known = run.incarnation and incarnation
             crashed = bool(both_known) and run.incarnation != incarnation
             self._owner.loss_resolved(run, crashed=crashed)
 
     def pop_all(self) -> list[Run]:
-        """Return all runs and forget them."""
+        """Remove and return all runs."""
         runs = self._runs
         self._runs = []
         return runs
@@ -83,7 +85,7 @@
     """Counts lost runs in the stored progress of their tasks.
 
     :param jobs: the jobs of the term.
-    :param give_up: ends a job in a state, for a reason.
+    :param give_up: ends a job with a final state and a reason.
     """
 
     def __init__(
@@ -93,15 +95,15 @@
         writer: ProgressWriter,
         give_up: Callable[[ActiveJob, JobState, str], None],
     ) -> None:
-        """Keep the parts."""
+        """Initialize the counter of a term."""
         self._jobs = jobs
         self._writer = writer
         self._give_up = give_up
 
     def record(self, run: Run, reason: str, *, leaving: bool) -> None:
-        """Count a run that is given up, if it was lost with its worker.
+        """Count a dropped run if it was lost with its worker.
 
-        :param leaving: whether the worker had said that it leaves.
+        :param leaving: whether the worker had announced that it drains.
         """
         if not is_lost(run, reason, leaving=leaving):
             return
@@ -117,7 +119,7 @@
         self._log_and_check(job, run, reason)
 
     def resolve(self, run: Run, *, crashed: bool) -> None:
-        """Count a lapsed run as a crash of its worker, or not at all."""
+        """Count a run with an expired lease as a crash, or not as a loss."""
         job = self._jobs.get(run.key.job_id)
         task = None if job is None else job.progress.peek(run.key)
         if job is None or job.ended or task is None or task.done:
@@ -132,7 +134,7 @@
             self._log_and_check(job, run, 'crashed after all')
 
     def clear_if_perpetual(self, run: Run) -> None:
-        """Forget the losses of a task that lasts and has worked for long."""
+        """Clear the losses of a perpetual task that has run for long."""
         if not run.lasting or run.age_s < LOSSES_CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
@@ -144,7 +146,7 @@
             self._writer.record(job)
 
     def _log_and_check(self, job: ActiveJob, run: Run, reason: str) -> None:
-        """Tell of a loss, and give the task up if it is one too many."""
+        """Log a loss; fail the job if its task has reached a limit."""
         task = job.progress.task(run.key)
         events.log(
             'lost_with_worker',
@@ -170,16 +172,16 @@
 
 
 def is_lost(run: Run, reason: str, *, leaving: bool) -> bool:
-    """Return whether a run that is given up may have crashed its worker.
+    """Return whether a dropped run may have crashed its worker.
 
-    One that was never sent has not, and a worker that had said that it leaves
-    was expected to go.
+    A run whose start was never sent cannot have done so, and a worker that
+    announced that it drains was expected to stop.
     """
     return run.state != MARKED and not leaving and reason in _LOST
 
 
 def is_given_up(task: TaskProgress) -> bool:
-    """Return whether a task must not be started any more."""
+    """Return whether a task must not be started again."""
     if task.prompt_crashes >= MAX_PROMPT_CRASHES:
         return True
     return task.losses >= MAX_LOSSES
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -1,4 +1,4 @@
-"""Each host watches the leader's row and takes over when it falls silent."""
+"""Leader election: hosts poll the leader's row and replace a silent leader."""
 
 import asyncio
 import random
@@ -22,72 +22,73 @@
 from curranthill.tasks import tables
 from curranthill.telemetry.events import events
 
-#: How often a standby reads the leader's row, in seconds.
+#: The interval at which a standby reads the leader's row, in seconds.
 POLL_S: Final = 0.35
 
-#: The same while the row changes and many hosts read it, in seconds: an answer
-#: may then come 0.29 s later than the one before, and the store still counts
-#: as reachable.
+#: The interval while the row changes and many hosts read it, in seconds: a
+#: reply that comes up to 0.29 s later than the previous one is then still in
+#: time for the store to count as reachable.
 SHARED_POLL_S: Final = 0.55
 
-#: From so many other hosts on each looks less often; together they still see a
-#: change as soon as a few do.
+#: With at least so many other hosts each of them polls less often; together
+#: they detect a change as soon as a few hosts would.
 SHARED_POLL_MIN_OTHERS: Final = 11
 
-#: The least pause before a silence that is about to be over, in seconds.
+#: The shortest delay before a read, in seconds.
 MIN_POLL_S: Final = 0.02
 
-#: A leader silent for so long is replaced, in seconds: four heartbeats, so
-#: that one lost write and one slow one do not change the leader.
+#: A leader that has been silent for so long is replaced, in seconds: four
+#: heartbeats, so that one lost and one slow write do not change the leader.
 SILENCE_S: Final = 4 * HEARTBEAT_S
 
-#: Spread of the takeovers of several standbys, in seconds.
+#: The jitter between the takeovers of several standbys, in seconds.
 JITTER_S: Final = 0.3
 
-#: The same once the store is back from an absence through which the leader has
-#: been silent, in seconds: a leader that is back too writes 0.1 s after it
-#: knows, and hosts know within some 0.3 s of each other.
+#: The silence that replaces a leader after an outage of the store through
+#: which it was silent, in seconds: a leader that is connected again writes
+#: 0.1 s after it knows, and hosts know within some 0.3 s of each other.
 OUTAGE_SILENCE_S: Final = 0.4
 
-#: The pause after a reading that failed, in seconds: soon enough to see the
-#: store's return, and some seven calls a second of each host meanwhile.
+#: The delay after a failed read, in seconds: short enough to notice soon that
+#: the store is back, with some seven calls a second per host until then.
 FAILED_POLL_S: Final = 0.15
 
-#: A leader that writes and has not read the operators' rows for so long asks
-#: for a successor, in seconds: one wait of a reading is usual, two more are
-#: lost readings.
+#: A leader that can write but has not read the operators' rows for so long
+#: asks for a successor, in seconds: a read normally waits once, and two more
+#: waits are lost reads.
 STALE_ROWS_S: Final = 3 * FEED_WAIT_S
 
-#: A host that cannot read the operators' rows takes over from a silent leader
-#: so much later, in seconds: hosts that can come first.
+#: A host that cannot read the operators' rows waits so much longer before it
+#: replaces a silent leader, in seconds: hosts that can read them come first.
 STALE_TAKEOVER_DELAY_S: Final = 0.7
 
-#: Two readings further apart than this say nothing of the time between.
+#: After a longer gap between two reads nothing is known of the time between
+#: them, in seconds.
 MAX_READ_GAP_S: Final = 1.2
 
 
 class OperatorRows(Protocol):
-    """The operators' rows, and how fresh this host's knowledge of them is."""
+    """The operators' rows, and as of when this host knows them."""
 
     @property
     def read_s(self) -> float:
-        """Return as of when they are known, in seconds of the clock."""
+        """Return as of when the rows are known, on the monotonic clock."""
 
 
 def _no_others() -> int:
-    """Return that no other host is known."""
+    """Return 0, for hosts that are not told of others."""
     return 0
 
 
 class Election:
-    """Follows the leader's row; leads when it wins it.
+    """Follows the leader's row, and leads a term when it wins it.
 
     :param lead: runs one term and returns when it is over.
-    :param health: is told of each reading.
-    :param operator_rows: a host that cannot read them leads only if nobody
-        else does.
-    :param forecasts: the outlook that stands in the leader's row.
-    :param others: returns how many other hosts watch the leader too.
+    :param health: is notified of the outcome of each read.
+    :param operator_rows: a host that cannot read them leads only if no other
+        host does.
+    :param forecasts: the forecast in the leader's row.
+    :param others: returns how many other hosts poll the leader's row.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
         operator_rows: OperatorRows,
         others: Callable[[], int] = _no_others,
     ) -> None:
-        """Start with no row seen."""
+        """Initialize an election before the first read of the row."""
         self._operator_rows = operator_rows
         self._others = others
         self._store = store
@@ -121,15 +122,15 @@
 
     @property
     def leader_silent_s(self) -> float:
-        """Return for how long the leader's row is known not to change."""
+        """Return for how long the leader's row is known to be unchanged."""
         return self._read_s - self._unchanged_since_s
 
     def resign(self) -> None:
-        """Never try to lead again."""
+        """Stop trying to lead for good."""
         self._resigned = True
 
     async def run(self) -> None:
-        """Watch and lead until cancelled."""
+        """Poll the row, and lead whenever it is won, until cancelled."""
         while True:
             asked_s = self._clock.monotonic_s()
             try:
@@ -146,14 +147,14 @@
             await self._clock.sleep(pause_s)
 
     def _pause_s(self, asked_s: float) -> float:
-        """Return the pause after a reading, in seconds.
+        """Return the delay before the next read, in seconds.
 
-        :param asked_s: when the reading was asked for.
+        :param asked_s: when the last read was sent.
         """
         silent_s = self.leader_silent_s
         if not silent_s and self._others() >= SHARED_POLL_MIN_OTHERS:
             now_s = self._clock.monotonic_s()
-            # Hosts that began together must not look together.
+            # Keeps hosts that started together from polling together.
             least = 0.9 if self._shared_polling else 0
             self._shared_polling = True
             due_s = asked_s + SHARED_POLL_S * random.uniform(least, 1.1)
@@ -162,13 +163,13 @@
         pause_s = POLL_S * random.uniform(0.8, 1.2)
         left_s = self._silence_s - silent_s
         if left_s <= 0:
-            # Nobody could take over yet: asking faster does not help.
+            # No takeover was possible yet; polling faster would not help.
             return pause_s
-        # At the very end of the silence, however seldom it was looked at.
+        # Reads right at the end of the silence, however long the interval is.
         return max(min(pause_s, left_s), MIN_POLL_S)
 
     def _record_read(self, row: StoredRow | None) -> None:
-        """Keep for how long the row has been seen unchanged."""
+        """Record since when the row has been seen unchanged."""
         now_s = self._clock.monotonic_s()
         version = row.version if row else 0
         gap_s = now_s - self._read_s
@@ -179,7 +180,7 @@
             self._unchanged_since_s = now_s
             self._silence_s = SILENCE_S + random.uniform(0, JITTER_S)
         elif gap_s > MAX_READ_GAP_S:
-            # The leader may have been cut off like this host.
+            # The leader may have been cut off from the store like this host.
             self._unchanged_since_s = now_s
             jitter_s = random.uniform(0, JITTER_S / 3)
             self._silence_s = OUTAGE_SILENCE_S + jitter_s
@@ -196,13 +197,13 @@
         if self._resigned:
             return
         holder = leader.holder
-        # A row of this host's own name is that of an earlier process, or was
-        # won without a reply: nobody else waits for it.
-        held = holder not in {'', self._holder}
-        if held and not self._may_replace(leader):
+        # A row with this host's own name was written by an earlier process, or
+        # by a takeover whose reply was lost: no leader stands behind it.
+        occupied = holder not in {'', self._holder}
+        if occupied and not self._may_replace(leader):
             return
         if not holder or leader.yields:
-            # A vacancy is seen by all at once.
+            # All hosts see a vacant row at the same time.
             await self._clock.sleep(random.uniform(0, JITTER_S / 3))
         try:
             leadership = await take_over(
@@ -223,7 +224,7 @@
         await self._run_term(leadership)
 
     def _may_replace(self, leader: LeaderRow) -> bool:
-        """Return whether a leader is silent, or asks for one that can read."""
+        """Return whether a leader is silent or asks for a successor."""
         if self._has_stale_operator_rows(self._steady_since_s):
             return (
                 self.leader_silent_s >= self._silence_s + STALE_TAKEOVER_DELAY_S
@@ -231,10 +232,10 @@
         return leader.yields or self.leader_silent_s >= self._silence_s
 
     def _has_stale_operator_rows(self, steady_since_s: float) -> bool:
-        """Return whether the operators' rows have gone unread for long.
+        """Return whether the operators' rows have not been read for long.
 
-        :param steady_since_s: since when the store has answered this host; an
-            outage of the store is none of readings alone.
+        :param steady_since_s: since when the store has answered this host: an
+            outage of the whole store does not count as stale rows.
         """
         known_s = max(self._operator_rows.read_s, steady_since_s)
         return self._clock.monotonic_s() - known_s > STALE_ROWS_S
@@ -243,7 +244,7 @@
         term = asyncio.ensure_future(self._lead(leadership))
         try:
             while not term.done():
-                # The leader's own writes tell whether the store answers.
+                # The leader's own writes show whether the store is reachable.
                 if leadership.age_s < UNREACHABLE_S:
                     self._health.answered()
                 self._ask_for_successor(leadership)
@@ -268,10 +269,10 @@
 
 
 async def _vacate(leadership: Leadership) -> None:
-    """Vacate a row that was won while this host was told to stop.
+    """Vacate a row that was won while this host was being stopped.
 
-    Kept, it would hold up its successor for the silence and for as long as a
-    leader might have gone on renewing leases.
+    Otherwise a successor would have to wait for the silence, and for as long
+    as this leader could have renewed leases.
     """
     try:
         await leadership.resign()
@@ -280,7 +281,7 @@
 
 
 async def _await_end(term: asyncio.Future[None]) -> None:
-    """Wait for a term's end; tell of an error in it."""
+    """Wait until a term has ended; log an error that ended it."""
     await asyncio.gather(term, return_exceptions=True)
     if term.cancelled():
         return
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -1,4 +1,4 @@
-"""Takes in what the store holds: jobs, cancellations and workers."""
+"""Reads and follows the stored jobs, cancellations and worker entries."""
 
 from typing import Final, Protocol
 
@@ -25,31 +25,31 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How long entries of workers are gathered between two readings, in seconds:
-#: each worker rewrites its own every second or two, and hundreds of them would
-#: have the leader ask without a rest.
+#: How long changes of worker entries are gathered between two reads, in
+#: seconds: each worker rewrites its entry every second or two, so with
+#: hundreds of workers the leader would otherwise read without a pause.
 GATHER_S: Final = 0.2
 
 
 class WorkerFeed(Protocol):
-    """What the leader needs to follow the platform's list of workers."""
+    """The platform's list of workers, as the leader follows it."""
 
     @property
     def table(self) -> str:
-        """Return the table that workers register in."""
+        """Return the table in which workers register."""
 
     def decode(self, row: StoredRow) -> WorkerEntry:
-        """Return a worker's entry.
+        """Decode a worker's entry.
 
-        :raises MalformedRecordError: if it is not as workers write them.
+        :raises MalformedRecordError: if the row is not a valid entry.
         """
 
 
 class Feeds:
-    """Reads the tables at the start of a term and follows them.
+    """Reads the tables at the start of a term, then follows their changes.
 
-    :param leadership: the term, which bounds the tokens of its sessions.
-    :param closures: the data centres where nothing starts.
+    :param leadership: the term, whose epoch determines the fencing tokens.
+    :param closures: the data centres in which nothing may start.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         leadership: Leadership,
         closures: ClosureSource,
     ) -> None:
-        """Start with nothing read."""
+        """Initialize the feeds before the first read."""
         self._closures = closures
         self._probe_limiter = ProbeLimiter(clock=clock)
         self._store = store
@@ -80,14 +80,14 @@
         self._bad_versions: dict[tuple[str, str], int] = {}
 
     async def start(self) -> None:
-        """Read everything once, then follow what changes."""
-        # Jobs first: an end that a worker reports must find its job.
+        """Read all tables once, then follow their changes."""
+        # Jobs are read first, so that each end a worker reports has its job.
         intake = self._follower(
             tables.INTAKE, self._apply_jobs, self._apply_jobs
         )
         await self._read_progress()
         await intake.read()
-        # Of the rest only the state is kept.
+        # Of jobs without an intake row only the final state is kept.
         for job_id, content in self._progress.items():
             if job_id not in self._term.jobs:
                 self._record_ended(job_id, content)
@@ -120,10 +120,10 @@
         )
 
     async def _read_progress(self) -> None:
-        """Read how far all jobs have come.
+        """Read the progress of all jobs.
 
-        Only the leader writes progress, so what is read here is still true
-        when the jobs are read, and a job accepted in between has none.
+        Only the leader writes progress, so it does not change until the jobs
+        are read; a job accepted in between has none.
         """
         progress = self._follower(
             tables.PROGRESS,
@@ -150,7 +150,7 @@
             try:
                 self._apply_intake(row)
             except MalformedRecordError as error:
-                # Of a job whose progress is unknown nothing may start.
+                # Nothing may start of a job whose progress is unknown.
                 self._log_bad_row(row, 'job', error)
         self._term.changed.set()
 
@@ -160,7 +160,7 @@
         kind: str,
         error: MalformedRecordError,
     ) -> None:
-        """Tell once of a version of a row that can't be read."""
+        """Log an unreadable row, once for each of its versions."""
         name = (row.table, row.key)
         if self._bad_versions.get(name) == row.version:
             return
@@ -212,10 +212,10 @@
         session.update_entry(entry)
 
     def _mark_unreadable(self, worker_id: str) -> None:
-        """Place nothing at a worker whose entry can't be read.
+        """Exclude a worker from placement while its entry can't be read.
 
-        It may live and be what it was: what runs there goes on, its lease is
-        renewed at the address known before, and a good entry makes it usable.
+        The worker may be unchanged: its runs continue, its lease is renewed at
+        its last known address, and a valid entry makes it usable again.
         """
         session = self._term.sessions.get(worker_id)
         if session is not None:
@@ -225,8 +225,8 @@
         token = self._leadership.epoch * TOKENS_PER_EPOCH
         previous = self._term.sessions.get(entry.worker_id)
         if previous is not None:
-            # A worker that was given up may have seen all of its tokens; one
-            # that it rejects would be taken for another leader's.
+            # A worker that was given up may have seen all of its tokens, and
+            # one that it rejects would be taken for another leader's.
             token = previous.token + 1
         session = WorkerSession(
             entry=entry,
@@ -264,14 +264,14 @@
         self._term.resume_job(job)
 
     def _recover_runs(self, job: ActiveJob) -> None:
-        """Take each stored mark as a run that may exist."""
+        """Recover a run from each stored assignment, as it may exist."""
         for name, task in job.progress.tasks.items():
             if task.worker:
                 key = TaskKey.parse(f'{job.spec.job_id}.{name}')
                 self.recover(job, key)
 
     def recover(self, job: ActiveJob, key: TaskKey) -> None:
-        """Take a task's stored mark as a run that may exist."""
+        """Recover the run of a task's stored assignment, as it may exist."""
         worker_id = job.progress.task(key).worker
         session = self._term.sessions.get(worker_id)
         if session is None or session.removed:
@@ -280,7 +280,7 @@
 
 
 def _unlisted_entry(worker_id: str) -> WorkerEntry:
-    """Return an entry for a worker that the platform lists no more."""
+    """Return an entry for a worker that the platform does not list."""
     return WorkerEntry(
         worker_id=worker_id,
         service='',
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -1,4 +1,4 @@
-"""How the outlook of what waits gets from the leader to the desks."""
+"""Carries the wait forecast from the leader to the hosts that admit jobs."""
 
 from functools import reduce
 from typing import Any, Final
@@ -14,24 +14,24 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often an outlook is made, in seconds.
+#: The interval between two forecasts, in seconds.
 PUBLISH_INTERVAL_S: Final = 1.0
 
-#: A term's first outlook is made so late, in seconds: by then most workers
-#: have told what runs there.
+#: The delay before the first forecast of a term, in seconds: by then most
+#: workers have reported their runs.
 FIRST_DELAY_S: Final = 2.0
 
-#: After a call without an answer nobody is refused for so long, in seconds: the
-#: store may yet carry out what was left so, and a job that came before would
-#: run though it was refused when it came again.
+#: No job is refused for so long after a call without a reply, in seconds: the
+#: store may still apply a write whose outcome is open, so a job could run
+#: although its repeated request was refused.
 REFUSAL_PAUSE_S: Final = 5.0
 
 
 class ForecastPublisher:
-    """Makes outlooks for one term."""
+    """Makes the forecasts of one term."""
 
     def __init__(self, *, clock: Clock, term: TermState) -> None:
-        """Begin a term."""
+        """Initialize the publisher at the start of a term."""
         self._clock = clock
         self._term = term
         self._number = 0
@@ -39,11 +39,11 @@
 
     @property
     def due(self) -> bool:
-        """Return whether another one should be made."""
+        """Return whether it is time for another forecast."""
         return self._clock.monotonic_s() >= self._due_s
 
     def make(self, revision: Revision | None) -> Outlook | None:
-        """Return what hosts should know now, if anything."""
+        """Return a new forecast, or None without a configuration."""
         self._due_s = self._clock.monotonic_s() + PUBLISH_INTERVAL_S
         if revision is None:
             return None
@@ -59,10 +59,10 @@
         )
 
     def _capacities(self) -> dict[str, ServiceRoom]:
-        """Return the room of all workers that may take work, busy or not.
+        """Return the capacity of all listed workers by service, busy or not.
 
-        One that does not answer now counts too: the wait is rather told as
-        too short.
+        Unreachable workers count too: an estimate of the wait that is too
+        short is better than one that is too long.
         """
         by_service: dict[str, list[WorkerSession]] = {}
         for session in self._term.sessions.values():
@@ -81,33 +81,34 @@
 
 
 class _LargestFree:
-    """Adds up what is free; asked only when something waits for long."""
+    """Computes the largest free capacity; called only after a long wait."""
 
     def __init__(self, sessions: list[WorkerSession]) -> None:
         self._sessions = sessions
 
     def __call__(self) -> Resources:
-        """Return the most that is free on one worker, part by part."""
-        most = Resources()
+        """Return the most that is free on any worker, for each resource."""
+        largest = Resources()
         for session in self._sessions:
             room = Room(
                 entry=session.entry,
                 runs=session.runs.values(),
                 doubt=0.0,
             )
-            most = Resources(*map(max, most, room.free))
-        return most
+            largest = Resources(*map(max, largest, room.free))
+        return largest
 
 
 class ForecastReader:
-    """The newest outlook that one host has read, and since when it knows it.
+    """Keeps the newest forecast that a host has read, and its age.
 
-    The leader's clock is not asked: its age is what has passed here since it
-    was first seen, a pause of this host included.
+    The age is measured on this host's clock from when the forecast was first
+    read, including time for which the host was suspended; the leader's clock
+    is not used.
     """
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start with nothing known."""
+        """Initialize the reader before the first forecast."""
         self._clock = clock
         self._content: Any = None
         self._epoch = 0
@@ -116,19 +117,19 @@
         self._missed_s = -REFUSAL_PAUSE_S
 
     def newest(self) -> tuple[Outlook | None, float]:
-        """Return the newest outlook and its age in seconds."""
+        """Return the newest forecast and its age in seconds."""
         now_s = self._clock.monotonic_s()
         if now_s - self._missed_s < REFUSAL_PAUSE_S:
             return (None, 0.0)
         return (self._forecast, now_s - self._since_s)
 
     def update(self, epoch: int, content: Any) -> None:
-        """Take what stands in the leader's row.
+        """Store the forecast in the leader's row.
 
-        Every outlook has a number of its own, so one that is made anew is
-        told from one that is read again.
+        Every forecast has a number of its own, which distinguishes a new
+        forecast from one that is read again.
 
-        :param epoch: the leader's term; nothing of another one counts.
+        :param epoch: the leader's epoch; a forecast of another one is dropped.
         """
         if epoch == self._epoch and content == self._content:
             return
@@ -138,7 +139,7 @@
         self._since_s = self._clock.monotonic_s()
 
     def missed(self) -> None:
-        """Take note of a reading that failed, or a write without an answer."""
+        """Record a failed read, or a write without a reply."""
         self._missed_s = self._clock.monotonic_s()
 
 
@@ -148,7 +149,7 @@
     try:
         return msgspec.convert(content, Outlook, str_keys=True)
     except msgspec.ValidationError as error:
-        # Perhaps of another release; the leader's row holds all the same.
+        # The forecast may be of another release; the row itself stays valid.
         events.log('outlook_bad', error=str(error))
         metrics.records_bad.add(1, {'kind': 'outlook'})
         return None
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -1,8 +1,8 @@
-"""The leader's term: takes in jobs, places tasks, notes ends, stores all.
+"""The leader of a scheduling domain during one term.
 
-Whatever the leader believes is in the store or at the workers, so that any
-host can take over. A start is stored before it is ordered, and an end is
-stored before it is acknowledged.
+All state of the leader is in the store or at the workers, so that any host can
+take over. An assignment is stored before its start is ordered, and the end of
+a run is stored before it is acknowledged.
 """
 
 from typing import Final
@@ -25,15 +25,15 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Rows of ended jobs are kept so much longer than promised, in seconds.
+#: Rows of ended jobs are kept so much longer than guaranteed, in seconds.
 RETENTION_MARGIN_S: Final = 30.0
 
-#: How often rows of ended jobs are looked for, in seconds.
+#: The interval at which rows of ended jobs are removed, in seconds.
 SWEEP_INTERVAL_S: Final = 10.0
 
 
 class Leader:
-    """One term of leadership."""
+    """Runs one term of leadership."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         advisor: Advisor,
         without: frozenset[str] = ALL_ON,
     ) -> None:
-        """Start with nothing known.
+        """Initialize a term whose state has not been read yet.
 
         :param without: mechanisms of placement that are switched off.
         """
@@ -99,7 +99,7 @@
 
     @property
     def term(self) -> TermState:
-        """Return the jobs, runs and workers of this term."""
+        """Return the jobs, runs and worker sessions of this term."""
         return self._term
 
     async def run(self) -> None:
@@ -123,7 +123,7 @@
         await self._spawner.over.wait()
 
     async def step_down(self) -> None:
-        """Store what is known and give leadership to whoever comes first."""
+        """Store all pending changes, then vacate the leader's row."""
         try:
             await self._writer.stored()
             await self._leadership.resign()
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -1,8 +1,8 @@
-"""The leader's row: who may write, and the one way a leader writes.
+"""The leader's row and the conditional writes through which a leader leads.
 
-Every write of a leader replaces the leader's row under the condition that it
-is as the leader last wrote it. So a write of a former leader fails, a write
-that lands late fails, and each write is a heartbeat too.
+Every write of a leader replaces the leader's row, on the condition that the
+row is as the leader last wrote it. So a write of a previous leader fails, a
+write that arrives late fails, and each write is also a heartbeat.
 """
 
 import uuid
@@ -31,19 +31,20 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How long a leader that cannot write goes on renewing leases, in seconds.
-#: Work survives an outage of the store for this and a lease, less the interval
-#: of renewals: 10.5 s with the shortest leases, outages of 7 s are known. A
-#: successor waits as long before it gives up what it cannot reach, unless the
-#: former leader stepped down: each second more keeps tasks of lost workers.
+#: How long a leader that cannot write keeps renewing leases, in seconds. Work
+#: survives an outage of the store for this time and a lease, less the interval
+#: of renewals: 10.5 s with the shortest leases, while outages of 7 s occur. A
+#: successor waits as long before it gives up runs at workers that it cannot
+#: reach, unless the previous leader stepped down: each additional second
+#: delays the restart of tasks of lost workers.
 RENEW_WITHOUT_STORE_S: Final = 6.0
 
-#: The wait between two tries of one write, in seconds: a store that is down
-#: for seconds is then tried some ten times a second by the one leader.
+#: The delay before a write is retried, in seconds: a leader then retries some
+#: ten times a second while the store is down.
 RETRY_DELAY_S: Final = 0.1
 
-#: Writes further apart than this tell of an outage between them, in seconds:
-#: three heartbeats.
+#: A longer interval between two writes counts as an outage, in seconds: three
+#: heartbeats.
 STEADY_GAP_S: Final = 1.0
 
 
@@ -51,14 +52,15 @@
     """The leader's row.
 
     :param holder: the leading process, or empty after it stepped down.
-    :param epoch: grows by one with each change of the holder.
-    :param operation: unique to each write, so that a lost reply is found.
-    :param previous_s: for how long from this write those who led before the
-        holder may go on renewing leases, in seconds.
-    :param yields: the holder asks for a successor, as it cannot read the
-        operators' rows; it leads until one takes over.
-    :param forecast: what waits, as plain content: another release's must not
-        make the row unreadable.
+    :param epoch: incremented with each change of the holder.
+    :param operation: unique to each write, to recognize a write whose reply
+        was lost.
+    :param previous_s: for how long from this write the leaders before the
+        holder may still renew leases, in seconds.
+    :param yields: whether the holder asks for a successor, as it cannot read
+        the operators' rows; it leads until one takes over.
+    :param forecast: the wait of new jobs, as untyped content: one written by
+        another release must not make the row unreadable.
     """
 
     holder: str = ''
@@ -69,11 +71,11 @@
     forecast: Any = None
 
     def previous_after_s(self, seen_for_s: float) -> float:
-        """Return how long anyone up to this row's writer may go on renewing.
+        """Return for how long any leader up to this row's may renew leases.
 
-        :param seen_for_s: for how long this row is known to be the newest;
-            its writer renews for a bounded time from the write, which was
-            before the row was first seen.
+        :param seen_for_s: for how long this row is known to be the newest, in
+            seconds; its writer renews for a bounded time from the write, which
+            was before the row was first seen.
         """
         max_s = self.previous_s
         if self.holder:
@@ -82,10 +84,10 @@
 
 
 def leader_row_of(stored: StoredRow) -> LeaderRow:
-    """Return the leader's row.
+    """Return the decoded leader's row.
 
-    :raises StorageError: if it can't be read; a fresh one in its place would
-        begin with an epoch that workers reject.
+    :raises StorageError: if it can't be decoded; a fresh row in its place
+        would start with an epoch whose tokens workers reject.
     """
     try:
         return decode(stored.content, LeaderRow)
@@ -108,8 +110,8 @@
     :param began_s: the clock just before that write.
     :param yields: whether the next writes ask for a successor.
     :param steady_since_s: since when writes have applied without a gap.
-    :param forecast: what waits, written with each write from now on; each host
-        reads this row anyhow, so it costs no call.
+    :param forecast: the wait of new jobs, written with each write from now on;
+        hosts read this row anyway, so the forecast costs no further call.
     """
 
     def __init__(
@@ -121,7 +123,7 @@
         version: int,
         began_s: float,
     ) -> None:
-        """Keep the row that this process wrote."""
+        """Start a term with the row that this process wrote."""
         self._began_s = began_s
         self._previous_s = row.previous_s
         self._resigning = False
@@ -152,17 +154,17 @@
 
     @property
     def previous_s(self) -> float:
-        """Return for how long those who led before may still renew leases."""
+        """Return for how long previous leaders may still renew leases."""
         led_s = self._clock.monotonic_s() - self._began_s
         return max(0.0, self._previous_s - led_s)
 
     @property
     def resigning(self) -> bool:
-        """Return whether this process orders and renews no more."""
+        """Return whether this process has stopped ordering and renewing."""
         return self._resigning
 
     async def resign(self) -> None:
-        """Give leadership to whoever comes first.
+        """Vacate the leader's row for any successor.
 
         :raises LeadershipLostError: if another process leads.
         """
@@ -190,8 +192,8 @@
             forecast=self.forecast if holder is None else None,
         )
         own = RowPut(tables.LEADER, tables.LEADER_KEY, encode(row))
-        # A try that turns out to have applied may be any of them, and others
-        # may have seen its row since the first.
+        # When a conflict shows that an earlier try was applied, it may have
+        # been any of them, and others may have read its row since the first.
         first_s = self._clock.monotonic_s()
         while not self._lost:
             version = await self._try(own, puts, removals, row.operation)
@@ -210,7 +212,7 @@
         self.confirmed_s = first_s
 
     def abandon(self) -> None:
-        """Let every later write fail."""
+        """Make every later write fail."""
         self._lost = True
 
     async def _try(
@@ -238,7 +240,7 @@
     def _resolve_conflict(
         self, rows: tuple[StoredRow, ...], operation: str
     ) -> int:
-        """Tell this write's own earlier try from another leader's write."""
+        """Distinguish an earlier try of this write from another leader's."""
         for stored in rows:
             row = leader_row_of(stored)
             if row.operation == operation:
@@ -256,10 +258,10 @@
     seen: StoredRow | None,
     seen_for_s: float,
 ) -> Leadership | None:
-    """Become the leader if the row is still as seen; else return nothing.
+    """Become the leader if the row is still as seen; otherwise return None.
 
-    :param seen_for_s: for how long the row has been seen so, in seconds.
-    :raises StorageError: if the store did not say.
+    :param seen_for_s: for how long the row has been seen unchanged, in seconds.
+    :raises StorageError: if the outcome of the write is not known.
     """
     previous = LeaderRow() if seen is None else leader_row_of(seen)
     row = LeaderRow(
@@ -280,7 +282,8 @@
     except RowConflictError:
         return None
     except ReplyLostError:
-        # The row may be ours all the same; nobody would lead for a while.
+        # The write may have applied; without a check this host would not lead
+        # and the others would have to wait out the silence again.
         version = await _version_if_won(store, row)
     if not version:
         return None
@@ -294,7 +297,7 @@
 
 
 async def _version_if_won(store: RowStore, row: LeaderRow) -> int:
-    """Return the version of the leader's row if it is this one, else 0."""
+    """Return the version of the leader's row if it equals this one, else 0."""
     stored = await store.read(tables.LEADER, tables.LEADER_KEY)
     if stored is None or leader_row_of(stored) != row:
         return 0
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -1,4 +1,4 @@
-"""Finds stragglers, stalled runs and runs on slow workers, and moves them."""
+"""Detects stalled runs and runs on slow workers, and moves them."""
 
 from typing import Final, NamedTuple
 
@@ -22,21 +22,21 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often runs are looked at, in seconds: workers report progress every
-#: 1.5 s when nothing ends, and each look goes over all runs.
+#: The interval at which runs are checked, in seconds: workers report progress
+#: every 1.5 s while no run ends, and each check visits all runs.
 CHECK_INTERVAL_S: Final = 0.25
 
-#: Runs on slow workers that are moved at one look; a move is a guess, and the
-#: next look sees what has become of it.
+#: The most runs on slow workers that one check moves: a move rests on an
+#: estimate, and the next check sees its result.
 MAX_SLOW_MOVES: Final = 1
 
-#: What a task's progress keeps of each reason.
+#: The flag that a task's progress stores for a move with each reason.
 _MOVE_FLAGS: Final[dict[MoveReason, int]] = {
     STALLED: MOVED_STALLED,
     SLOW: MOVED_SLOW,
 }
 
-#: Which mechanism moves for each reason.
+#: The mechanism that makes moves with each reason.
 _MECHANISMS: Final[dict[MoveReason, str]] = {
     STALLED: STALLED_MOVES,
     SLOW: SLOW_MOVES,
@@ -44,7 +44,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A run that a move would pay for."""
+    """A run whose move is estimated to pay off."""
 
     session: WorkerSession
     run: Run
@@ -52,7 +52,7 @@
 
 
 class RunMigrator:
-    """Looks at all runs every now and then.
+    """Checks all runs periodically and moves some of them.
 
     :param without: mechanisms that are switched off.
     """
@@ -65,7 +65,7 @@
         writer: ProgressWriter,
         without: frozenset[str] = ALL_ON,
     ) -> None:
-        """Start with no look made."""
+        """Initialize the migrator before its first check."""
         self._clock = clock
         self._term = term
         self._writer = writer
@@ -73,10 +73,10 @@
         self._checked_s = 0.0
 
     def check(self, *, idle: bool) -> None:
-        """Count runs that stand still; move those better started elsewhere.
+        """Count stalled runs; move runs that should finish sooner elsewhere.
 
-        :param idle: whether nothing waits. Room that is free then is what runs
-            on slow workers are moved to; others would come before them.
+        :param idle: whether nothing waits. Only then are runs on slow workers
+            moved: waiting tasks have precedence for free capacity.
         """
         now_s = self._clock.monotonic_s()
         if now_s - self._checked_s < CHECK_INTERVAL_S:
@@ -112,9 +112,9 @@
         return job.objective_s - self._clock.wall_s()
 
     def _may_move(self, run: Run, reason: MoveReason) -> bool:
-        """Return whether a task was not moved for the same reason before.
+        """Return whether a task was not moved before for the same reason.
 
-        A task that stands still everywhere is not its worker's doing.
+        A task that stalls on every worker is not stalled by its workers.
         """
         if _MECHANISMS[reason] in self._without:
             return False
@@ -127,7 +127,7 @@
         return task is None or not task.moves & _MOVE_FLAGS[reason]
 
     def _fits_on_faster_worker(self, found: _Candidate) -> bool:
-        """Return whether a worker that is not known to be slow has room."""
+        """Return whether a run fits on a worker not known to be slow."""
         step = self._term.jobs[found.run.key.job_id].step_of(found.run.key)
         for session in self._term.sessions.values():
             labels = session.entry.labels
@@ -161,9 +161,9 @@
 
 
 def _stalled_as_whole_gang(job: ActiveJob, run: Run) -> bool:
-    """Return whether all of a run's gang has run for a stall's least time.
+    """Return whether the whole gang of a run has run long enough to stall.
 
-    Members wait for each other until then, so a stall tells nothing of a
+    Until then members wait for each other, so a stall says nothing about a
     worker.
     """
     whole_s = run.reported_s - job.whole_since_s(run.key)
@@ -171,7 +171,7 @@
 
 
 def _fits(session: WorkerSession, run: Run) -> bool:
-    """Return whether one more run like this fits beside those of a worker."""
+    """Return whether one more run like this fits on a worker."""
     taken = run.needs
     for one in session.runs.values():
         taken = taken.plus(one.needs)
--- a/src/curranthill/dispatch/pace_estimates.py
+++ b/src/curranthill/dispatch/pace_estimates.py
@@ -1,4 +1,4 @@
-"""What the leader learns of workers and of work from the runs' progress."""
+"""The speed and duration estimates that a leader derives from progress."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Final
@@ -19,20 +19,20 @@
     from curranthill.dispatch.session import WorkerSession
 
 
-#: How often what was noted is worked out, in seconds: reports come every 1.5 s
-#: when nothing ends.
+#: The interval at which the estimates are updated, in seconds: reports arrive
+#: every 1.5 s while no run ends.
 REFRESH_INTERVAL_S: Final = 0.5
 
 
 class PaceEstimates:
-    """Keeps what is learnt in a term.
+    """Collects the observations of a term.
 
-    :param durations: how long the work of each queue takes.
-    :param speeds: how fast each worker is.
+    :param durations: estimates how long the work of each queue takes.
+    :param speeds: estimates how fast each worker is.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Initialize the estimates without observations."""
         self.durations = DurationBook()
         self.speeds = SpeedBook(durations=self.durations)
         self._refreshed_s = 0.0
@@ -41,7 +41,7 @@
     def record(
         self, session: 'WorkerSession', job: ActiveJob, run: Run
     ) -> None:
-        """Learn from a run's pace, if its report tells of one."""
+        """Record a run's pace, if its report gives one."""
         if not run.pace or run.incarnation != session.incarnation:
             return
         self.speeds.note(
@@ -59,7 +59,7 @@
         sessions: Iterable['WorkerSession'],
         now_s: float,
     ) -> None:
-        """Work out what was noted, every now and then."""
+        """Update the estimates, at most once per interval."""
         if now_s - self._refreshed_s < REFRESH_INTERVAL_S:
             return
         self._refreshed_s = now_s
@@ -69,15 +69,15 @@
         self._log_deviating(present)
 
     def ratio_of(self, queue: str) -> float:
-        """Return run time over estimate in a queue."""
+        """Return the ratio of actual to estimated run time in a queue."""
         return self.durations.ratio_of(queue).factor
 
     def speed_of(self, session: 'WorkerSession') -> Speed:
-        """Return the speed of the present life of a worker."""
+        """Return the speed of a worker's current incarnation."""
         return self.speeds.speed_of(session.worker_id, session.incarnation)
 
     def _log_deviating(self, sessions: Iterable['WorkerSession']) -> None:
-        """Tell of each worker that is found to differ, or no more."""
+        """Log each worker that starts or stops to deviate in speed."""
         deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
--- a/src/curranthill/dispatch/progress_writer.py
+++ b/src/curranthill/dispatch/progress_writer.py
@@ -1,4 +1,4 @@
-"""Group commit of jobs' progress: one write under way, the rest gather."""
+"""Group commit of job progress: one write at a time, changes are batched."""
 
 import asyncio
 from typing import Any, Final
@@ -9,23 +9,23 @@
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import encode, tables
 
-#: Most jobs in one write; the platform takes 100 entries a call.
+#: The most jobs in one write; the platform accepts 100 entries a call.
 MAX_JOBS_PER_WRITE: Final = 64
 
-#: Most bytes of progress in one write, unless one job has more. Each write
-#: carries the heartbeat, which a large one would hold up on a slow link.
+#: The most bytes of progress in one write, unless a single job has more. Each
+#: write is also the heartbeat, which a large one would delay on a slow link.
 MAX_BYTES_PER_WRITE: Final = 64_000
 
-#: The leader writes at least so often, in seconds, so that others see it
-#: alive; a standby takes over after some four silent intervals.
+#: The longest interval between two writes of the leader, in seconds, so that
+#: others see it alive; a standby takes over after four silent intervals.
 HEARTBEAT_S: Final = 0.35
 
 
 class ProgressWriter:
-    """Writes progress rows under the leader's condition."""
+    """Writes changed progress rows on the condition of leadership."""
 
     def __init__(self, *, leadership: Leadership, clock: Clock) -> None:
-        """Start with nothing to write."""
+        """Initialize the writer without changes."""
         self._leadership = leadership
         self._clock = clock
         self._dirty: dict[str, ActiveJob] = {}
@@ -36,24 +36,24 @@
         self._next_write: asyncio.Future[None] | None = None
 
     def record(self, job: ActiveJob) -> None:
-        """Have a job's progress written."""
+        """Queue a job's progress for the next write."""
         self._dirty[job.spec.job_id] = job
         self._wake.set()
 
     def record_pending(self, content: bytes) -> None:
-        """Have the queue lengths written with the next write."""
+        """Set the queue lengths that the next write stores."""
         self._pending = content
 
     def publish_forecast(self, forecast: Any) -> None:
-        """Have what waits written with each write from now on."""
+        """Set the forecast that each write stores from now on."""
         self._leadership.forecast = forecast
 
     def remove(self, removal: RowRemoval) -> None:
-        """Have a row removed."""
+        """Queue the removal of a row."""
         self._removals.append(removal)
 
     async def stored(self) -> None:
-        """Return once all that was noted so far is stored."""
+        """Return once everything recorded so far is stored."""
         if self._next_write is None:
             self._next_write = asyncio.get_running_loop().create_future()
         self._wake.set()
@@ -62,7 +62,8 @@
     async def run(self) -> None:
         """Write until leadership is lost.
 
-        :raises LeadershipLostError: then; who waits is told the same.
+        :raises LeadershipLostError: when it is; callers that wait for a write
+            get the same error.
         """
         while True:
             await wait_at_most(
@@ -84,7 +85,7 @@
                 waiters.set_result(None)
 
     async def _write_all(self) -> None:
-        """Write all that is noted now; at least the heartbeat."""
+        """Write all recorded changes; without any, just the heartbeat."""
         jobs = list(self._dirty.values())
         self._dirty.clear()
         batch: list[RowPut] = []
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of placement: a snapshot, decisions, stored starts, orders."""
+"""Placement rounds: decide on a snapshot, store the assignments, order them."""
 
 import asyncio
 from typing import Final, Protocol
@@ -36,34 +36,35 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: The pause between two rounds of placement, in seconds: lets news that
-#: comes together be decided together.
+#: The pause before a round of placement, in seconds: changes that arrive
+#: together are then decided together.
 ROUND_PAUSE_S: Final = 0.004
 
-#: A round is made at least so often, in seconds, for what becomes due.
+#: The longest interval between two rounds, in seconds: steps become due
+#: without any other change.
 ROUND_INTERVAL_S: Final = 0.25
 
-#: How long a run that failed or stood still counts against its worker, in
-#: seconds: longer than the spells for which workers misbehave.
+#: How long a failed or stalled run counts against its worker, in seconds:
+#: longer than the periods for which workers misbehave.
 FAILURE_MEMORY_S: Final = 10.0
 
-#: How often the gauges are set, in seconds.
+#: The interval between updates of the gauges, in seconds.
 GAUGES_INTERVAL_S: Final = 1.0
 
-#: Priorities that the gauges tell apart.
+#: The priorities for which the gauges have labels.
 PRIORITIES: Final = (0, 1, 2)
 
 
 class RevisionSource(Protocol):
-    """Holds the configuration in force."""
+    """Provides the configuration in force."""
 
     @property
     def current(self) -> Revision | None:
-        """Return the configuration, or nothing before the first."""
+        """Return the configuration, or None before the first."""
 
 
 class PlacementRounds:
-    """Makes rounds whenever something has changed."""
+    """Makes a placement round whenever something has changed."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         ticket_cache: TicketCache,
         without: frozenset[str] = ALL_ON,
     ) -> None:
-        """Start without a round.
+        """Initialize the rounds of a term.
 
         :param without: mechanisms that are switched off.
         """
@@ -130,8 +131,8 @@
         self._term.estimates.refresh(self._term.sessions.values(), began_s)
         self._migrator.check(idle=not waits)
         if not waits:
-            # Most rounds end here: reports and ends cause rounds too, and
-            # adding up all workers' room is the costly part of a round.
+            # Reports and run ends also trigger rounds, so usually nothing
+            # waits; summing up the workers' capacity is the costly part.
             return
         self._requests.clear()
         planner = Planner(
@@ -153,7 +154,7 @@
             self._assign(placement)
 
     def _preempt(self, plan: Plan) -> None:
-        """Stop the victims; a job's stops of one round count as one."""
+        """Stop the victims; the stops of a job in one round count as one."""
         stopped = {run.key.job_id for run in plan.victims}
         for job_id in stopped:
             job = self._term.jobs.get(job_id)
@@ -186,7 +187,7 @@
     def _valid_tickets(
         self, job: ActiveJob, ready: ReadyStep
     ) -> dict[str, str]:
-        """Return a step's good tickets; note what to ask if they do not do."""
+        """Return a step's valid tickets; if too few, queue a request."""
         usable = {
             session.worker_id: session.incarnation
             for session in self._term.sessions.values()
@@ -206,7 +207,7 @@
         return valid_tickets
 
     def _request_next(self) -> None:
-        """Ask one of the questions of this round."""
+        """Send one of the ticket requests of this round."""
         request = self._ticket_cache.choose(self._requests)
         if request is not None:
             self._requesting = True
@@ -235,13 +236,13 @@
         return rooms
 
     def _speed(self, session: WorkerSession) -> float:
-        """Return a worker's speed, 1.0 if it is not known to differ."""
+        """Return a worker's speed factor, 1.0 unless a deviation is known."""
         if SPEEDS in self._without:
             return 1.0
         return self._term.estimates.speed_of(session).factor
 
     def _failure_score(self, session: WorkerSession) -> float:
-        """Return how many runs failed or stood still at a worker of late."""
+        """Return how many runs recently failed or stalled at a worker."""
         if DOUBT in self._without:
             return 0.0
         if session.failure_times_s:
@@ -258,7 +259,7 @@
         return {one.name: one.guaranteed_gpus for one in revision.workspaces}
 
     def _assign(self, placement: Placement) -> None:
-        """Store the starts, then order them."""
+        """Store the assignments, then order the starts."""
         job = placement.job
         tasks = tuple(key for key, _ in placement.workers)
         gang = placement.ready.step.gang
@@ -293,7 +294,7 @@
         shared: int,
         checkpoint: str,
     ) -> list[Run]:
-        """Note the starts; a gang shares its attempt and its checkpoint."""
+        """Assign tasks; a gang shares its attempt and its checkpoint."""
         job = placement.job
         gang = placement.ready.step.gang
         runs = []
@@ -312,7 +313,7 @@
         return runs
 
     async def _start(self, job: ActiveJob, runs: list[Run]) -> None:
-        """Order the starts once they are stored, one worker after another."""
+        """Order the starts once stored, sequentially at each worker."""
         try:
             await self._writer.stored()
         except LeadershipLostError:
@@ -333,7 +334,7 @@
                 await session.start(run, job.spec.payload)
 
     def _set_gauges(self, waiting: list[JobSpec]) -> None:
-        """Show how many jobs wait, and for how long, by priority."""
+        """Set the number and age of waiting jobs by priority."""
         now_s = self._clock.wall_s()
         if now_s - self._gauges_set_s < GAUGES_INTERVAL_S:
             return
@@ -356,7 +357,7 @@
         )
 
     def _record_pending(self) -> None:
-        """Count each queue's jobs of which nothing has started."""
+        """Store how many jobs of each queue have not started yet."""
         waiting = [
             job.spec
             for job in self._term.jobs.values()
@@ -369,7 +370,7 @@
         self._writer.record_pending(msgspec.json.encode(counts))
 
     def _publish_forecast(self) -> None:
-        """Tell all hosts and operators of what waits for long."""
+        """Publish the forecast, and log what has waited for long."""
         if not self._forecasts.due:
             return
         forecast = self._forecasts.make(self._revision.current)
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -60,8 +60,8 @@
             return True
         return any(run.state == ORDERED for run in self.runs.values())
 
-    def fits(self, run: Run, room: Resources) -> bool:
-        """Return whether a capacity holds one more run beside those sent there.
+    def fits(self, run: Run, capacity: Resources) -> bool:
+        """Return whether a run fits into a capacity beside those sent there.
 
         Runs that are being stopped still use capacity.
         """
@@ -69,7 +69,7 @@
         for one in self.runs.values():
             if one is not run and one.state != MARKED:
                 taken = taken.plus(one.needs)
-        return room.covers(taken)
+        return capacity.covers(taken)
 
     def start_answered(self, run: Run) -> None:
         """Expect a report to list a run, unless one has listed its end."""
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -185,11 +185,11 @@
         An entry of another incarnation does not end any run: it may be older
         than what the worker has reported, so the worker is asked.
         """
-        news = entry.incarnation != self.entry.incarnation
+        changed = entry.incarnation != self.entry.incarnation
         self.entry = entry
         self.listed = True
         self.readable = True
-        if news and not _is_current(self):
+        if changed and not _is_current(self):
             self.increment_token()
 
     def wake(self) -> None:
--- a/src/curranthill/dispatch/spawner.py
+++ b/src/curranthill/dispatch/spawner.py
@@ -1,4 +1,4 @@
-"""Tasks of one term, ended together."""
+"""Background tasks that are cancelled together when a term ends."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,24 +9,24 @@
 
 
 class Spawner:
-    """Runs tasks; one that fails ends the term.
+    """Runs background tasks; a failed task ends the term.
 
     :param over: set once the term is over.
     """
 
     def __init__(self) -> None:
-        """Start without tasks."""
+        """Initialize the spawner without tasks."""
         self.over = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task until it ends or the term does."""
+        """Run a coroutine as a task until it ends or the term does."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._forget)
 
     async def end(self) -> None:
-        """Cancel what is left."""
+        """Cancel the remaining tasks and wait for them."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -1,7 +1,7 @@
-"""The work of one term: jobs, their runs, and what is learnt of both.
+"""The state of one term: its jobs, their runs and the worker sessions.
 
-Whatever is kept here is in the store or at the workers too, so that any host
-can take over.
+All of it is also in the store or at the workers, so that any host can take
+over.
 """
 
 import asyncio
@@ -39,17 +39,19 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import workspace_labels
 
-#: Orders are given only so long after a confirmed write, in seconds: below
+#: Orders are given only so long after a confirmed write, in seconds: less than
 #: the silence after which another host takes over.
 ORDER_FRESHNESS_S: Final = 1.2
 
 
 class TermState:
-    """Jobs and runs; told by sessions, asked by rounds, stored by a journal.
+    """Updates jobs and runs from what the worker sessions report.
 
-    :param ended_at_s: jobs of which only the state is kept, and their ends in
-        wall-clock seconds.
-    :param changed: set whenever a round of placement may find something new.
+    Placement rounds read this state, and the progress writer stores it.
+
+    :param ended_at_s: when jobs ended of which only the final state is kept,
+        in wall-clock seconds.
+    :param changed: set whenever a placement round may find something new.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         spawner: Spawner,
         cleanup: IntakeCleanup,
     ) -> None:
-        """Start without jobs and workers."""
+        """Initialize a term without jobs and workers."""
         self._cleanup = cleanup
         self.jobs: dict[str, ActiveJob] = {}
         self.ended_at_s: dict[str, float] = {}
@@ -79,7 +81,7 @@
             give_up=self._end_job,
         )
 
-    # What sessions ask and tell.
+    # The interface of worker sessions.
 
     def may_renew(self) -> bool:
         """Return whether leases may still be extended."""
@@ -93,11 +95,11 @@
         return not over and self._leadership.age_s < ORDER_FRESHNESS_S
 
     def session_changed(self, session: WorkerSession) -> None:
-        """Make a round soon."""
+        """Request a placement round."""
         self.changed.set()
 
     def run_reported(self, session: WorkerSession, run: Run) -> None:
-        """Keep the newest checkpoint; stop runs of jobs that are over."""
+        """Store the newest checkpoint; stop runs of jobs that have ended."""
         job = self.jobs.get(run.key.job_id)
         if job is None or job.ended or job.runs.get(run.key) is not run:
             run.stop_wanted = True
@@ -112,17 +114,17 @@
         self._losses.clear_if_perpetual(run)
 
     def fenced(self, session: WorkerSession) -> None:
-        """End the term: a worker has seen another leader's token."""
+        """End the term, as a worker has seen another leader's token."""
         events.log('fenced', worker=session.worker_id, token=session.token)
         self._leadership.abandon()
         self._spawner.over.set()
 
     def resend_stop(self, session: WorkerSession, run: Run) -> None:
-        """Order a stop once more that has had no effect yet."""
+        """Order a stop again that has had no effect yet."""
         self._spawner.spawn(session.stop(run))
 
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
-        """Note an end in its job's progress, if it is the newest run's."""
+        """Record the end of a run in its job's progress, if it counts."""
         job = self.jobs.get(end.task.job_id)
         counts = job is not None and self._end_counts(
             job, end, session.worker_id
@@ -160,7 +162,7 @@
         run: Run,
         reason: str,
     ) -> None:
-        """Let the task start anew: this run will never exist again."""
+        """Release the task of a run that does not exist and never will."""
         events.log(
             'run_vanished',
             task=str(run.key),
@@ -187,48 +189,48 @@
         self._losses.record(run, reason, leaving=session.entry.leaving)
 
     def loss_resolved(self, run: Run, *, crashed: bool) -> None:
-        """Count a lapsed run as a crash of its worker, or not at all."""
+        """Count a run with an expired lease as a crash, or not as a loss."""
         self._losses.resolve(run, crashed=crashed)
 
     def needs_of(self, key: TaskKey) -> Resources:
-        """Return the room a task takes."""
+        """Return the resources a task needs."""
         job = self.jobs.get(key.job_id)
         if job is None or key.step >= len(job.spec.steps):
             return Resources()
         return room_needed(job.step_of(key))
 
     async def ends_stored(self) -> None:
-        """Return once all ends noted so far are stored."""
+        """Return once all ends recorded so far are stored."""
         await self._writer.stored()
 
     # Jobs.
 
     def add_job(self, spec: JobSpec, progress: JobProgress) -> ActiveJob:
-        """Take in an accepted job."""
+        """Add an accepted job."""
         job = ActiveJob(spec=spec, progress=progress)
         self.jobs[spec.job_id] = job
         return job
 
     def resume_job(self, job: ActiveJob) -> None:
-        """Go on with a job whose stored runs have been taken in."""
+        """Resume a job whose stored runs have been recovered."""
         if job.spec.job_id in self._cancelled:
             self.cancel(job.spec.job_id)
         self._drop_if_ended(job)
 
     def drop_duplicate(self, job_id: str) -> None:
-        """Drop the new row of a job that is known already."""
+        """Remove the new intake row of a job that is already known."""
         if job_id in self.ended_at_s:
             self._cleanup.add(job_id)
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a job, known already or not."""
+        """Cancel a job, also one whose row has not been read yet."""
         self._cancelled.add(job_id)
         job = self.jobs.get(job_id)
         if job is not None and not job.ended:
             self._end_job(job, CANCELLED)
 
     def evacuate_draining_workers(self) -> None:
-        """Stop what can go on elsewhere from its checkpoint."""
+        """Stop runs on draining workers that can continue elsewhere."""
         for session in self.sessions.values():
             if not session.entry.leaving:
                 continue
@@ -242,10 +244,10 @@
                     self.stop_run(run)
 
     def forget(self, job_id: str) -> None:
-        """Drop the state of a job that ended long ago.
+        """Remove the stored state of a job that ended long ago.
 
-        As long as the job's own row may be there its state stays: without it
-        the job would be taken for a new one.
+        It is kept while the job's intake row may exist: without it, that row
+        would be taken for a new job.
         """
         if self._cleanup.is_pending(job_id):
             return
@@ -262,7 +264,7 @@
         attempt: int,
         session: WorkerSession,
     ) -> Run:
-        """Add a run that takes room at its worker from now on."""
+        """Add a run that uses capacity of its worker from now on."""
         step = job.step_of(key)
         run = Run(
             key=key,
@@ -289,7 +291,7 @@
         key: TaskKey,
         session: WorkerSession,
     ) -> None:
-        """Take a stored mark as a run that may exist."""
+        """Recover a run that may exist from a stored assignment."""
         task = job.progress.task(key)
         run = self.new_run(job, key, task.attempt, session)
         run.state = UNKNOWN
@@ -303,10 +305,11 @@
     def _end_counts(
         self, job: ActiveJob, end: EndReport, worker_id: str
     ) -> bool:
-        """Return whether an end tells something of its task.
+        """Return whether the end of a run says something about its task.
 
-        It is that of the newest run, or a late "done" of a run that was
-        given up when its lease lapsed: then the newer run is needless.
+        It does if the run is the newest one, and also if a run that was
+        dropped when its lease expired turns out to be done: a newer run is
+        then superfluous.
         """
         task = job.progress.peek(end.task)
         if task is None or task.done or job.ended:
@@ -329,10 +332,10 @@
             self._stop_other_members(job, end.task, end.attempt)
 
     def _drop_if_ended(self, job: ActiveJob) -> None:
-        """Drop what nobody needs of a job that ended and runs no more.
+        """Reduce a job that has ended and has no runs to its final state.
 
-        A leader that takes over then reads only the jobs that matter: with
-        400 ended jobs, a host with 5 Mbit/s took over a second for the rest.
+        A leader that takes over then reads only the jobs that still matter:
+        reading 400 ended jobs in full took a host with 5 Mbit/s over a second.
         """
         job_id = job.spec.job_id
         if job_id not in self.jobs or not job.ended or job.runs:
@@ -348,9 +351,9 @@
     def finish_task(
         self, job: ActiveJob, key: TaskKey, attempt: int = 0
     ) -> None:
-        """Take a task and its fellows as done.
+        """Set a task, and the other members of its gang, to done.
 
-        :param attempt: runs of any other attempt are needless and stopped.
+        :param attempt: runs of any other attempt are superfluous and stopped.
         """
         for member in job.members_of(key):
             task = job.progress.task(member)
@@ -379,7 +382,7 @@
         for key in job.members_of(end.task):
             task = job.progress.task(key)
             if end.attempt > task.failed_attempt:
-                # Other members of this attempt may have failed too.
+                # An attempt counts once, however many members fail.
                 task.failed_attempt = end.attempt
                 task.failures += 1
             failures = max(failures, task.failures)
@@ -393,7 +396,7 @@
     def _stop_other_members(
         self, job: ActiveJob, key: TaskKey, attempt: int
     ) -> None:
-        """Stop the rest of a gang that lost one of its members."""
+        """Stop the rest of a gang after one of its members was lost."""
         for member in job.members_of(key):
             run = job.runs.get(member)
             if run is not None and run.attempt == attempt and member != key:
@@ -405,7 +408,7 @@
         state: JobState,
         reason: str = '',
     ) -> None:
-        """Make a job's state final and stop what it still runs."""
+        """Set a job's final state and stop its remaining runs."""
         job.progress.state = state
         job.progress.reason = reason
         job.progress.ended_at_s = self._clock.wall_s()
@@ -421,7 +424,7 @@
         self._drop_if_ended(job)
 
     def stop_run(self, run: Run) -> None:
-        """Order a run to stop, unless it is stopping already."""
+        """Order a run to stop, unless it is being stopped already."""
         session = self.sessions.get(run.worker_id)
         if session is None or run.stop_wanted:
             return
--- a/src/curranthill/dispatch/unready.py
+++ b/src/curranthill/dispatch/unready.py
@@ -1,4 +1,4 @@
-"""Tells operators of jobs that are not ready though nothing of them works."""
+"""Logs jobs that are not ready although none of their runs is active."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -10,19 +10,19 @@
 from curranthill.placement import ActiveJob
 from curranthill.telemetry.events import events
 
-#: Jobs logged for each priority and second, the oldest first.
+#: The most jobs logged per priority and second, the oldest first.
 MAX_LOGGED_JOBS: Final = 2
 
-#: A job is logged that has been held for so long, in seconds: starts, stops
-#: and moves are over sooner.
+#: A job is logged once it has been blocked for so long, in seconds: starts,
+#: stops and moves take less time.
 LOGGED_FROM_S: Final = 2.0
 
-#: Held tasks that one line names; the rest are counted.
+#: The most blocking tasks listed in one log line; the others are counted.
 MAX_NAMED_TASKS: Final = 3
 
 
 class UnreadyJobReporter:
-    """Logs the oldest jobs that something holds, and what it is."""
+    """Logs the oldest blocked jobs with the reason."""
 
     def __init__(
         self,
@@ -30,13 +30,13 @@
         clock: Clock,
         sessions: Mapping[str, WorkerSession],
     ) -> None:
-        """Start with no job known to be held."""
+        """Initialize the reporter without blocked jobs."""
         self._clock = clock
         self._finder = BlockerFinder(clock=clock, sessions=sessions)
         self._since_s: dict[str, float] = {}
 
     def report(self, jobs: Iterable[ActiveJob]) -> None:
-        """Log what holds jobs, given the oldest first."""
+        """Log blocked jobs, given all jobs with the oldest first."""
         blocked = self._find_blocked(jobs)
         now_s = self._clock.monotonic_s()
         self._since_s = {
@@ -44,7 +44,7 @@
             for job, _ in blocked
         }
         logged: dict[int, int] = defaultdict(int)
-        # What is only due later must not hide what is held by a fault.
+        # Jobs that are not due yet must not crowd out those with a fault.
         for job, blocker in sorted(blocked, key=_is_due_later):
             held_s = now_s - self._since_s[job.spec.job_id]
             priority = job.spec.queue.priority
@@ -60,7 +60,7 @@
         blocked = []
         for job in jobs:
             if _is_surely_unblocked(job, now_s):
-                # Most jobs of a backlog end here.
+                # A cheap check that sorts out most jobs of a backlog.
                 continue
             blocker = self._finder.find(job)
             if blocker is not None:
@@ -88,7 +88,7 @@
 
 
 def _is_surely_unblocked(job: ActiveJob, now_s: float) -> bool:
-    """Return whether it is sure at a glance that nothing holds a job."""
+    """Return whether a cheap check shows that nothing blocks a job."""
     progress = job.progress
     if job.runs or progress.done_steps or job.first_due_s > now_s:
         return False
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -1,4 +1,4 @@
-"""Tells operators of workers that are listed and have no use."""
+"""Logs workers that are listed but can't be used."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Final, Literal
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from curranthill.dispatch.session import WorkerSession
 
-#: Why a worker accepts no work, in an operator's words.
+#: Why a worker accepts no work, as logged for operators.
 UnusedReason = Literal[
     'gone',
     'leaving',
@@ -33,20 +33,20 @@
 UNREACHABLE: Final = 'unreachable'
 NOT_SYNCED: Final = 'not synced'
 
-#: A worker is told of that has accepted no work for so long, in seconds.
+#: A worker is logged once it has accepted no work for so long, in seconds.
 LOGGED_FROM_S: Final = 5.0
 
-#: The least time between two lines, in seconds.
+#: The shortest interval between two log lines, in seconds.
 LOG_INTERVAL_S: Final = 5.0
 
-#: Workers that one line names; the rest are counted.
+#: The most workers named in one log line; the others are counted.
 MAX_NAMED_WORKERS: Final = 40
 
 
 class UnusedWorkerReporter:
-    """Logs the listed workers that accept no work, whenever they change.
+    """Logs the listed workers that accept no work whenever they change.
 
-    :param sessions: by worker.
+    :param sessions: the worker sessions by worker id.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         clock: Clock,
         sessions: Mapping[str, 'WorkerSession'],
     ) -> None:
-        """Start with no worker known to be unused."""
+        """Initialize the reporter without unused workers."""
         self._clock = clock
         self._sessions = sessions
         self._since_s: dict[str, float] = {}
@@ -63,7 +63,7 @@
         self._logged_s = clock.monotonic_s() - LOG_INTERVAL_S
 
     def report(self) -> None:
-        """Set the gauge, and log what is unused if that has changed."""
+        """Set the gauge, and log the unused workers if they have changed."""
         unused = self._unused()
         metrics.workers_unused.set(len(unused))
         now_s = self._clock.monotonic_s()
@@ -82,7 +82,7 @@
         )
 
     def _unused(self) -> dict[str, UnusedReason]:
-        """Return why workers are unused that have been so for long."""
+        """Return the reasons of workers that have been unused for long."""
         now_s = self._clock.monotonic_s()
         reasons: dict[str, UnusedReason] = {}
         for worker_id, session in self._sessions.items():
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -1,4 +1,4 @@
-"""Shows operators who waits, for how long and for what."""
+"""Reports which jobs wait, for how long and for what."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -20,25 +20,26 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import OTHERS
 
-#: Workspaces with a gauge label of their own, those with the most waiting jobs.
+#: The most workspaces with a gauge label of their own: those with the most
+#: waiting jobs.
 MAX_WORKSPACE_LABELS: Final = 10
 
-#: Waiting jobs logged for each priority and second, the oldest first.
+#: The most waiting jobs logged per priority and second, the oldest first.
 MAX_LOGGED_JOBS: Final = 2
 
 #: Shorter waits are not logged, in seconds.
 LOGGED_FROM_S: Final = 1.0
 
-#: Jobs that one line names as those that room is kept for.
+#: The most jobs named in one log line as those with reserved capacity.
 MAX_NAMED_JOBS: Final = 3
 
 
 class WorkerCounts(NamedTuple):
-    """What the workers of one service are.
+    """The workers of one service, counted by state.
 
-    :param usable: accept work.
-    :param empty: of these, run nothing.
-    :param with_suspect: of these, have a suspect beside which nothing starts.
+    :param usable: workers that accept work.
+    :param empty: usable workers without a run.
+    :param with_suspect: usable workers with a suspect that runs exclusively.
     """
 
     listed: int
@@ -50,12 +51,12 @@
 class WaitingReporter:
     """Sets the gauges of workspaces, and logs the oldest waiting jobs.
 
-    A job that could start and finds no room waits; one that could not is not
-    ready.
+    A job waits if it could start but lacks free capacity; a job that could not
+    start is blocked and logged as not ready.
     """
 
     def __init__(self, *, clock: Clock, term: TermState) -> None:
-        """Start with nothing shown."""
+        """Initialize the reporter before its first report."""
         self._clock = clock
         self._term = term
         self._unready = UnreadyJobReporter(clock=clock, sessions=term.sessions)
@@ -67,12 +68,12 @@
         rooms_now: Callable[[], Mapping[str, list[Room]]],
         reserved_for: Sequence[str] = (),
     ) -> None:
-        """Show who waits now.
+        """Report the jobs that wait now.
 
         :param guaranteed: guaranteed accelerators by workspace.
-        :param rooms_now: returns the workers that accept work, by service;
-            asked only when a job has waited for long.
-        :param reserved_for: the jobs that the newest round kept room for.
+        :param rooms_now: returns the capacities of the workers that accept
+            work, by service; called only if a job has waited for long.
+        :param reserved_for: the jobs with capacity reserved by the last round.
         """
         open_jobs = sorted(
             (job for job in self._term.jobs.values() if not job.ended),
@@ -122,7 +123,7 @@
             metrics.workspace_waiting_jobs.set(len(ages), labels)
             oldest_s = max(ages, default=0.0)
             metrics.workspace_oldest_waiting_s.set(oldest_s, labels)
-        # One that waits no more is shown once more, as nothing.
+        # A workspace where nothing waits any more is set to zero once.
         self._labelled = {name for name, ages in shown.items() if ages}
 
     def _oldest_waiting(
@@ -153,7 +154,7 @@
         job: ActiveJob,
         reserved_for: Sequence[str],
     ) -> tuple[str, ...]:
-        """Return the other jobs of its service that room is kept for."""
+        """Return the other jobs of its service with reserved capacity."""
         others = (self._term.jobs.get(job_id) for job_id in reserved_for)
         return tuple(
             other.spec.job_id
@@ -168,7 +169,7 @@
         job: ActiveJob,
         rooms: Sequence[Room],
     ) -> WorkerCounts:
-        """Return what the workers of a job's service are.
+        """Count the workers of a job's service by state.
 
         :param rooms: those that accept work.
         """
--- a/src/curranthill/dispatch/workers.py
+++ b/src/curranthill/dispatch/workers.py
@@ -1,7 +1,8 @@
-"""What the leader asks of a worker that runs tasks under a lease.
+"""The interface to workers that run tasks under a lease.
 
-A worker keeps the highest fencing token it has seen and does nothing for a
-lower one. It protects neither its room nor a task from a second run.
+A worker remembers the highest fencing token it has seen and rejects orders
+with a lower one. It neither checks its capacity nor prevents a second run of a
+task: both are up to the leader.
 """
 
 from typing import Final, Literal, NamedTuple, Protocol
@@ -10,8 +11,8 @@
 from curranthill.placement import WorkerEntry
 from curranthill.tasks import TaskKey
 
-#: How a run ended; ``lapsed`` is a lease that ran out, ``broken`` a member
-#: whose gang lost another, ``alone`` one whose gang never came together.
+#: How a run ended; ``lapsed``: its lease expired, ``broken``: its gang lost
+#: another member, ``alone``: its gang was never complete.
 EndKind = Literal['done', 'failed', 'stopped', 'lapsed', 'broken', 'alone']
 
 DONE: Final = 'done'
@@ -24,7 +25,7 @@
 
 
 class RunReport(NamedTuple):
-    """One run that the worker has.
+    """One run that exists at the worker.
 
     :param done_percent: progress of the work, 0 to 100.
     """
@@ -38,7 +39,7 @@
 class EndReport(NamedTuple):
     """One run that ended.
 
-    :param number: grows by one with each end in a worker's incarnation.
+    :param number: incremented with each end in a worker's incarnation.
     """
 
     number: int
@@ -49,9 +50,9 @@
 
 
 class LeaseReport(NamedTuple):
-    """All that a worker has, at one reading of its clock.
+    """The runs and ends of a worker at one reading of its clock.
 
-    :param incarnation: which start of the worker answers, 0 if not told.
+    :param incarnation: the worker's incarnation, 0 if it does not report one.
     """
 
     clock_s: float
@@ -61,9 +62,9 @@
 
 
 class StartOrder(NamedTuple):
-    """One task to start.
+    """The order to start one task.
 
-    :param deadline_s: on the worker's clock; later the start is rejected.
+    :param deadline_s: on the worker's clock; a later start is rejected.
     """
 
     task: TaskKey
@@ -76,12 +77,12 @@
 
 
 class LeaseOrder(NamedTuple):
-    """A renewal that also reads what runs and what ended.
+    """The renewal of a lease, which also reads the runs and ends.
 
     :param acknowledged: ends up to this number may be forgotten.
-    :param deadline_s: on the worker's clock; nothing runs past it. 0 leaves
-        the lease as it is.
-    :param wait_s: how long the answer may wait for an end.
+    :param deadline_s: on the worker's clock; no run continues past it. 0
+        leaves the lease unchanged.
+    :param wait_s: how long the reply may be held back until a run ends.
     """
 
     token: int
@@ -91,9 +92,9 @@
 
 
 class RejectedError(WorkerError):
-    """The worker answered that it did not do what was asked.
+    """The worker rejected an order.
 
-    :param reason: the worker's own reason.
+    :param reason: the reason that the worker gave.
     """
 
     def __init__(
@@ -104,36 +105,37 @@
         peer: str,
         reason: str,
     ) -> None:
-        """Keep the reason."""
+        """Initialize the error with the worker's reason."""
         super().__init__(message, step=step, peer=peer)
         self.reason = reason
 
 
 class WorkerReplacedError(WorkerError):
-    """A worker of another id answered; this one runs nothing more."""
+    """A worker with another id replied; the expected one runs nothing."""
 
 
 class TaskWorker(Protocol):
-    """One worker.
+    """The client of one worker.
 
-    Each method raises :class:`RejectedError` if nothing was done,
-    :class:`WorkerReplacedError` if a worker of another id answered,
+    Each method raises :class:`RejectedError` if the worker rejected the order,
+    :class:`WorkerReplacedError` if a worker with another id replied,
     ``WorkerUnreachableError`` if the call was not sent and
-    ``WorkerReplyLostError`` if its effect is unknown, now or seconds on.
+    ``WorkerReplyLostError`` if its effect is unknown: the call may have taken
+    effect, or may do so seconds later.
     """
 
     async def start(self, order: StartOrder) -> float:
         """Start a task and return the worker's clock in seconds."""
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> float:
-        """Stop a run; its end is listed once it no longer takes room."""
+        """Stop a run; its end is listed once it uses no more capacity."""
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """Renew the lease and return what runs and what ended."""
+        """Renew the lease and return the runs and ends."""
 
 
 class WorkerConnector(Protocol):
-    """Makes clients of workers."""
+    """Creates clients of workers."""
 
     def connect(self, entry: WorkerEntry) -> TaskWorker:
         """Return a client of a worker."""
