--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -53,7 +53,7 @@
     await loss(domain, leader)
     standby = next(one for one in domain.hosts.values() if one is not leader)
     key = TaskKey('a1', 0, 0, 0)
-    accepting = asyncio.ensure_future(standby.desk.accept(make_spec(), 3.0))
+    accepting = asyncio.ensure_future(standby.handler.accept(make_spec(), 3.0))
     while not domain.starts(key):
         await domain.clock.advance(0.01)
     await accepting
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -47,11 +47,11 @@
         revision: RevisionSource,
         closures: ClosureSource,
         advisor: Advisor,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = ALL_ON,
     ) -> None:
         """Initialize a term whose state has not been read yet.
 
-        :param without: mechanisms of placement that are switched off.
+        :param disabled: mechanisms of placement that are switched off.
         """
         self._clock = clock
         self._leadership = leadership
@@ -94,7 +94,7 @@
             spawner=self._spawner,
             revision=revision,
             ticket_cache=TicketCache(advisor=advisor, clock=clock),
-            without=without,
+            disabled=disabled,
         )
 
     @property
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -54,7 +54,7 @@
 class RunMigrator:
     """Checks all runs periodically and moves some of them.
 
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         clock: Clock,
         term: TermState,
         writer: ProgressWriter,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = ALL_ON,
     ) -> None:
         """Initialize the migrator before its first check."""
         self._clock = clock
         self._term = term
         self._writer = writer
-        self._without = without
+        self._disabled = disabled
         self._checked_s = 0.0
 
     def check(self, *, idle: bool) -> None:
@@ -100,7 +100,7 @@
                 move = move_of(run, speed, self._left_s(run))
                 if move is not None and self._may_move(run, move.reason):
                     found.append(_Candidate(session, run, move))
-            if STALLED_MOVES not in self._without:
+            if STALLED_MOVES not in self._disabled:
                 session.stalled_runs = stalled
         return found
 
@@ -116,7 +116,7 @@
 
         A task that stalls on every worker is not stalled by its workers.
         """
-        if _MECHANISMS[reason] in self._without:
+        if _MECHANISMS[reason] in self._disabled:
             return False
         job = self._term.jobs.get(run.key.job_id)
         if job is None or job.runs.get(run.key) is not run:
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -75,18 +75,18 @@
         spawner: Spawner,
         revision: RevisionSource,
         ticket_cache: TicketCache,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = ALL_ON,
     ) -> None:
         """Initialize the rounds of a term.
 
-        :param without: mechanisms that are switched off.
+        :param disabled: mechanisms that are switched off.
         """
-        self._without = without
+        self._disabled = disabled
         self._migrator = RunMigrator(
             clock=clock,
             term=term,
             writer=writer,
-            without=without,
+            disabled=disabled,
         )
         self._ticket_cache = ticket_cache
         self._requesting = False
@@ -142,7 +142,7 @@
             tickets=self._valid_tickets,
             turns=self._windows,
             backlog=self._backlog,
-            without=self._without,
+            without=self._disabled,
             ratio_of=self._term.estimates.ratio_of,
         )
         plan = planner.plan(self._term.jobs.values())
@@ -196,12 +196,12 @@
         }
         valid_tickets = self._ticket_cache.valid_tickets(ready, usable)
         if not self._requesting and len(valid_tickets) < len(ready.tasks):
-            without = {
+            remaining = {
                 worker_id: incarnation
                 for worker_id, incarnation in usable.items()
                 if worker_id not in valid_tickets
             }
-            request = self._ticket_cache.next_request(ready, without)
+            request = self._ticket_cache.next_request(ready, remaining)
             if request is not None:
                 self._requests.append(request)
         return valid_tickets
@@ -237,13 +237,13 @@
 
     def _speed(self, session: WorkerSession) -> float:
         """Return a worker's speed factor, 1.0 unless a deviation is known."""
-        if SPEEDS in self._without:
+        if SPEEDS in self._disabled:
             return 1.0
         return self._term.estimates.speed_of(session).factor
 
     def _failure_score(self, session: WorkerSession) -> float:
         """Return how many runs recently failed or stalled at a worker."""
-        if DOUBT in self._without:
+        if DOUBT in self._disabled:
             return 0.0
         if session.failure_times_s:
             oldest_s = self._clock.monotonic_s() - FAILURE_MEMORY_S
@@ -374,7 +374,7 @@
         if not self._forecasts.due:
             return
         forecast = self._forecasts.make(self._revision.current)
-        if TURNING_AWAY not in self._without:
+        if TURNING_AWAY not in self._disabled:
             content = msgspec.to_builtins(forecast, str_keys=True)
             self._writer.publish_forecast(content)
         self._waiting_reporter.report(
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -236,7 +236,7 @@
                 caller=self._caller,
                 address=self._settings.advisor_address,
             ),
-            without=self._without,
+            disabled=self._without,
         )
         try:
             await self._leader.run()
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -154,7 +154,7 @@
     :param renewal_delay_s: how long a renewal takes beyond its wait.
     :param unreadable: hosts that cannot read the operators' rows.
     :param away_s: how long a crashed worker is away.
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     :param same_id: whether it comes back under its id or under another.
     :param others: how many other hosts each host is told of.
     """
@@ -174,7 +174,7 @@
         self.renewals = RenewalCount()
         self.unreadable: set[str] = set()
         self.same_id = True
-        self.without: frozenset[str] = ALL_ON
+        self.disabled: frozenset[str] = ALL_ON
         self.others = 0
         for number in range(workers):
             self.add_worker(f'w{number}', run_s=run_s)
@@ -485,7 +485,7 @@
             operator_rows=self.closures,
             others=lambda: domain.others,
         )
-        self.desk = Desk(
+        self.handler = Desk(
             store=self._store,
             clock=self.clock,
             health=self.health,
@@ -503,7 +503,7 @@
 
     async def accept(self, spec: JobSpec) -> None:
         """Accept a job while time moves on."""
-        await self.during(self.desk.accept(spec, 3.0))
+        await self.during(self.handler.accept(spec, 3.0))
 
     async def during(self, work: Awaitable[object]) -> object:
         """Move time on until some work is done; return its result."""
@@ -548,7 +548,7 @@
             revision=FixedRevision(),
             closures=self.closures,
             advisor=self._domain.advisor,
-            without=self._domain.without,
+            disabled=self._domain.disabled,
         )
         try:
             await self.leader.run()
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -22,7 +22,7 @@
             domain.rows.commit_s = 0.3
             accepted = asyncio.gather(
                 *(
-                    host.desk.accept(make_spec(f'job-{number}'), 3.0)
+                    host.handler.accept(make_spec(f'job-{number}'), 3.0)
                     for number in range(20)
                 ),
             )
@@ -40,7 +40,7 @@
             host = domain.start_host('h1')
             await domain.leader()
             domain.rows.commit_s = 5.0
-            asked = asyncio.ensure_future(host.desk.accept(make_spec(), 1.0))
+            asked = asyncio.ensure_future(host.handler.accept(make_spec(), 1.0))
             await domain.clock.until(asked.done, within_s=0.55)
             with self.assertRaises(RefusedError) as caught:
                 asked.result()
@@ -60,12 +60,14 @@
             host.election.resign()
             await domain.clock.advance(0.5)
             await host.accept(make_spec())
-            self.assertEqual(await host.during(host.desk.state('a1')), 'queued')
-            self.assertIsNone(await host.during(host.desk.state('a2')))
-            pending = host.desk.pending(make_queue(), count_afresh=True)
+            self.assertEqual(
+                await host.during(host.handler.state('a1')), 'queued'
+            )
+            self.assertIsNone(await host.during(host.handler.state('a2')))
+            pending = host.handler.pending(make_queue(), count_afresh=True)
             self.assertEqual(await host.during(pending), 1)
-            self.assertTrue(await host.during(host.desk.cancel('a1')))
-            self.assertFalse(await host.during(host.desk.cancel('a2')))
+            self.assertTrue(await host.during(host.handler.cancel('a1')))
+            self.assertFalse(await host.during(host.handler.cancel('a2')))
             domain.start_host('h2')
             self.assertEqual(await domain.ended('a1'), 'cancelled')
             self.assertEqual(domain.starts(FIRST), [])
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -509,7 +509,7 @@
             seven = Step(width=1, needs=Resources(1000, 1024, 7))
             await host.accept(make_spec('a1', seven))
             await domain.clock.advance(0.1)
-            await host.during(host.desk.cancel('a1'))
+            await host.during(host.handler.cancel('a1'))
             await domain.clock.advance(3.5)
             domain.workers['w0'].start_delay_s = 0
             await host.accept(make_spec('c1', seven))
@@ -628,7 +628,7 @@
             await domain.leader()
             await host.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            await host.during(host.desk.cancel('a1'))
+            await host.during(host.handler.cancel('a1'))
             self.assertEqual(await domain.ended('a1'), 'cancelled')
             await domain.clock.until(lambda: running(domain) == 0, within_s=1)
             await host.kill()
@@ -798,7 +798,7 @@
                 worker.failing = True
             await domain.clock.until(lambda: len(domain.starts(FIRST)) >= 8)
             self.assertEqual(domain.state('a1'), 'running')
-            await host.during(host.desk.cancel('a1'))
+            await host.during(host.handler.cancel('a1'))
             self.assertEqual(await domain.ended('a1'), 'cancelled')
 
         in_domain(case)
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -55,7 +55,7 @@
 
         async def hand_in() -> None:
             try:
-                await host.desk.accept(spec, 3.0)
+                await host.handler.accept(spec, 3.0)
             except RefusedError as refused:
                 if refused.status == 503:
                     self.refused.add(job_id)
@@ -72,7 +72,7 @@
 
         async def cancel() -> None:
             try:
-                await host.desk.cancel(job_id)
+                await host.handler.cancel(job_id)
             except RefusedError:
                 return
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -54,7 +54,7 @@
     """Hand in all at once, before anybody can know."""
     burst = asyncio.gather(
         *(
-            host.desk.accept(gang(f'w{number}', domain), 3.0)
+            host.handler.accept(gang(f'w{number}', domain), 3.0)
             for number in range(OVERLOAD)
         ),
     )
@@ -181,7 +181,7 @@
         """By name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
-            domain.without = checked(('turning-away',))
+            domain.disabled = checked(('turning-away',))
             _, second = await overload(domain)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
@@ -259,7 +259,7 @@
             spec = gang('new', domain)
             calm_s = domain.rows.commit_s
             domain.rows.commit_s = 5.0
-            asked = asyncio.ensure_future(second.desk.accept(spec, 1.0))
+            asked = asyncio.ensure_future(second.handler.accept(spec, 1.0))
             await domain.clock.advance(0.0)
             domain.rows.commit_s = calm_s
             with self.assertRaises(RefusedError) as caught:
--- a/tests/test_gangs_end.py
+++ b/tests/test_gangs_end.py
@@ -92,7 +92,7 @@
 
         async def hand_in() -> None:
             try:
-                await host.desk.accept(spec, 3.0)
+                await host.handler.accept(spec, 3.0)
             except RefusedError:
                 self.refused.add(job_id)
 
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -159,7 +159,7 @@
             other = domain.start_host('h2')
             await domain.clock.advance(1)
             accepting = asyncio.ensure_future(
-                other.desk.accept(make_spec('a1'), 3.0),
+                other.handler.accept(make_spec('a1'), 3.0),
             )
             await domain.clock.advance(0.001)
             await suspended(domain, other, 10.0)
--- a/tests/test_unfinished_waits.py
+++ b/tests/test_unfinished_waits.py
@@ -62,7 +62,7 @@
             worker = domain.workers['w0']
             worker.down = True
             accepting = asyncio.ensure_future(
-                host.desk.accept(make_spec('a1'), 3.0),
+                host.handler.accept(make_spec('a1'), 3.0),
             )
             while domain.session('w0').reachable:
                 # Only the start finds it down, not the renewal after it.
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -316,7 +316,7 @@
                 self.assertEqual(len(gauge.values), 11)
                 self.assertEqual(sum(gauge.values.values()), 16)
                 for number in range(18):
-                    await host.during(host.desk.cancel(f'w{number}'))
+                    await host.during(host.handler.cancel(f'w{number}'))
                 await domain.clock.advance(3.0)
                 self.assertEqual(sum(gauge.values.values()), 0)
 
