--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -21,7 +21,7 @@
 #: How many first requests may be sent while a repeated one waits.
 FIRST_REQUESTS_PER_REPEAT: Final = 4
 
-#: The delay after a request without a reply, in seconds.
+#: The delay after a request without a response, in seconds.
 RETRY_S: Final = 0.3
 
 #: A ticket is not used for its last part, in seconds: a start may be under way
@@ -30,7 +30,7 @@
 
 
 class Advice(NamedTuple):
-    """The reply of an advisor.
+    """The response of an advisor.
 
     :param tickets: by the ids of the workers that may run the step.
     :param validity_s: how long the tickets are valid, in seconds.
@@ -41,7 +41,7 @@
 
 
 class AdvisorError(CurranthillError):
-    """The advisor did not reply, or has too many requests queued."""
+    """The advisor did not respond, or has too many requests queued."""
 
 
 class Advisor(Protocol):
@@ -50,7 +50,7 @@
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
         """Request tickets for those of the workers that may run a step.
 
-        :raises AdvisorError: if there was no reply.
+        :raises AdvisorError: if there was no response.
         """
 
 
@@ -148,7 +148,7 @@
         return min(repeats, key=self._last_request_number, default=None)
 
     async def request(self, request: TicketRequest) -> None:
-        """Request tickets for some workers and cache those in the reply."""
+        """Request tickets for some workers and cache those in the response."""
         self._record_request(request)
         name, workers = request.ready.name, request.workers
         try:
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -17,8 +17,9 @@
 from curranthill.telemetry.events import events
 
 #: Why a run was dropped that may have crashed its worker. ``gone`` and
-#: ``restarted``: another incarnation or worker replied. ``lapsed``: there was
-#: no reply for as long as a lease lasts, so the worker crashed or was cut off.
+#: ``restarted``: another incarnation or worker responded. ``lapsed``: there was
+#: no response for as long as a lease lasts, so the worker crashed or was cut
+#: off.
 WORKER_REMOVED: Final = 'worker gone'
 WORKER_RESTARTED: Final = 'worker restarted'
 LEASE_LAPSED: Final = 'lease lapsed'
@@ -55,7 +56,7 @@
         self._owner = owner
 
     def add(self, run: Run) -> None:
-        """Keep a run until the worker replies or is removed."""
+        """Keep a run until the worker responds or is removed."""
         self._runs.append(run)
 
     def adopt(self, previous: 'UnconfirmedLosses') -> None:
@@ -68,7 +69,7 @@
             self._owner.loss_resolved(run, crashed=crashed)
 
     def resolve_by_incarnation(self, incarnation: int) -> None:
-        """Resolve all runs by the incarnation that replied."""
+        """Resolve all runs by the incarnation that responded."""
         for run in self.pop_all():
             both_known = run.incarnation and incarnation
             crashed = bool(both_known) and run.incarnation != incarnation
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -26,7 +26,7 @@
 POLL_S: Final = 0.35
 
 #: The interval while the row changes and many hosts read it, in seconds: a
-#: reply that comes up to 0.29 s later than the previous one is then still in
+#: response that comes up to 0.29 s later than the previous one is then still in
 #: time for the store to count as reachable.
 SHARED_POLL_S: Final = 0.55
 
@@ -198,7 +198,7 @@
             return
         holder = leader.holder
         # A row with this host's own name was written by an earlier process, or
-        # by a takeover whose reply was lost: no leader stands behind it.
+        # by a takeover whose response was lost: no leader stands behind it.
         occupied = holder not in {'', self._holder}
         if occupied and not self._may_replace(leader):
             return
@@ -234,7 +234,7 @@
     def _has_stale_operator_rows(self, steady_since_s: float) -> bool:
         """Return whether the operators' rows have not been read for long.
 
-        :param steady_since_s: since when the store has answered this host: an
+        :param steady_since_s: since when the store has been responding here: an
             outage of the whole store does not count as stale rows.
         """
         known_s = max(self._operator_rows.read_s, steady_since_s)
--- a/src/curranthill/dispatch/ends.py
+++ b/src/curranthill/dispatch/ends.py
@@ -8,7 +8,7 @@
 from curranthill.dispatch.workers import EndReport
 
 #: While ends wait to be stored a renewal is made this often, in seconds: the
-#: worker lists the same ends again in the reply to each one.
+#: worker lists the same ends again in the response to each one.
 UNSTORED_RETRY_S: Final = 0.5
 
 
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -21,8 +21,8 @@
 #: workers have reported their runs.
 FIRST_DELAY_S: Final = 2.0
 
-#: No job is refused for so long after a call without a reply, in seconds: the
-#: store may still apply a write whose outcome is open, so a job could run
+#: No job is refused for so long after a call without a response, in seconds:
+#: the store may still apply a write whose outcome is open, so a job could run
 #: although its repeated request was refused.
 REFUSAL_PAUSE_S: Final = 5.0
 
@@ -139,7 +139,7 @@
         self._since_s = self._clock.monotonic_s()
 
     def missed(self) -> None:
-        """Record a failed read, or a write without a reply."""
+        """Record a failed read, or a write without a response."""
         self._missed_s = self._clock.monotonic_s()
 
 
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -53,7 +53,7 @@
 
     :param holder: the leading process, or empty after it stepped down.
     :param epoch: incremented with each change of the holder.
-    :param operation: unique to each write, to recognize a write whose reply
+    :param operation: unique to each write, to recognize a write whose response
         was lost.
     :param previous_s: for how long from this write the leaders before the
         holder may still renew leases, in seconds.
--- a/src/curranthill/dispatch/probing.py
+++ b/src/curranthill/dispatch/probing.py
@@ -16,8 +16,8 @@
 #: workers were probed all at once, 15 of 17 terms were lost within 12 s.
 MAX_CONCURRENT_PROBES: Final = 32
 
-#: How long a worker that does not reply may occupy a slot, in seconds: a reply
-#: usually takes a few milliseconds, and a probe times out after 0.7 s.
+#: How long a worker that does not respond may occupy a slot, in seconds: a
+#: response usually takes a few milliseconds, and a probe times out after 0.7 s.
 SLOT_HOLD_S: Final = 0.05
 
 
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -32,7 +32,7 @@
 
     :param runs: by task and attempt.
     :param ends: of the worker's current incarnation.
-    :param unconfirmed: runs whose start was answered and that no report has
+    :param unconfirmed: runs whose start got a response and that no report has
         listed yet.
     """
 
@@ -98,7 +98,7 @@
         order: LeaseOrder,
         sent_s: float,
     ) -> None:
-        """Apply the report that answers an order sent at the given time."""
+        """Apply the report that responds to an order sent at the given time."""
         seen = {(one.task, one.attempt) for one in report.runs}
         new_ends = self.ends.unrecorded(report.ends)
         self._log_skipped_ends(report.ends)
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -2,8 +2,8 @@
 
 The session renews the worker's lease while anything may run there, reads
 which runs exist and which have ended, and increments the fencing token after
-every order whose effect is unknown: once a call under the new token is
-answered, no older order can take effect.
+every order whose effect is unknown: once a call under the new token gets a
+response, no older order can take effect.
 """
 
 import asyncio
@@ -54,8 +54,8 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Fencing tokens reserved for each epoch. One lost reply increments the token
-#: once, which in one term of one leader stays far below this.
+#: Fencing tokens reserved for each epoch. Each lost response increments the
+#: token once, which in one term of one leader stays far below this.
 TOKENS_PER_EPOCH: Final = 1 << 20
 
 #: How long a renewal may wait at the worker for a run to end, in seconds: the
@@ -66,7 +66,7 @@
 #: reports within a second then show that it is stalled.
 FIRST_PROGRESS_WAIT_S: Final = 0.35
 
-#: The delay after a renewal without a reply, in seconds.
+#: The delay after a renewal without a response, in seconds.
 LOST_REPLY_DELAY_S: Final = 0.25
 
 #: No start is sent to a worker for so long after it rejected one, in seconds:
@@ -78,7 +78,7 @@
     """The session of one worker id, across all incarnations of the worker.
 
     :param entry: the worker's newest entry.
-    :param incarnation: the one that replied last; 0 until one is known.
+    :param incarnation: the one that responded last; 0 until one is known.
     :param runs: all runs that may exist there, by task and attempt.
     :param readable: whether the newest entry could be read.
     :param failure_times_s: when runs failed or stalled here since the last run
@@ -101,7 +101,7 @@
         closures: ClosureSource,
         probe_limiter: ProbeLimiter,
     ) -> None:
-        """Initialize the session of a worker that has not replied yet.
+        """Initialize the session of a worker that has not responded yet.
 
         :param token: the fencing token of the first order.
         """
@@ -133,7 +133,7 @@
         self._wake_event = asyncio.Event()
         self._order_lock = asyncio.Lock()
         # Cleared when the token is incremented, and set by the next renewal
-        # under the new token: its reply, or the lack of one, resolves what
+        # under the new token: its response, or the lack of one, resolves what
         # became of the earlier orders.
         self._orders_resolved = asyncio.Event()
         self._orders_resolved.set()
@@ -224,7 +224,7 @@
                 self._run_list.drop_absent(run, 'placed before a restart')
                 return
             if self.entry.leaving or not self.reachable:
-                # This changed while lost replies delayed the start.
+                # This changed while lost responses delayed the start.
                 leaving = self.entry.leaving
                 reason = 'worker leaving' if leaving else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
@@ -340,7 +340,7 @@
         return ended and not self._wake_event.is_set()
 
     async def _renew(self) -> None:
-        """Make one renewal and apply its reply."""
+        """Make one renewal and apply its response."""
         await self._run_list.ends.acknowledge()
         if self._worker is None or not self._owner.may_renew():
             await self._clock.sleep(LOST_REPLY_DELAY_S)
@@ -431,7 +431,7 @@
         )
         if rejected.reason != FENCE:
             # Nothing was renewed, so the lease expires as it does for a worker
-            # that does not reply.
+            # that does not respond.
             self._set_unreachable(rejected)
             self._check_expiry()
         elif order.token == self._token:
@@ -439,14 +439,14 @@
             self._owner.fenced(self)
 
     async def _handle_lost_reply(self, error: WorkerError) -> None:
-        """Handle a renewal without a reply, whose effect is unknown."""
+        """Handle a renewal without a response, whose effect is unknown."""
         self._set_unreachable(error)
         self.increment_token()
         await self._clock.sleep(LOST_REPLY_DELAY_S)
         self._check_expiry()
 
     def _set_unreachable(self, error: WorkerError) -> None:
-        """Exclude the worker from placement until it replies."""
+        """Exclude the worker from placement until it responds."""
         if not self.reachable:
             return
         events.log(
@@ -480,9 +480,9 @@
         self._wake_event.set()
 
     def _read_clock(self, clock_s: float, known_s: float) -> None:
-        """Store the worker's clock from the reply to an order.
+        """Store the worker's clock from the response to an order.
 
-        :param known_s: the clock as known when the order was sent. A reply
+        :param known_s: the clock as known when the order was sent. A response
             with an earlier clock comes from another incarnation: a renewal
             asks which one.
         """
@@ -501,7 +501,7 @@
     def _check_incarnation(self, report: LeaseReport, known_s: float) -> None:
         """Reset what is known of a worker that restarted under its id.
 
-        Renewals are answered in the order in which they are sent, so a
+        Renewals get a response in the order in which they are sent, so a
         different incarnation is always a newer one.
         """
         restarted = report.incarnation != self.incarnation
@@ -529,7 +529,7 @@
     def remove(self, *, replaced: bool = False) -> None:
         """Mark the worker's id as removed for good.
 
-        :param replaced: whether another worker replied at its address.
+        :param replaced: whether another worker responded at its address.
         """
         if self.removed:
             return
@@ -572,7 +572,7 @@
 
 
 def _is_current(session: WorkerSession) -> bool:
-    """Return whether the entry is of the incarnation that replied.
+    """Return whether the entry is of the incarnation that responded.
 
     Another incarnation may be of another kind, with other capacity and labels.
     """
--- a/src/curranthill/dispatch/workers.py
+++ b/src/curranthill/dispatch/workers.py
@@ -82,7 +82,7 @@
     :param acknowledged: ends up to this number may be forgotten.
     :param deadline_s: on the worker's clock; no run continues past it. 0
         leaves the lease unchanged.
-    :param wait_s: how long the reply may be held back until a run ends.
+    :param wait_s: how long the response may be held back until a run ends.
     """
 
     token: int
@@ -111,14 +111,14 @@
 
 
 class WorkerReplacedError(WorkerError):
-    """A worker with another id replied; the expected one runs nothing."""
+    """A worker with another id responded; the expected one runs nothing."""
 
 
 class TaskWorker(Protocol):
     """The client of one worker.
 
     Each method raises :class:`RejectedError` if the worker rejected the order,
-    :class:`WorkerReplacedError` if a worker with another id replied,
+    :class:`WorkerReplacedError` if a worker with another id responded,
     ``WorkerUnreachableError`` if the call was not sent and
     ``WorkerReplyLostError`` if its effect is unknown: the call may have taken
     effect, or may do so seconds later.
