--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -131,7 +131,7 @@
             _, second = await overload(domain)
             await domain.ended(f'w{OVERLOAD - 1}', within_s=200)
             self.assertFalse(await is_refused(second, gang('new', domain)))
-            self.assertIsNone(told(domain).outlook)
+            self.assertIsNone(told(domain).forecast)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
@@ -297,11 +297,11 @@
             7,
         )
         for outlook in forms:
-            row = LeaderRow(holder='h', epoch=3, outlook=outlook)
+            row = LeaderRow(holder='h', epoch=3, forecast=outlook)
             read = decode(encode(row), LeaderRow)
             self.assertEqual(read, row)
         older = decode(msgspec.json.encode(['h', 3, 'x', 0.0]), LeaderRow)
-        self.assertIsNone(older.outlook)
+        self.assertIsNone(older.forecast)
 
     def test_hosts_that_read_another_form_refuse_nobody(self) -> None:
         """They accept as before."""
--- a/tests/test_many_workers.py
+++ b/tests/test_many_workers.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest.mock import patch
 
-from curranthill.dispatch.rounds import Rounds
+from curranthill.dispatch.rounds import PlacementRounds
 from curranthill.tasks import TaskKey
 from tests.domain import Domain, in_domain, make_spec
 
@@ -67,7 +67,7 @@
 
 
 class RoundTest(unittest.TestCase):
-    """Rounds that find nothing to place."""
+    """PlacementRounds that find nothing to place."""
 
     def test_a_round_without_waiting_work_looks_at_no_worker(self) -> None:
         """All runs; ends and reports cause rounds all the same."""
@@ -77,7 +77,7 @@
             await domain.leader()
             await host.accept(make_spec('a1'))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            with patch.object(Rounds, '_rooms') as rooms:
+            with patch.object(PlacementRounds, '_capacities') as rooms:
                 await domain.clock.advance(3)
                 self.assertFalse(rooms.called)
             await host.accept(make_spec('b2'))
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -88,7 +88,7 @@
     async def test_a_worker_that_is_used_again_is_told_too(self) -> None:
         """As a line without it."""
         watch = Watch()
-        watch.sessions['w001'].unused_reason = unused.LEAVING
+        watch.sessions['w001'].unused_reason = unused.DRAINING
         await watch.look(10)
         watch.sessions['w001'].unused_reason = None
         lines = await watch.look(10)
@@ -143,7 +143,7 @@
             self.assertIsNone(session.unused_reason)
             self.assertTrue(session.accepts_work)
             for name, state, reason in (
-                ('gone', True, unused.GONE),
+                ('removed', True, unused.REMOVED),
                 ('readable', False, unused.UNREADABLE),
                 ('rejected_s', domain.clock.monotonic_s(), unused.REJECTED),
                 ('incarnation', 7, unused.OTHER_INCARNATION),
@@ -193,7 +193,7 @@
             self.assertEqual(found['listed'], 4)
             self.assertEqual(
                 {
-                    unused.LEAVING: [leaving],
+                    unused.DRAINING: [leaving],
                     unused.UNREADABLE: [bad],
                     unused.CLOSED: ['far'],
                 },
