--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -2,7 +2,7 @@
 
 Drawn from a seed, so that the same round can be planned again: gangs and
 plain tasks hold nearly all accelerators, some runs are being stopped, some
-workers are in doubt, and urgent gangs, long gangs and wide steps wait.
+workers have failures, and urgent gangs, long gangs and wide steps wait.
 """
 
 import random
@@ -13,8 +13,8 @@
     ActiveJob,
     Plan,
     Planner,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
 )
 from curranthill.tasks import (
@@ -63,13 +63,13 @@
     """One drawn moment.
 
     :param runs: the runs of each worker.
-    :param doubts: how far each worker is in doubt.
+    :param failure_scores: by worker.
     :param jobs: jobs that run or wait.
     """
 
     entries: tuple[WorkerEntry, ...]
     runs: dict[str, list[Run]]
-    doubts: dict[str, float]
+    failure_scores: dict[str, float]
     jobs: list[ActiveJob]
     guaranteed: dict[str, int]
 
@@ -78,11 +78,11 @@
     """Return a cluster that is nearly full, with so many jobs that wait."""
     source = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
-    free = {entry.worker_id: entry.room for entry in entries}
+    free = {entry.worker_id: entry.capacity for entry in entries}
     cluster = FullCluster(
         entries=entries,
         runs={entry.worker_id: [] for entry in entries},
-        doubts={
+        failure_scores={
             entry.worker_id: float(source.choice((0, 0, 0, 0, 0, 0, 1, 2)))
             for entry in entries
         },
@@ -103,15 +103,15 @@
 def plan_round(cluster: FullCluster) -> Plan:
     """Return what one round decides, from the runs as they are."""
     rooms = [
-        Room(
+        WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
-            doubt=cluster.doubts[entry.worker_id],
+            failure_score=cluster.failure_scores[entry.worker_id],
         )
         for entry in cluster.entries
     ]
     planner = Planner(
-        rooms={SERVICE: rooms},
+        workers={SERVICE: rooms},
         guaranteed=cluster.guaranteed,
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -129,7 +129,7 @@
         service=SERVICE,
         address=f'10.0.0.1:{number}',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', f'r{number // WORKERS_PER_RACK}'),
     )
 
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -116,7 +116,7 @@
     job: ActiveJob, sessions: Sessions
 ) -> Iterator[Finding]:
     """Yield a job that has not ended although all its tasks are done."""
-    if job.lasting or job.runs or not job.begun:
+    if job.perpetual or job.runs or not job.begun:
         return
     steps = len(job.spec.steps)
     for occurrence in range(job.spec.occurrences):
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -11,7 +11,7 @@
 
 from curranthill.dispatch.owner import SessionOwner
 from curranthill.dispatch.progress_writer import ProgressWriter
-from curranthill.placement import MARKED, ActiveJob, Run
+from curranthill.placement import ASSIGNED, ActiveJob, Run
 from curranthill.tasks import FAILED, JobState, TaskProgress
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -116,7 +116,7 @@
         if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
         metrics.runs_lost.add(1)
-        job.note_losses(run.key)
+        job.update_suspect(run.key)
         self._log_and_check(job, run, reason)
 
     def resolve(self, run: Run, *, crashed: bool) -> None:
@@ -127,23 +127,23 @@
             return
         if not crashed:
             task.losses = max(0, task.losses - 1)
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._writer.record(job)
         elif run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._log_and_check(job, run, 'crashed after all')
 
     def clear_if_perpetual(self, run: Run) -> None:
         """Clear the losses of a perpetual task that has run for long."""
-        if not run.lasting or run.age_s < LOSSES_CLEARED_AFTER_S:
+        if not run.perpetual or run.age_s < LOSSES_CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
         task = job.progress.task(run.key)
         if task.losses:
             task.losses = 0
             task.prompt_crashes = 0
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._writer.record(job)
 
     def _log_and_check(self, job: ActiveJob, run: Run, reason: str) -> None:
@@ -178,7 +178,7 @@
     A run whose start was never sent cannot have done so, and a worker that
     announced that it drains was expected to stop.
     """
-    return run.state != MARKED and not leaving and reason in _LOST
+    return run.state != ASSIGNED and not leaving and reason in _LOST
 
 
 def is_given_up(task: TaskProgress) -> bool:
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -136,11 +136,11 @@
             try:
                 row = await self._store.read(tables.LEADER, tables.LEADER_KEY)
             except StorageError as error:
-                self._health.failed(error)
+                self._health.record_failure(error)
                 self.forecasts.missed()
                 pause_s = FAILED_POLL_S * random.uniform(0.8, 1.2)
             else:
-                self._health.answered()
+                self._health.record_reply()
                 self._record_read(row)
                 await self._consider_takeover(row)
                 pause_s = self._pause_s(asked_s)
@@ -246,7 +246,7 @@
             while not term.done():
                 # The leader's own writes show whether the store is reachable.
                 if leadership.age_s < UNREACHABLE_S:
-                    self._health.answered()
+                    self._health.record_reply()
                 self._ask_for_successor(leadership)
                 self.forecasts.update(leadership.epoch, leadership.forecast)
                 await wait_at_most(term, timeout_s=POLL_S, clock=self._clock)
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from curranthill.admission import Outlook, ServiceRoom, outlook_of
+from curranthill.admission import Forecast, ServiceResources, make_forecast
 from curranthill.clock import Clock
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.term_state import TermState
-from curranthill.placement import Room
+from curranthill.placement import WorkerCapacity
 from curranthill.tasks import Resources, Revision
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -42,15 +42,15 @@
         """Return whether it is time for another forecast."""
         return self._clock.monotonic_s() >= self._due_s
 
-    def make(self, revision: Revision | None) -> Outlook | None:
+    def make(self, revision: Revision | None) -> Forecast | None:
         """Return a new forecast, or None without a configuration."""
         self._due_s = self._clock.monotonic_s() + PUBLISH_INTERVAL_S
         if revision is None:
             return None
         self._number += 1
-        return outlook_of(
+        return make_forecast(
             self._term.jobs.values(),
-            rooms=self._capacities(),
+            resources=self._capacities(),
             guaranteed={
                 one.name: one.guaranteed_gpus for one in revision.workspaces
             },
@@ -58,7 +58,7 @@
             number=self._number,
         )
 
-    def _capacities(self) -> dict[str, ServiceRoom]:
+    def _capacities(self) -> dict[str, ServiceResources]:
         """Return the capacity of all listed workers by service, busy or not.
 
         Unreachable workers count too: an estimate of the wait that is too
@@ -69,10 +69,10 @@
             if session.listed and not session.removed:
                 by_service.setdefault(session.entry.service, []).append(session)
         return {
-            service: ServiceRoom(
+            service: ServiceResources(
                 reduce(
                     Resources.plus,
-                    (session.entry.room for session in sessions),
+                    (session.entry.capacity for session in sessions),
                 ),
                 _LargestFree(sessions),
             )
@@ -90,10 +90,10 @@
         """Return the most that is free on any worker, for each resource."""
         largest = Resources()
         for session in self._sessions:
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=0.0,
+                failure_score=0.0,
             )
             largest = Resources(*map(max, largest, room.free))
         return largest
@@ -112,11 +112,11 @@
         self._clock = clock
         self._content: Any = None
         self._epoch = 0
-        self._forecast: Outlook | None = None
+        self._forecast: Forecast | None = None
         self._since_s = 0.0
         self._missed_s = -REFUSAL_PAUSE_S
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest forecast and its age in seconds."""
         now_s = self._clock.monotonic_s()
         if now_s - self._missed_s < REFUSAL_PAUSE_S:
@@ -143,11 +143,11 @@
         self._missed_s = self._clock.monotonic_s()
 
 
-def _decoded(content: Any) -> Outlook | None:
+def _decoded(content: Any) -> Forecast | None:
     if content is None:
         return None
     try:
-        return msgspec.convert(content, Outlook, str_keys=True)
+        return msgspec.convert(content, Forecast, str_keys=True)
     except msgspec.ValidationError as error:
         # The forecast may be of another release; the row itself stays valid.
         events.log('outlook_bad', error=str(error))
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -19,7 +19,7 @@
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.workers import WorkerConnector
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.storage.rows import RowStore
 from curranthill.tasks import Timing
 from curranthill.telemetry import metrics
@@ -47,7 +47,7 @@
         revision: RevisionSource,
         closures: ClosureSource,
         advisor: Advisor,
-        disabled: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Initialize a term whose state has not been read yet.
 
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -7,7 +7,7 @@
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.term_state import TermState
 from curranthill.placement import (
-    ALL_ON,
+    NONE_DISABLED,
     SLOW,
     SLOW_MOVES,
     STALLED,
@@ -63,7 +63,7 @@
         clock: Clock,
         term: TermState,
         writer: ProgressWriter,
-        disabled: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Initialize the migrator before its first check."""
         self._clock = clock
@@ -166,8 +166,8 @@
     Until then members wait for each other, so a stall says nothing about a
     worker.
     """
-    whole_s = run.reported_s - job.whole_since_s(run.key)
-    return whole_s >= run.shortest_stall_s
+    whole_s = run.reported_s - job.gang_running_since_s(run.key)
+    return whole_s >= run.min_stall_s
 
 
 def _fits(session: WorkerSession, run: Run) -> bool:
@@ -175,7 +175,7 @@
     taken = run.needs
     for one in session.runs.values():
         taken = taken.plus(one.needs)
-    return session.entry.room.covers(taken)
+    return session.entry.capacity.covers(taken)
 
 
 __all__ = ('RunMigrator',)
--- a/src/curranthill/dispatch/pace_estimates.py
+++ b/src/curranthill/dispatch/pace_estimates.py
@@ -5,12 +5,12 @@
 
 from curranthill.placement import (
     ActiveJob,
-    DurationBook,
+    DurationEstimator,
     Observation,
     Run,
     Speed,
-    SpeedBook,
-    level_of,
+    SpeedEstimator,
+    speed_level,
 )
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -33,8 +33,8 @@
 
     def __init__(self) -> None:
         """Initialize the estimates without observations."""
-        self.durations = DurationBook()
-        self.speeds = SpeedBook(durations=self.durations)
+        self.durations = DurationEstimator()
+        self.speeds = SpeedEstimator(durations=self.durations)
         self._refreshed_s = 0.0
         self._logged_levels: dict[str, int] = {}
 
@@ -42,15 +42,15 @@
         self, session: 'WorkerSession', job: ActiveJob, run: Run
     ) -> None:
         """Record a run's pace, if its report gives one."""
-        if not run.pace or run.incarnation != session.incarnation:
+        if not run.progress_rate or run.incarnation != session.incarnation:
             return
-        self.speeds.note(
+        self.speeds.record(
             Observation(
                 worker_id=session.worker_id,
                 incarnation=session.incarnation,
                 queue=job.spec.queue.name,
                 task=run.key,
-                pace=run.pace,
+                progress_rate=run.progress_rate,
             ),
         )
 
@@ -81,7 +81,7 @@
         deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
-            level = level_of(speed.factor)
+            level = speed_level(speed.factor)
             if level:
                 deviating[session.worker_id] = level
             if level != self._logged_levels.get(session.worker_id, 0):
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -17,20 +17,20 @@
 from curranthill.dispatch.unused import UnusedWorkerReporter
 from curranthill.dispatch.waiting import WaitingReporter
 from curranthill.placement import (
-    ALL_ON,
-    DOUBT,
+    FAILURE_SCORE,
+    LOAD_SHEDDING,
+    NONE_DISABLED,
     SPEEDS,
-    TURNING_AWAY,
     ActiveJob,
     BacklogCursor,
     Placement,
     Plan,
     Planner,
     ReadyStep,
-    ReservationTurns,
-    Room,
+    ReservationWindows,
     Run,
-    checkpoint_of,
+    WorkerCapacity,
+    newest_checkpoint,
 )
 from curranthill.tasks import QUEUED, RUNNING, JobSpec, Revision
 from curranthill.telemetry import metrics
@@ -75,7 +75,7 @@
         spawner: Spawner,
         revision: RevisionSource,
         ticket_cache: TicketCache,
-        disabled: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Initialize the rounds of a term.
 
@@ -98,7 +98,7 @@
         self._revision = revision
         self._forecasts = ForecastPublisher(clock=clock, term=term)
         self._waiting_reporter = WaitingReporter(clock=clock, term=term)
-        self._windows = ReservationTurns()
+        self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
         self._unused_reporter = UnusedWorkerReporter(
             clock=clock, sessions=term.sessions
@@ -136,13 +136,13 @@
             return
         self._requests.clear()
         planner = Planner(
-            rooms=self._capacities(),
+            workers=self._capacities(),
             guaranteed=self._guaranteed(),
             now_s=now_s,
             tickets=self._valid_tickets,
-            turns=self._windows,
+            windows=self._windows,
             backlog=self._backlog,
-            without=self._disabled,
+            disabled=self._disabled,
             ratio_of=self._term.estimates.ratio_of,
         )
         plan = planner.plan(self._term.jobs.values())
@@ -221,15 +221,15 @@
         self._ticket_cache.retain_jobs(set(self._term.jobs))
         self._term.changed.set()
 
-    def _capacities(self) -> dict[str, list[Room]]:
-        rooms: dict[str, list[Room]] = {}
+    def _capacities(self) -> dict[str, list[WorkerCapacity]]:
+        rooms: dict[str, list[WorkerCapacity]] = {}
         for session in self._term.sessions.values():
             if not session.accepts_work:
                 continue
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=self._failure_score(session),
+                failure_score=self._failure_score(session),
                 speed=self._speed(session),
             )
             rooms.setdefault(session.entry.service, []).append(room)
@@ -243,7 +243,7 @@
 
     def _failure_score(self, session: WorkerSession) -> float:
         """Return how many runs recently failed or stalled at a worker."""
-        if DOUBT in self._disabled:
+        if FAILURE_SCORE in self._disabled:
             return 0.0
         if session.failure_times_s:
             oldest_s = self._clock.monotonic_s() - FAILURE_MEMORY_S
@@ -266,7 +266,7 @@
         shared = job.next_attempt(tasks)
         checkpoint = ''
         if gang:
-            checkpoint = checkpoint_of(
+            checkpoint = newest_checkpoint(
                 [job.progress.task(key) for key in tasks],
             )
         runs = self._assign_runs(placement, shared, checkpoint)
@@ -306,7 +306,7 @@
             session = self._term.sessions[worker_id]
             task.incarnation = session.incarnation
             run = self._term.new_run(job, key, attempt, session)
-            run.alone = placement.ready.alone
+            run.exclusive = placement.ready.exclusive
             run.checkpoint = checkpoint if gang else task.checkpoint
             run.ticket = (placement.ready.tickets or {}).get(worker_id, '')
             runs.append(run)
@@ -374,7 +374,7 @@
         if not self._forecasts.due:
             return
         forecast = self._forecasts.make(self._revision.current)
-        if TURNING_AWAY not in self._disabled:
+        if LOAD_SHEDDING not in self._disabled:
             content = msgspec.to_builtins(forecast, str_keys=True)
             self._writer.publish_forecast(content)
         self._waiting_reporter.report(
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -12,7 +12,7 @@
     LeaseReport,
     RunReport,
 )
-from curranthill.placement import MARKED, ORDERED, RUNNING, UNKNOWN, Run
+from curranthill.placement import ASSIGNED, ORDERED, RUNNING, UNKNOWN, Run
 from curranthill.tasks import Resources, TaskKey
 from curranthill.telemetry.events import events
 
@@ -67,7 +67,7 @@
         """
         taken = run.needs
         for one in self.runs.values():
-            if one is not run and one.state != MARKED:
+            if one is not run and one.state != ASSIGNED:
                 taken = taken.plus(one.needs)
         return capacity.covers(taken)
 
@@ -139,14 +139,14 @@
             run = self._adopt_stray(report, now_s)
         if run.state in {ORDERED, UNKNOWN}:
             run.state = RUNNING
-            run.settled_s = now_s
+            run.confirmed_s = now_s
         if report.done_percent != run.done_percent:
             run.percent_changed_s = now_s
         run.done_percent = report.done_percent
         run.age_s = now_s - run.started_s
         if report.checkpoint:
             run.checkpoint = report.checkpoint
-        run.read_pace(clock_s)
+        run.update_progress_rate(clock_s)
         if run.stop_wanted:
             if now_s - run.stop_sent_s > STOP_REPEAT_S:
                 run.stop_sent_s = now_s
@@ -183,7 +183,7 @@
             if run.ordered_token < order.token:
                 reason = WORKER_RESTARTED if previous else 'never started'
                 self.drop_absent(run, reason)
-        elif run.state == RUNNING and run.settled_s < sent_s:
+        elif run.state == RUNNING and run.confirmed_s < sent_s:
             self.drop_absent(
                 run, WORKER_RESTARTED if previous else 'not listed'
             )
@@ -217,7 +217,7 @@
         for end in ends:
             run = self.runs.get((end.task, end.attempt))
             if run is not None and prompt:
-                run.read_end(clock_s)
+                run.update_final_rate(clock_s)
             self._owner.run_ended(self._session, end)
             self.runs.pop((end.task, end.attempt), None)
             self.ends.record(end)
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -43,7 +43,7 @@
 )
 from curranthill.errors import WorkerError, WorkerUnreachableError
 from curranthill.placement import (
-    MARKED,
+    ASSIGNED,
     ORDERED,
     RUNNING,
     UNKNOWN,
@@ -217,7 +217,7 @@
         """Order one start; the state of the run then shows its outcome."""
         async with self._order_lock:
             await self._orders_resolved.wait()
-            if run.state != MARKED or self.runs.get(run.name) is not run:
+            if run.state != ASSIGNED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
                 # Placed on the capacity of a previous incarnation.
@@ -233,7 +233,7 @@
                 # The data centre was closed while the start was queued.
                 self._run_list.drop_absent(run, 'data centre closed')
                 return
-            if not self._run_list.fits(run, self.entry.room):
+            if not self._run_list.fits(run, self.entry.capacity):
                 # The capacity shrank while the start was queued.
                 self._run_list.drop_absent(run, 'room shrunk')
                 return
@@ -259,7 +259,7 @@
             await self._orders_resolved.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
                 return
-            if run.state == MARKED:
+            if run.state == ASSIGNED:
                 self._run_list.drop_absent(run, 'stopped before its start')
                 return
             run.stop_sent_s = self._clock.monotonic_s()
@@ -296,11 +296,11 @@
             self.increment_token()
         else:
             self._read_clock(clock_s, known_clock_s)
-            run.settled_s = self._clock.monotonic_s()
-            run.begin(clock_s)
+            run.confirmed_s = self._clock.monotonic_s()
+            run.set_start_clock(clock_s)
             self._run_list.start_answered(run)
-            metrics.start_order_s.record(run.settled_s - sent_s)
-            run.percent_changed_s = run.settled_s
+            metrics.start_order_s.record(run.confirmed_s - sent_s)
+            run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
                 run.state = RUNNING
             self._wake_event.set()
@@ -403,7 +403,7 @@
         """
         if not self.synced or not self._run_list.ends.all_stored:
             return 0.0
-        if any(run.awaits_sign for run in self.runs.values()):
+        if any(run.awaits_progress for run in self.runs.values()):
             return FIRST_PROGRESS_WAIT_S
         return RENEWAL_WAIT_S if self.runs else 0.0
 
--- a/src/curranthill/entry/desk.py
+++ b/src/curranthill/entry/job_handler.py
@@ -5,10 +5,10 @@
 from typing import Any, Final, Protocol
 
 from curranthill.admission import (
-    Outlook,
+    Forecast,
     Refusal,
-    may_accept,
-    return_after_s,
+    check_admission,
+    retry_delay_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -69,14 +69,14 @@
 class OutlookSource(Protocol):
     """Knows what waits."""
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest outlook, if any, and its age in seconds."""
 
     def missed(self) -> None:
         """Take note of a call of the store that had no answer."""
 
 
-class Desk:
+class JobHandler:
     """Callers' requests, answered from the store by any host."""
 
     def __init__(
@@ -253,7 +253,7 @@
         :raises RefusedError: if the job is refused.
         """
         outlook, age_s = self._outlooks.newest()
-        refusal = may_accept(spec, outlook, age_s)
+        refusal = check_admission(spec, outlook, age_s)
         if refusal is None:
             return False
         try:
@@ -288,14 +288,14 @@
                 'reason': refusal.reason,
             },
         )
-        spread_s = random.uniform(0, refusal.spread_s)
+        spread_s = random.uniform(0, refusal.jitter_s)
         return RefusedError(
             f'Job {spec.job_id} is not accepted and does not run: '
             f'{refusal.reason}.',
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.return_s + spread_s,
+            retry_after_s=refusal.retry_delay_s + spread_s,
             peer='leader',
         )
 
@@ -320,9 +320,9 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=return_after_s(
+            retry_after_s=retry_delay_s(
                 spec,
-                spread_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
+                jitter_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
             ),
             peer=peer,
         )
@@ -338,4 +338,4 @@
         )
 
 
-__all__ = ('Desk',)
+__all__ = ('JobHandler',)
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -14,34 +14,36 @@
 
 RESERVATION: Final = 'reservation'
 RACK_PATIENCE: Final = 'rack-patience'
-DOUBT: Final = 'doubt'
+FAILURE_SCORE: Final = 'doubt'
 BOUNDED_LOSS: Final = 'bounded-loss'
 STALLED_MOVES: Final = 'stalled-moves'
-HOPELESS_LAST: Final = 'hopeless-last'
+INFEASIBLE_LAST: Final = 'hopeless-last'
 IN_TIME_FIRST: Final = 'in-time-first'
 SPEEDS: Final = 'speeds'
 SLOW_MOVES: Final = 'slow-moves'
-TURNING_AWAY: Final = 'turning-away'
+LOAD_SHEDDING: Final = 'turning-away'
 
 mechanisms.register(RESERVATION)('A gang that does not fit keeps room.')
 mechanisms.register(RACK_PATIENCE)('Tasks wait for the rack they run fast in.')
-mechanisms.register(DOUBT)('Workers at which runs failed are taken last.')
+mechanisms.register(FAILURE_SCORE)(
+    'Workers at which runs failed are taken last.'
+)
 mechanisms.register(BOUNDED_LOSS)('Uncovered urgent jobs stop little work.')
 mechanisms.register(STALLED_MOVES)('Runs that stand still start elsewhere.')
-mechanisms.register(HOPELESS_LAST)('Work of no more use to anyone goes last.')
+mechanisms.register(INFEASIBLE_LAST)('Work of no more use to anyone goes last.')
 mechanisms.register(IN_TIME_FIRST)(
     'What can be in time goes before what is late.'
 )
 mechanisms.register(SLOW_MOVES)('Runs leave workers found to be slow.')
 mechanisms.register(SPEEDS)('Tasks start where they end in time.')
-mechanisms.register(TURNING_AWAY)('Hosts refuse what waiting makes too late.')
+mechanisms.register(LOAD_SHEDDING)('Hosts refuse what waiting makes too late.')
 
 
-#: The value of ``without`` when nothing is switched off.
-ALL_ON: Final[frozenset[str]] = frozenset()
+#: The value of ``disabled`` when every mechanism is on.
+NONE_DISABLED: Final[frozenset[str]] = frozenset()
 
 
-def checked(names: Iterable[str]) -> frozenset[str]:
+def validate_mechanisms(names: Iterable[str]) -> frozenset[str]:
     """Return names of mechanisms.
 
     :raises SettingsError: if there is no such mechanism.
@@ -52,17 +54,17 @@
 
 
 __all__ = (
-    'ALL_ON',
+    'NONE_DISABLED',
     'BOUNDED_LOSS',
-    'DOUBT',
-    'HOPELESS_LAST',
+    'FAILURE_SCORE',
+    'INFEASIBLE_LAST',
     'IN_TIME_FIRST',
     'RACK_PATIENCE',
     'RESERVATION',
     'SLOW_MOVES',
     'SPEEDS',
     'STALLED_MOVES',
-    'TURNING_AWAY',
-    'checked',
+    'LOAD_SHEDDING',
+    'validate_mechanisms',
     'mechanisms',
 )
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -5,6 +5,11 @@
 from typing import Final, NamedTuple
 
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
+from curranthill.placement.capacity import (
+    ServiceCapacity,
+    WorkerCapacity,
+    resources_needed,
+)
 from curranthill.placement.evictions import Eviction, Evictions
 from curranthill.placement.fitting import (
     Fit,
@@ -17,41 +22,39 @@
 from curranthill.placement.jobs import ActiveJob, ReadyStep
 from curranthill.placement.losses import Losses
 from curranthill.placement.mechanisms import (
-    ALL_ON,
     BOUNDED_LOSS,
-    HOPELESS_LAST,
     IN_TIME_FIRST,
+    INFEASIBLE_LAST,
+    NONE_DISABLED,
     RACK_PATIENCE,
     RESERVATION,
 )
 from curranthill.placement.order import (
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     is_urgent,
     late_jobs,
 )
 from curranthill.placement.paces import ANY, Pace, pace_of
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
     RESERVATIONS,
-    find_room_to_keep,
-    keep,
-    wait_for_room_s,
+    find_workers_to_reserve,
+    reserve,
+    wait_for_capacity_s,
 )
-from curranthill.placement.rooms import Room, ServiceRooms, room_needed
 from curranthill.placement.runs import Run
-from curranthill.placement.starvation import PATIENCE_S, is_most_room_free
-from curranthill.placement.suspects import ALONE_SHARE
-from curranthill.placement.turns import ReservationTurns
+from curranthill.placement.starvation import MAX_IDLE_S, is_mostly_free
+from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
-
 #: An urgent job that no guarantee covers may throw away at most so many times
 #: its own work: more of it would serve others worse than it serves its caller.
 MOST_LOSS_SHARE: Final = 3.0
 
 #: The rooms of a service that has no workers.
-_NO_ROOMS: Final = ServiceRooms(rooms=())
+_NO_WORKERS: Final = ServiceCapacity(workers=())
 
 
 class Placement(NamedTuple):
@@ -85,45 +88,45 @@
 class Planner:
     """One round of decisions over a snapshot.
 
-    :param rooms: the workers that accept work, by service.
+    :param workers: the workers that accept work, by service.
     :param guaranteed: guaranteed accelerators by workspace.
     :param now_s: wall-clock seconds.
     :param tickets: returns a step's good tickets by worker; asked only for
         queues with an advisor.
-    :param turns: who keeps room for how long, over all rounds.
+    :param windows: who keeps room for how long, over all rounds.
     :param backlog: where a long backlog is gone on with, over all rounds.
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
     """
 
     def __init__(
         self,
         *,
-        rooms: Mapping[str, Sequence[Room]],
+        workers: Mapping[str, Sequence[WorkerCapacity]],
         guaranteed: Mapping[str, int],
         now_s: float,
         tickets: Callable[[ActiveJob, ReadyStep], dict[str, str]],
-        turns: ReservationTurns | None = None,
+        windows: ReservationWindows | None = None,
         backlog: BacklogCursor | None = None,
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
         ratio_of: Callable[[str], float] = as_estimated,
     ) -> None:
         """Keep the snapshot."""
         self._ratio_of = ratio_of
         self._tickets = tickets
-        self._turns = turns or ReservationTurns()
+        self._windows = windows or ReservationWindows()
         self._backlog = backlog or BacklogCursor()
-        self._without = without
+        self._disabled = disabled
         self._services = {
-            service: ServiceRooms(rooms=found)
-            for service, found in rooms.items()
+            service: ServiceCapacity(workers=found)
+            for service, found in workers.items()
         }
-        self._rooms = {
-            room.entry.worker_id: room
-            for found in rooms.values()
-            for room in found
+        self._workers = {
+            worker.entry.worker_id: worker
+            for found in workers.values()
+            for worker in found
         }
-        self._unlike = len({one.speed for one in self._rooms.values()}) > 1
+        self._unlike = len({one.speed for one in self._workers.values()}) > 1
         self._guaranteed = guaranteed
         self._now_s = now_s
         self._evictions = Evictions(losses=Losses(jobs=()))
@@ -132,10 +135,10 @@
         self._stopped_for: list[str] = []
         self._reserved_for: dict[str, None] = {}
         self._covered: set[str] = set()
-        self._hopeless: set[str] = set()
+        self._infeasible: set[str] = set()
         self._too_large: set[tuple[str, Step]] = set()
         self._mostly_free: dict[str, bool] = {}
-        self._reservations = 0 if RESERVATION in without else RESERVATIONS
+        self._reservations = 0 if RESERVATION in disabled else RESERVATIONS
 
     def plan(self, jobs: Iterable[ActiveJob]) -> Plan:
         """Return the decisions for all jobs, in any order."""
@@ -143,7 +146,7 @@
         waiting = [job for job in known if not job.ended]
         self._evictions = Evictions(losses=Losses(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
-        later = self._place_first(self._in_order(waiting))
+        later = self._place_first(self._in_service_order(waiting))
         for job in self._backlog.take(later):
             self._place_job(job)
         return Plan(
@@ -169,17 +172,17 @@
             self._place_step(job, self._with_tickets(job, ready))
         return bool(ready_steps)
 
-    def _in_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
+    def _in_service_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
         late: set[str] = set()
-        if HOPELESS_LAST not in self._without:
-            self._hopeless = hopeless_jobs(
+        if INFEASIBLE_LAST not in self._disabled:
+            self._infeasible = infeasible_jobs(
                 waiting,
                 self._covered,
                 self._now_s,
             )
-        if IN_TIME_FIRST not in self._without:
+        if IN_TIME_FIRST not in self._disabled:
             late = late_jobs(waiting, self._now_s)
-        return in_order(waiting, self._covered, self._hopeless, late)
+        return in_service_order(waiting, self._covered, self._infeasible, late)
 
     def _with_tickets(self, job: ActiveJob, ready: ReadyStep) -> ReadyStep:
         if not job.spec.queue.advisor:
@@ -188,7 +191,7 @@
 
     def _place_step(self, job: ActiveJob, ready: ReadyStep) -> None:
         # A task that lasts must be at work again soon, however full all is.
-        urgent = self._makes_room(job) or ready.step.perpetual
+        urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
         may_skip = not (urgent or advised or self._starves(job))
@@ -204,10 +207,10 @@
             chosen = choose_group(ready, groups, pace)
         self._place(job, ready, chosen)
         missing = ready.tasks[len(chosen) :]
-        if not missing or ready.alone:
+        if not missing or ready.exclusive:
             return
         if urgent:
-            self._make_room(job, ready, missing, groups, pace)
+            self._preempt_for(job, ready, missing, groups, pace)
             return
         if not advised:
             self._too_large.add(shape)
@@ -218,7 +221,7 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         pace: Pace,
     ) -> Fit:
         """Take rooms, also ones that are kept if a job starves otherwise.
@@ -226,7 +229,7 @@
         None are taken for suspects that have their share of workers.
         """
         chosen = choose_group(ready, groups, pace)
-        if ready.alone and chosen and self._are_too_many_alone(job):
+        if ready.exclusive and chosen and self._too_many_exclusive(job):
             give_back(ready, chosen)
             chosen = []
         if chosen or not self._starves(job):
@@ -234,52 +237,54 @@
         return choose_group(ready._replace(starving=True), groups, pace)
 
     def _starves(self, job: ActiveJob) -> bool:
-        if job.idle_s(self._now_s) < PATIENCE_S:
+        if job.idle_s(self._now_s) < MAX_IDLE_S:
             return False
         service = job.spec.queue.service
         if service not in self._mostly_free:
-            rooms = self._services.get(service, _NO_ROOMS).rooms
-            self._mostly_free[service] = is_most_room_free(rooms)
+            workers = self._services.get(service, _NO_WORKERS).workers
+            self._mostly_free[service] = is_mostly_free(workers)
         return self._mostly_free[service]
 
-    def _are_too_many_alone(self, job: ActiveJob) -> bool:
-        rooms = self._services[job.spec.queue.service].rooms
-        held = sum(room.held_alone for room in rooms)
-        return held > math.ceil(ALONE_SHARE * len(rooms))
+    def _too_many_exclusive(self, job: ActiveJob) -> bool:
+        workers = self._services[job.spec.queue.service].workers
+        held = sum(worker.held_exclusively for worker in workers)
+        return held > math.ceil(EXCLUSIVE_SHARE * len(workers))
 
     def _workers_of(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
-        return len(self._services[job.spec.queue.service].rooms)
+        return len(self._services[job.spec.queue.service].workers)
 
     def _reserve(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> None:
         """Keep room for a gang that does not fit now, if it is its turn."""
-        rooms = find_room_to_keep(ready, groups)
-        if not rooms:
+        workers = find_workers_to_reserve(ready, groups)
+        if not workers:
             return
-        may_keep = self._turns.may_keep(
+        may_reserve = self._windows.may_reserve(
             job.spec.queue.service,
             job,
             ready.tasks[0],
             self._now_s,
-            wait_for_room_s(rooms),
+            wait_for_capacity_s(workers),
         )
-        if may_keep:
+        if may_reserve:
             self._reservations -= 1
-            keep(ready, rooms, of_workers=self._workers_of(job))
+            reserve(ready, workers, of_workers=self._workers_of(job))
             self._reserved_for[job.spec.job_id] = None
 
-    def _makes_room(self, job: ActiveJob) -> bool:
+    def _may_preempt(self, job: ActiveJob) -> bool:
         """Return whether runs may be stopped for a job."""
-        return is_urgent(job) and job.spec.job_id not in self._hopeless
+        return is_urgent(job) and job.spec.job_id not in self._infeasible
 
     def _place(self, job: ActiveJob, ready: ReadyStep, chosen: Fit) -> None:
         if chosen:
-            workers = tuple((key, room.entry.worker_id) for key, room in chosen)
+            workers = tuple(
+                (key, worker.entry.worker_id) for key, worker in chosen
+            )
             self._placements.append(Placement(job, ready, workers))
 
     def _pace(self, job: ActiveJob, ready: ReadyStep) -> Pace:
@@ -293,16 +298,18 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-    ) -> list[Sequence[Room]]:
+    ) -> list[Sequence[WorkerCapacity]]:
         """Return the sets of rooms that a step may be placed in, best first."""
-        rooms = self._services.get(job.spec.queue.service, _NO_ROOMS)
+        workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
         if ready.tickets is not None:
-            rooms = rooms.limited_to(ready.tickets)
-        return groups_of(ready, rooms, patient=self._is_patient(job, ready))
+            workers = workers.limited_to(ready.tickets)
+        return groups_of(
+            ready, workers, wait_for_rack=self._waits_for_rack(job, ready)
+        )
 
-    def _is_patient(self, job: ActiveJob, ready: ReadyStep) -> bool:
+    def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
         """Return whether a job goes on waiting for the right rack."""
-        if RACK_PATIENCE in self._without:
+        if RACK_PATIENCE in self._disabled:
             return False
         return waits_for_rack(job, ready, self._now_s)
 
@@ -310,7 +317,7 @@
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> bool:
         """Stop others so that an urgent gang ends in time, once for a step.
 
@@ -326,17 +333,17 @@
         )
         best = self._best_eviction(ready.tasks, step, groups, most_loss)
         # Only an eviction with victims uses up the step's one preemption.
-        if best is None or (best.victims and not job.may_make_way(ready)):
+        if best is None or (best.victims and not job.claim_preemption(ready)):
             return False
-        self._evict(best, job, room_needed(step))
+        self._evict(best, job, resources_needed(step))
         return True
 
-    def _make_room(
+    def _preempt_for(
         self,
         job: ActiveJob,
         ready: ReadyStep,
         missing: tuple[TaskKey, ...],
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         pace: Pace,
     ) -> None:
         """Stop what is needed for urgent tasks, and keep what gets free."""
@@ -347,7 +354,7 @@
             if best is None:
                 # The tasks that are left need the same.
                 return
-            if pace.is_met_somewhere and any(map(pace.holds_up, best.rooms)):
+            if pace.is_met_somewhere and any(map(pace.holds_up, best.workers)):
                 work_core_s = _work(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
@@ -358,13 +365,13 @@
                     )
                     or best
                 )
-            self._evict(best, job, room_needed(ready.step))
+            self._evict(best, job, resources_needed(ready.step))
 
     def _best_eviction(
         self,
         tasks: tuple[TaskKey, ...],
         step: Step,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
         most_loss: float,
     ) -> Eviction | None:
         """Return the eviction of the least loss over all groups, if any."""
@@ -381,7 +388,7 @@
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
-        if BOUNDED_LOSS in self._without:
+        if BOUNDED_LOSS in self._disabled:
             return math.inf
         return MOST_LOSS_SHARE * _work(step, tasks)
 
@@ -395,10 +402,10 @@
         for run in eviction.victims:
             self._victims.append(run)
             self._stopped_for.append(job.spec.job_id)
-            room = self._rooms.get(run.worker_id)
-            if room is not None:
-                room.evict(run)
-        for claimed in eviction.rooms:
+            worker = self._workers.get(run.worker_id)
+            if worker is not None:
+                worker.evict(run)
+        for claimed in eviction.workers:
             claimed.claim(needs)
 
 
@@ -411,7 +418,7 @@
     """Return whether slow workers make a gang late that could be in time."""
     if not ready.step.gang or not pace.is_met_somewhere:
         return False
-    return any(pace.holds_up(room) for _, room in chosen)
+    return any(pace.holds_up(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -234,7 +234,7 @@
         """Look at the workers' room too: each task takes one accelerator."""
         super().check()
         for worker in self._domain.workers.values():
-            if len(worker.runs) > worker.entry.room.gpus:
+            if len(worker.runs) > worker.entry.capacity.gpus:
                 self.violations.append(f'{worker.entry.worker_id} is too full')
 
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -16,7 +16,7 @@
 from curranthill.dispatch.election import SILENCE_S
 from curranthill.dispatch.leadership import take_over
 from curranthill.dispatch.progress_writer import ProgressWriter
-from curranthill.entry import Closures, RevisionFollower
+from curranthill.entry import ClosedDataCentres, RevisionFollower
 from curranthill.errors import ReplyLostError
 from curranthill.placement import ActiveJob
 from curranthill.platform.calls import STALL_TIMEOUT_S
@@ -27,9 +27,9 @@
 )
 from curranthill.platform.relay import StoreRelay
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
-from curranthill.storage.absence import AWAY_S
 from curranthill.storage.follower import TableFollower
 from curranthill.storage.http import content_digest, http_platform
+from curranthill.storage.outage import OUTAGE_AFTER_S
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import RowPut, StoredRow
 from curranthill.tasks import JobProgress, TaskKey, tables
@@ -120,7 +120,11 @@
             clock=clock,
             table=TABLE,
             decode=decode_revision,
-            closures=Closures(clock=clock, decode=decode_closure, cease_s=0),
+            closed_data_centres=ClosedDataCentres(
+                clock=clock,
+                decode=decode_closure,
+                cease_s=0,
+            ),
         )
         following = asyncio.ensure_future(self.revisions.run())
 
@@ -211,10 +215,10 @@
             host = hosts[0]
             size = put_configuration(bench, 4200, BEFORE + 1)
             arriving = asyncio.ensure_future(host.seconds_until(BEFORE + 1))
-            await asyncio.sleep(AWAY_S)
-            host.store.absence.failed()
-            await asyncio.sleep(AWAY_S)
-            host.store.absence.answered()
+            await asyncio.sleep(OUTAGE_AFTER_S)
+            host.store.outage.record_failure()
+            await asyncio.sleep(OUTAGE_AFTER_S)
+            host.store.outage.record_reply()
             self.assertLess(await arriving, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
@@ -349,8 +353,8 @@
                 store=bench.store,
                 clock=bench.clock,
                 table='t',
-                take_all=taken.extend,
-                take_changes=taken.extend,
+                on_snapshot=taken.extend,
+                on_changes=taken.extend,
             )
             await follower.read()
             self.assertEqual(len({row.key for row in taken}), count)
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -7,10 +7,10 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from curranthill.placement import ActiveJob, Planner, Room, Run
+from curranthill.placement import ActiveJob, Planner, Run, WorkerCapacity
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
-from curranthill.placement.suspects import TRIED_S
-from curranthill.placement.turns import ReservationTurns
+from curranthill.placement.reservation_windows import ReservationWindows
+from curranthill.placement.suspects import SUSPECT_TRIAL_S
 from curranthill.tasks import JobSpec, Step, TaskKey
 from tests.domain import ROOM, SERVICE, make_spec
 from tests.test_planner import (
@@ -54,9 +54,9 @@
     return ()
 
 
-def lasting(worker_id: str) -> Sequence[Run]:
+def perpetual(worker_id: str) -> Sequence[Run]:
     """Return a run that ends only with its job."""
-    return (make_run(worker_id, 1, lasting=True),)
+    return (make_run(worker_id, 1, perpetual=True),)
 
 
 def overdue(worker_id: str) -> Sequence[Run]:
@@ -86,7 +86,7 @@
 
     def runs(worker_id: str) -> Sequence[Run]:
         run = make_run(worker_id, 1, age_s=age_s)
-        run.alone = True
+        run.exclusive = True
         return (run,)
 
     return runs
@@ -97,7 +97,7 @@
     return [runs_of for _ in WORKERS]
 
 
-def rooms_with(runs_of: RunsOf) -> list[Room]:
+def rooms_with(runs_of: RunsOf) -> list[WorkerCapacity]:
     """Return all workers' rooms."""
     return [
         make_room(worker_id, f'r{worker_id[0]}', *runs_of(worker_id))
@@ -117,17 +117,17 @@
     """
     front = {spec.job_id: make_job(spec) for spec in in_front}
     over_s = dict.fromkeys(front, math.inf)
-    turns = ReservationTurns()
+    windows = ReservationWindows()
     backlog = BacklogCursor()
     for number in range(round(within_s / ROUND_S)):
         now_s = NOW_S + number * ROUND_S
         waiting = [one for name, one in front.items() if now_s < over_s[name]]
         planner = Planner(
-            rooms={SERVICE: rooms_with(runs_of)},
+            workers={SERVICE: rooms_with(runs_of)},
             guaranteed={},
             now_s=now_s,
             tickets=lambda ready_job, ready: {},
-            turns=turns,
+            windows=windows,
             backlog=backlog,
         )
         found = placed(planner.plan([*waiting, job]))
@@ -150,7 +150,7 @@
     job = make_job(make_spec(job_id, step))
     key = TaskKey(job_id, 0, 0, 0)
     job.progress.task(key).losses = 2
-    job.note_losses(key)
+    job.update_suspect(key)
     return job
 
 
@@ -159,14 +159,14 @@
     return job.keys_of(0, 0)[0]
 
 
-def may_keep(
-    turns: ReservationTurns,
+def may_reserve(
+    windows: ReservationWindows,
     job: ActiveJob,
     now_s: float,
     wait_s: float,
 ) -> bool:
     """Return whether a job's only gang may keep room."""
-    return turns.may_keep(SERVICE, job, member_of(job), now_s, wait_s)
+    return windows.may_reserve(SERVICE, job, member_of(job), now_s, wait_s)
 
 
 class ReservationTest(unittest.TestCase):
@@ -196,7 +196,7 @@
         """A whole worker with a lasting run never gets empty."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
-            rooms_with(lasting),
+            rooms_with(perpetual),
             make_spec('wide', gang),
             make_spec('small', SMALL, priority=2),
         )
@@ -242,7 +242,7 @@
         """One lasts in each rack; the gang needs four whole workers."""
 
         def runs(worker_id: str) -> Sequence[Run]:
-            return lasting(worker_id) if worker_id[1] == '0' else ()
+            return perpetual(worker_id) if worker_id[1] == '0' else ()
 
         gang = Step(4, needs(8), gang=True, same_rack=True, estimate_s=60.0)
         decided = plan(rooms_with(runs), make_spec('gang', gang))
@@ -269,11 +269,11 @@
         job = make_job(make_spec('near', step, accepted_at_s=NOW_S))
         self.check_starts(job, rooms_with(runs))
 
-    def check_starts(self, job: ActiveJob, rooms: list[Room]) -> None:
+    def check_starts(self, job: ActiveJob, rooms: list[WorkerCapacity]) -> None:
         """Check that a job starts within 10 s after the clock was set."""
         for passed_s in (0.0, 1.0, -3600.0, -3595.0, -3590.0):
             planner = Planner(
-                rooms={SERVICE: rooms},
+                workers={SERVICE: rooms},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda waiting, ready: {},
@@ -288,38 +288,38 @@
 
     def test_a_turn_lasts_for_as_long_as_the_wait_asks_for(self) -> None:
         """A short pause follows, and then another turn."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         job = small_job()
         kept_s = [
             second
             for second in range(20)
-            if may_keep(turns, job, NOW_S + second, 4.0)
+            if may_reserve(windows, job, NOW_S + second, 4.0)
         ]
         self.assertEqual(kept_s, [*range(8), *range(10, 18)])
 
     def test_a_pause_holds_for_all_gangs_of_a_service(self) -> None:
         """Others would keep the room in it."""
-        turns = ReservationTurns()
-        may_keep(turns, small_job(), NOW_S, 0.0)
-        self.assertFalse(may_keep(turns, small_job(), NOW_S + 6, 0.0))
+        windows = ReservationWindows()
+        may_reserve(windows, small_job(), NOW_S, 0.0)
+        self.assertFalse(may_reserve(windows, small_job(), NOW_S + 6, 0.0))
 
     def test_a_gang_that_starts_passes_the_turn_on_at_once(self) -> None:
         """The next one has as long."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         first = small_job()
-        may_keep(turns, first, NOW_S, 0.0)
+        may_reserve(windows, first, NOW_S, 0.0)
         first.runs[member_of(first)] = make_run('a0', 1)
-        self.assertTrue(may_keep(turns, small_job(), NOW_S + 4, 0.0))
-        self.assertTrue(may_keep(turns, small_job(), NOW_S + 8, 0.0))
+        self.assertTrue(may_reserve(windows, small_job(), NOW_S + 4, 0.0))
+        self.assertTrue(may_reserve(windows, small_job(), NOW_S + 8, 0.0))
 
     def test_a_clock_that_is_set_back_does_not_prolong_a_pause(self) -> None:
         """The time passed is not known; another turn begins."""
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         job = small_job()
-        may_keep(turns, job, NOW_S, 0.0)
-        self.assertFalse(may_keep(turns, job, NOW_S + 6.0, 0.0))
-        self.assertTrue(may_keep(turns, job, NOW_S - 60.0, 0.0))
-        self.assertFalse(may_keep(turns, job, NOW_S - 54.0, 0.0))
+        may_reserve(windows, job, NOW_S, 0.0)
+        self.assertFalse(may_reserve(windows, job, NOW_S + 6.0, 0.0))
+        self.assertTrue(may_reserve(windows, job, NOW_S - 60.0, 0.0))
+        self.assertFalse(may_reserve(windows, job, NOW_S - 54.0, 0.0))
 
 
 class SuspectRoomTest(unittest.TestCase):
@@ -336,7 +336,7 @@
     def test_a_suspect_that_has_just_started_is_alone(self) -> None:
         """A crash would hit what starts beside it."""
         decided = plan(
-            [make_room('a1', 'r1', *suspect(TRIED_S / 2)('a1'))],
+            [make_room('a1', 'r1', *suspect(SUSPECT_TRIAL_S / 2)('a1'))],
             make_spec('small', SMALL, priority=2),
         )
         self.assertEqual(placed(decided), {})
@@ -391,7 +391,7 @@
             running[name][0].age_s = 15.0 + index / 2
         waiting: list[ActiveJob] = []
         came = 0
-        turns = ReservationTurns()
+        windows = ReservationWindows()
         for number in range(round(60.0 / ROUND_S)):
             passed_s = number * ROUND_S
             while came * every_s <= passed_s:
@@ -405,11 +405,11 @@
                 left = [run for run in running[name] if run.left_s > 0]
                 running[name] = left
             planner = Planner(
-                rooms={SERVICE: rooms_with(running.__getitem__)},
+                workers={SERVICE: rooms_with(running.__getitem__)},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda job, ready: {},
-                turns=turns,
+                windows=windows,
             )
             found = placed(planner.plan([front, *waiting]))
             if 'front' in found:
@@ -477,7 +477,7 @@
         """A job that was stopped right away waits anew."""
         job = small_job()
         job.idle_s(NOW_S)
-        job.end_wait(member_of(job))
+        job.reset_wait(member_of(job))
         self.assertEqual(job.idle_s(NOW_S + 9.0), 0.0)
 
     def test_a_clock_that_is_set_back_begins_the_wait_anew(self) -> None:
@@ -532,7 +532,7 @@
             st.sampled_from(
                 (
                     nothing,
-                    lasting,
+                    perpetual,
                     overdue,
                     overdue_and_full,
                     suspect(0.5),
