--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -90,12 +90,12 @@
         """Return the most that is free on any worker, for each resource."""
         largest = Resources()
         for session in self._sessions:
-            room = WorkerCapacity(
+            capacity = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
                 failure_score=0.0,
             )
-            largest = Resources(*map(max, largest, room.free))
+            largest = Resources(*map(max, largest, capacity.free))
         return largest
 
 
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -222,18 +222,18 @@
         self._term.changed.set()
 
     def _capacities(self) -> dict[str, list[WorkerCapacity]]:
-        rooms: dict[str, list[WorkerCapacity]] = {}
+        capacities: dict[str, list[WorkerCapacity]] = {}
         for session in self._term.sessions.values():
             if not session.accepts_work:
                 continue
-            room = WorkerCapacity(
+            capacity = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
                 failure_score=self._failure_score(session),
                 speed=self._speed(session),
             )
-            rooms.setdefault(session.entry.service, []).append(room)
-        return rooms
+            capacities.setdefault(session.entry.service, []).append(capacity)
+        return capacities
 
     def _speed(self, session: WorkerSession) -> float:
         """Return a worker's speed factor, 1.0 unless a deviation is known."""
--- a/src/curranthill/dispatch/pace_estimates.py
+++ b/src/curranthill/dispatch/run_estimates.py
@@ -24,7 +24,7 @@
 REFRESH_INTERVAL_S: Final = 0.5
 
 
-class PaceEstimates:
+class RunEstimates:
     """Collects the observations of a term.
 
     :param durations: estimates how long the work of each queue takes.
@@ -41,7 +41,7 @@
     def record(
         self, session: 'WorkerSession', job: ActiveJob, run: Run
     ) -> None:
-        """Record a run's pace, if its report gives one."""
+        """Record a run's progress rate, if its report gives one."""
         if not run.progress_rate or run.incarnation != session.incarnation:
             return
         self.speeds.record(
@@ -98,4 +98,4 @@
         metrics.workers_fast.set(len(deviating) - slow)
 
 
-__all__ = ('PaceEstimates',)
+__all__ = ('RunEstimates',)
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -11,8 +11,8 @@
 from curranthill.dispatch.cleanup import IntakeCleanup
 from curranthill.dispatch.crashes import LossCounter
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S, Leadership
-from curranthill.dispatch.pace_estimates import PaceEstimates
 from curranthill.dispatch.progress_writer import ProgressWriter
+from curranthill.dispatch.run_estimates import RunEstimates
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.workers import DONE, RUN_FAILED, EndReport
@@ -73,7 +73,7 @@
         self._leadership = leadership
         self._writer = writer
         self._spawner = spawner
-        self.estimates = PaceEstimates()
+        self.estimates = RunEstimates()
         self._cancelled: set[str] = set()
         self._losses = LossCounter(
             jobs=self.jobs,
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -65,13 +65,13 @@
     def report(
         self,
         guaranteed: Mapping[str, int],
-        rooms_now: Callable[[], Mapping[str, list[WorkerCapacity]]],
+        current_capacities: Callable[[], Mapping[str, list[WorkerCapacity]]],
         reserved_for: Sequence[str] = (),
     ) -> None:
         """Report the jobs that wait now.
 
         :param guaranteed: guaranteed accelerators by workspace.
-        :param rooms_now: returns the capacities of the workers that accept
+        :param current_capacities: returns the capacities of the workers that accept
             work, by service; called only if a job has waited for long.
         :param reserved_for: the jobs with capacity reserved by the last round.
         """
@@ -84,14 +84,14 @@
         waiting = self._oldest_waiting(open_jobs)
         if waiting:
             covered = covered_jobs(open_jobs, guaranteed)
-            rooms = rooms_now()
+            capacities = current_capacities()
             for job, ready in waiting:
                 urgent = not job.spec.queue.priority
-                service_rooms = rooms.get(job.spec.queue.service, [])
+                service_capacities = capacities.get(job.spec.queue.service, [])
                 kept_for = self._others_of(job, reserved_for)
                 reason = waiting_reason(
                     ready,
-                    service_rooms,
+                    service_capacities,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
                     reserved=bool(kept_for),
                     advised=job.spec.queue.advisor,
@@ -104,7 +104,7 @@
                     ready,
                     reason,
                     kept_for if reason == RESERVED else (),
-                    self._count_workers(job, service_rooms),
+                    self._count_workers(job, service_capacities),
                 )
 
     def _set_gauges(self, waiting: Iterable[ActiveJob]) -> None:
@@ -169,11 +169,11 @@
     def _count_workers(
         self,
         job: ActiveJob,
-        rooms: Sequence[WorkerCapacity],
+        capacities: Sequence[WorkerCapacity],
     ) -> WorkerCounts:
         """Count the workers of a job's service by state.
 
-        :param rooms: those that accept work.
+        :param capacities: those that accept work.
         """
         service = job.spec.queue.service
         listed = [
@@ -183,9 +183,11 @@
         ]
         return WorkerCounts(
             listed=len(listed),
-            usable=len(rooms),
-            empty=sum(1 for room in rooms if not room.runs),
-            with_suspect=sum(1 for room in rooms if room.held_exclusively),
+            usable=len(capacities),
+            empty=sum(1 for capacity in capacities if not capacity.runs),
+            with_suspect=sum(
+                1 for capacity in capacities if capacity.held_exclusively
+            ),
         )
 
     def _log(
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -50,11 +50,11 @@
 WORKER_TABLE = 'listed'
 OPERATOR_TABLE = 'operator'
 CLOSED_PREFIX = 'closed/'
-ROOM = Resources(cpu_millis=32_000, memory_mb=65_536, gpus=8)
+WORKER_CAPACITY = Resources(cpu_millis=32_000, memory_mb=65_536, gpus=8)
 ONE_GPU = Resources(cpu_millis=4000, memory_mb=1024, gpus=1)
 
 #: How long a crashed worker is away, in seconds.
-AWAY_S = 3.0
+DOWN_S = 3.0
 
 
 def make_queue(
@@ -153,7 +153,7 @@
     :param crashing: tasks that crash each worker that starts them.
     :param renewal_delay_s: how long a renewal takes beyond its wait.
     :param unreadable: hosts that cannot read the operators' rows.
-    :param away_s: how long a crashed worker is away.
+    :param down_s: how long a crashed worker is away.
     :param disabled: mechanisms that are switched off.
     :param same_id: whether it comes back under its id or under another.
     :param others: how many other hosts each host is told of.
@@ -167,9 +167,9 @@
         self.hosts: dict[str, TestHost] = {}
         self.connected: list[str] = []
         self.background: list[asyncio.Future[None]] = []
-        self.advisor = KnownAdvisor(clock=self.clock)
+        self.advisor = FixedAdvisor(clock=self.clock)
         self.crashing: set[TaskKey] = set()
-        self.away_s = AWAY_S
+        self.down_s = DOWN_S
         self.renewal_delay_s = 0.0
         self.renewals = RenewalCount()
         self.unreadable: set[str] = set()
@@ -192,7 +192,7 @@
             service=SERVICE,
             address=f'10.0.0.{len(self.workers)}:80',
             data_centre=data_centre,
-            capacity=ROOM,
+            capacity=WORKER_CAPACITY,
             labels=('a', 'r1'),
             incarnation=1,
         )
@@ -213,7 +213,7 @@
         """Start a crashed worker again, under its id or under another."""
 
         async def start_again() -> None:
-            await self.clock.sleep(self.away_s)
+            await self.clock.sleep(self.down_s)
             name = worker.entry.worker_id
             if self.same_id:
                 self.restart_worker(name)
@@ -312,7 +312,7 @@
         await asyncio.gather(*self.background, return_exceptions=True)
 
 
-class KnownAdvisor:
+class FixedAdvisor:
     """Lets some workers run any step.
 
     :param good: the ids of those workers.
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -14,7 +14,7 @@
 )
 from curranthill.placement import ReadyStep
 from curranthill.tasks import Step, TaskKey
-from tests.domain import ONE_GPU, Domain, KnownAdvisor, in_domain, make_spec
+from tests.domain import ONE_GPU, Domain, FixedAdvisor, in_domain, make_spec
 from tests.support import ManualClock, run
 
 #: How long a step may wait for tickets that others ask for, too, in seconds.
@@ -24,7 +24,7 @@
 VALIDITY_S = 3.0
 
 
-class ChoosyAdvisor(KnownAdvisor):
+class ChoosyAdvisor(FixedAdvisor):
     """Answers for all steps but those of one job."""
 
     def __init__(self, domain: Domain, bad_job: str) -> None:
@@ -41,7 +41,7 @@
         return advice
 
 
-class SlowAdvisor(KnownAdvisor):
+class SlowAdvisor(FixedAdvisor):
     """Allows one worker, and takes half a second more for each question."""
 
     def __init__(self, domain: Domain) -> None:
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -13,12 +13,19 @@
 
 from curranthill.placement.suspects import EXCLUSIVE_MAX_WAIT_S
 from curranthill.tasks import Resources, Step, TaskKey
-from tests.domain import AWAY_S, ONE_GPU, ROOM, Domain, in_domain, make_spec
+from tests.domain import (
+    DOWN_S,
+    ONE_GPU,
+    WORKER_CAPACITY,
+    Domain,
+    in_domain,
+    make_spec,
+)
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
 #: A task that takes a whole worker, like the ones that were seen.
-WHOLE = Step(width=1, needs=ROOM, estimate_s=1.0)
+WHOLE = Step(width=1, needs=WORKER_CAPACITY, estimate_s=1.0)
 
 #: A task that leaves room beside it on its worker.
 HALF = Resources(cpu_millis=8000, memory_mb=1024, gpus=4)
@@ -97,7 +104,7 @@
         """The mark says in which life of the worker the task started."""
 
         async def case(domain: Domain) -> None:
-            domain.away_s = 0.2
+            domain.down_s = 0.2
             domain.start_host('h0')
             await domain.leader()
             domain.crashing.add(FIRST)
@@ -219,7 +226,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            lasting = Step(width=1, needs=ROOM, perpetual=True)
+            lasting = Step(width=1, needs=WORKER_CAPACITY, perpetual=True)
             await host.accept(make_spec('a1', lasting))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             await domain.clock.advance(5)
@@ -279,7 +286,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            step = Step(width=6, needs=ROOM, estimate_s=1.0)
+            step = Step(width=6, needs=WORKER_CAPACITY, estimate_s=1.0)
             keys = [FIRST._replace(rank=rank) for rank in range(6)]
             domain.crashing.update(keys)
             await host.accept(make_spec('a1', step))
@@ -299,7 +306,7 @@
             await host.accept(make_spec('a1', step))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             domain.workers['w0'].crash()
-            await domain.clock.advance(AWAY_S + 3)
+            await domain.clock.advance(DOWN_S + 3)
             for rank in range(2):
                 starts = domain.starts(FIRST._replace(rank=rank))
                 self.assertEqual(len(starts), 2)
@@ -320,7 +327,7 @@
             await host.accept(make_spec('n1', Step(width=1, needs=HALF)))
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
-                within_s=AWAY_S + EXCLUSIVE_MAX_WAIT_S + 1,
+                within_s=DOWN_S + EXCLUSIVE_MAX_WAIT_S + 1,
             )
 
         in_domain(case, workers=1, run_s=40)
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -160,7 +160,7 @@
         for job_id in self.submitted[pick % JOBS : pick % JOBS + 1]:
             domain.crashing.add(TaskKey(job_id, 0, 0, pick % 2))
             domain.same_id = pick % 3 > 0
-            domain.away_s = 0.2 + pick % 4
+            domain.down_s = 0.2 + pick % 4
             self.may_fail = True
 
     def relist_all(self, domain: Domain) -> None:
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -22,9 +22,15 @@
 )
 from curranthill.placement import NONE_DISABLED, ActiveJob
 from curranthill.tasks import JobProgress, JobSpec, Queue, Resources, Step
-from tests.domain import ONE_GPU, ROOM, SERVICE, make_queue, make_spec
+from tests.domain import (
+    ONE_GPU,
+    SERVICE,
+    WORKER_CAPACITY,
+    make_queue,
+    make_spec,
+)
 
-TOTAL = Resources(*(8 * part for part in ROOM))
+TOTAL = Resources(*(8 * part for part in WORKER_CAPACITY))
 NONE_FREE = Resources()
 NOW_S = 1_700_001_000.0
 GANG = Step(width=2, needs=ONE_GPU._replace(gpus=8), estimate_s=4.0, gang=True)
@@ -115,8 +121,10 @@
     def test_what_fits_somewhere_now_is_accepted(self) -> None:
         """However much else waits."""
         spec = make_spec('a1', GANG)
-        self.assertIsNone(check_admission(spec, told(free=ROOM), 0.5))
-        seven = ROOM._replace(gpus=7)
+        self.assertIsNone(
+            check_admission(spec, told(free=WORKER_CAPACITY), 0.5)
+        )
+        seven = WORKER_CAPACITY._replace(gpus=7)
         self.assertIsNotNone(check_admission(spec, told(free=seven), 0.5))
 
     def test_set_times_and_lasting_tasks_are_accepted(self) -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -22,7 +22,7 @@
     validate_mechanisms,
 )
 from curranthill.tasks import JobProgress, JobSpec, Resources, Step, TaskKey
-from tests.domain import ROOM, SERVICE, make_spec
+from tests.domain import SERVICE, WORKER_CAPACITY, make_spec
 
 NOW_S = 1_700_001_000.0
 
@@ -72,7 +72,7 @@
         service=SERVICE,
         address='10.0.0.1:80',
         data_centre='dc',
-        capacity=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', rack),
     )
     return WorkerCapacity(entry=entry, runs=runs, failure_score=failure_score)
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -9,7 +9,7 @@
 
 from curranthill.placement import Plan, Run, WorkerCapacity, resources_needed
 from curranthill.tasks import JobSpec, Resources, Step
-from tests.domain import ROOM, make_spec
+from tests.domain import WORKER_CAPACITY, make_spec
 from tests.test_planner import make_room, make_run, needs, plan
 
 RACKS: Final = ('r1', 'r2', 'r3')
@@ -61,7 +61,7 @@
 def runs_on(draw: st.DrawFn, worker_id: str) -> list[Run]:
     """Draw runs that a worker has, some of them being stopped."""
     runs: list[Run] = []
-    free = ROOM
+    free = WORKER_CAPACITY
     for rank, wanted in enumerate(draw(st.lists(NEEDS))):
         if not free.covers(wanted):
             break
@@ -244,9 +244,11 @@
         ]
         decided = plan(idle, make_spec('a', plain, priority=2))
         wanted = resources_needed(plain)
-        a_worker = ROOM.gpus // wanted.gpus
+        a_worker = WORKER_CAPACITY.gpus // wanted.gpus
         if wanted.cpu_millis:
-            a_worker = min(a_worker, ROOM.cpu_millis // wanted.cpu_millis)
+            a_worker = min(
+                a_worker, WORKER_CAPACITY.cpu_millis // wanted.cpu_millis
+            )
         if plain.max_per_worker:
             a_worker = min(a_worker, plain.max_per_worker)
         held = a_worker * len(idle)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -48,7 +48,7 @@
 )
 from curranthill.tasks import Resources, TaskKey, decode, tables
 from curranthill.telemetry.events import events
-from tests.domain import ROOM
+from tests.domain import WORKER_CAPACITY
 from tests.platform_standin import StoreServer, WorkerServer, serve, worker_row
 from tests.support import run
 
@@ -115,7 +115,9 @@
         runner, address = await serve(self.store_server.handle)
         self.store_address = address
         self.closers.append(runner.cleanup)
-        entry = WorkerEntry('i-1', 'calc', '', 'dc', ROOM, ('a', 'r1'))
+        entry = WorkerEntry(
+            'i-1', 'calc', '', 'dc', WORKER_CAPACITY, ('a', 'r1')
+        )
         self.worker = TaskWorkerModel(entry=entry, clock=self.clock, run_s=0.2)
         runner, address = await serve(WorkerServer(model=self.worker).handle)
         self.closers.append(runner.cleanup)
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -27,7 +27,7 @@
 from curranthill.placement import Run, WorkerEntry
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import TaskKey
-from tests.domain import ROOM, Domain, in_domain, make_spec
+from tests.domain import WORKER_CAPACITY, Domain, in_domain, make_spec
 from tests.support import ManualClock, run as run_to_end
 from tests.test_session import (
     CrossingWorker,
@@ -338,7 +338,7 @@
     def __init__(self, *, kind: type[Model], incarnation: int) -> None:
         """Start with a worker that the session has not reached yet."""
         self.clock = ManualClock()
-        entry = WorkerEntry('w1', 'calc', '10.0.0.1:80', 'dc', ROOM)
+        entry = WorkerEntry('w1', 'calc', '10.0.0.1:80', 'dc', WORKER_CAPACITY)
         self.model = kind(entry=entry, clock=self.clock, run_s=0.01)
         self.owner = SlowlySavedOwner()
         self.session = open_session(
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -17,7 +17,7 @@
 from curranthill.errors import WorkerReplyLostError
 from curranthill.placement import ASSIGNED, UNKNOWN, Run, WorkerEntry
 from curranthill.tasks import Resources, TaskKey, Timing
-from tests.domain import ONE_GPU, ROOM
+from tests.domain import ONE_GPU, WORKER_CAPACITY
 from tests.support import ManualClock, run
 
 TASK = TaskKey('a1', 0, 0, 0)
@@ -132,7 +132,7 @@
             service='calc',
             address='10.0.0.1:80',
             data_centre='dc',
-            capacity=ROOM,
+            capacity=WORKER_CAPACITY,
             incarnation=incarnation,
         ),
         worker=worker,
--- a/tests/test_shrinking_capacity.py
+++ b/tests/test_shrinking_capacity.py
@@ -13,7 +13,7 @@
 
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import Resources, Step, TaskKey
-from tests.domain import ONE_GPU, ROOM, Domain, in_domain, make_spec
+from tests.domain import ONE_GPU, WORKER_CAPACITY, Domain, in_domain, make_spec
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
@@ -64,7 +64,7 @@
             resize(domain, worker, ROOM_FOR_TWO)
             await domain.clock.advance(5)
             self.assertEqual(len(worker.runs), 0)
-            resize(domain, worker, ROOM)
+            resize(domain, worker, WORKER_CAPACITY)
             await domain.clock.until(lambda: len(worker.runs) == 4)
 
         in_domain(case, workers=1, run_s=60)
@@ -98,7 +98,7 @@
             for _ in range(5):
                 resize(domain, worker, ROOM_FOR_TWO)
                 await domain.clock.advance(1)
-                resize(domain, worker, ROOM)
+                resize(domain, worker, WORKER_CAPACITY)
                 await domain.clock.advance(1)
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(len(worker.starts), 4)
@@ -117,7 +117,7 @@
             await host.accept(make_spec('a1', wide(4)))
             await domain.clock.advance(2)
             self.assertEqual(len(worker.runs), 2)
-            resize(domain, worker, ROOM)
+            resize(domain, worker, WORKER_CAPACITY)
             await domain.clock.until(
                 lambda: len(worker.runs) == 4,
                 within_s=0.3,
@@ -164,11 +164,11 @@
             await host.accept(make_spec('c3', wide(4), priority=0))
             for number, gpus, wait_s in series:
                 worker = domain.workers[f'w{number}']
-                resize(domain, worker, ROOM._replace(gpus=gpus))
+                resize(domain, worker, WORKER_CAPACITY._replace(gpus=gpus))
                 await domain.clock.advance(NEWS_S + start_delay_s)
                 await self.check(domain, wait_s)
             for worker in domain.workers.values():
-                resize(domain, worker, ROOM)
+                resize(domain, worker, WORKER_CAPACITY)
             for job_id in ('a1', 'b2', 'c3'):
                 self.assertEqual(await domain.ended(job_id), 'completed')
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -12,7 +12,7 @@
 from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.suspects import SUSPECT_TRIAL_S
 from curranthill.tasks import JobSpec, Step, TaskKey
-from tests.domain import ROOM, SERVICE, make_spec
+from tests.domain import SERVICE, WORKER_CAPACITY, make_spec
 from tests.test_planner import (
     NOW_S,
     make_job,
@@ -76,7 +76,7 @@
 def processor_full(worker_id: str, age_s: float) -> Sequence[Run]:
     """Return a run that leaves accelerators free, and no processor."""
     run = make_run(worker_id, 1, age_s=age_s)
-    run.needs = ROOM._replace(gpus=1)
+    run.needs = WORKER_CAPACITY._replace(gpus=1)
     run.estimate_s = 20.0
     return (run,)
 
@@ -385,7 +385,9 @@
         """Check that a gang of whole workers starts within 60 s."""
         gang = Step(width, needs(8), gang=True, estimate_s=5.0)
         front = make_job(make_spec('front', gang))
-        small = Step(1, ROOM._replace(gpus=1), gang=True, estimate_s=5.0)
+        small = Step(
+            1, WORKER_CAPACITY._replace(gpus=1), gang=True, estimate_s=5.0
+        )
         running = {name: processor_full(name, 0.0) for name in WORKERS}
         for index, name in enumerate(WORKERS):
             running[name][0].age_s = 15.0 + index / 2
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -18,7 +18,14 @@
 from curranthill.tasks import JobProgress, Resources, Step, TaskKey
 from curranthill.telemetry import metrics
 from curranthill.telemetry.labels import OTHERS, BoundedLabels
-from tests.domain import ONE_GPU, ROOM, SERVICE, Domain, in_domain, make_spec
+from tests.domain import (
+    ONE_GPU,
+    SERVICE,
+    WORKER_CAPACITY,
+    Domain,
+    in_domain,
+    make_spec,
+)
 from tests.test_door import GANG, RUN_S, gang, is_refused, overload
 
 
@@ -29,7 +36,7 @@
         service=SERVICE,
         address='',
         data_centre='dc',
-        capacity=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', rack),
     )
     run = Run(
