--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -1,9 +1,9 @@
-"""Tickets for queues whose policy lets only some workers run a step.
+"""Tickets for queues whose policy allows only some workers to run a step.
 
-Only an advisor outside of the product knows the policy. It is asked for many
-workers at once and one call after the other, since it takes one at a time. So
-the steps that wait for tickets share it: what was not asked yet goes before
-what was asked in vain, and that takes turns.
+Only an external advisor knows the policy. It handles one call at a time, so
+the calls are sequential and name many workers each, and the steps that wait
+for tickets share it: first requests go before repeated ones, and repeated
+requests are sent in rotation.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,25 +15,25 @@
 from curranthill.placement import ReadyStep
 from curranthill.telemetry.events import events
 
-#: Workers named in one question: the advisor takes longer for each.
-WORKERS_PER_QUESTION: Final = 30
+#: Workers named in one request: the advisor takes longer for each of them.
+WORKERS_PER_REQUEST: Final = 30
 
-#: So many first questions may go before a repeated one that waits.
-FIRST_IN_A_ROW: Final = 4
+#: How many first requests may be sent while a repeated one waits.
+FIRST_REQUESTS_PER_REPEAT: Final = 4
 
-#: The pause after a question that was not answered, in seconds.
+#: The delay after a request without a response, in seconds.
 RETRY_S: Final = 0.3
 
-#: A ticket is not used in its last part, in seconds: a start may be under way
+#: A ticket is not used for its last part, in seconds: a start may be under way
 #: for so long.
 TICKET_MARGIN_S: Final = 0.7
 
 
 class Advice(NamedTuple):
-    """An advisor's answer.
+    """The response of an advisor.
 
     :param tickets: by the ids of the workers that may run the step.
-    :param validity_s: how long the tickets are good for, in seconds.
+    :param validity_s: how long the tickets are valid, in seconds.
     """
 
     tickets: dict[str, str]
@@ -41,24 +41,24 @@
 
 
 class AdvisorError(CurranthillError):
-    """The advisor did not answer, or has too many questions waiting."""
+    """The advisor did not respond, or has too many requests queued."""
 
 
 class Advisor(Protocol):
-    """Who knows the policy."""
+    """The interface to the service that knows the policy."""
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Return tickets for those of the workers that may run a step.
+        """Request tickets for those of the workers that may run a step.
 
-        :raises AdvisorError: if there was no answer.
+        :raises AdvisorError: if there was no response.
         """
 
 
 class Ticket(NamedTuple):
     """A worker's permission to run a step.
 
-    :param until_s: on the leader's monotonic clock.
-    :param incarnation: that of the worker; no other one takes the ticket.
+    :param until_s: the end of its validity on the leader's monotonic clock.
+    :param incarnation: the worker's incarnation; no other accepts the ticket.
     """
 
     text: str
@@ -66,12 +66,12 @@
     incarnation: int
 
 
-class Question(NamedTuple):
-    """What could be asked next for a step.
+class TicketRequest(NamedTuple):
+    """A request for tickets that may be sent next for a step.
 
     :param workers: the incarnations of the workers by their ids.
-    :param repeated: whether the workers were asked for before, or the step's
-        last question failed.
+    :param repeated: whether tickets for the workers were requested before, or
+        the step's last request failed.
     """
 
     ready: ReadyStep
@@ -79,26 +79,26 @@
     repeated: bool
 
 
-class TicketOffice:
-    """Asks for tickets and keeps them while they are good."""
+class TicketCache:
+    """Requests tickets and caches them while they are valid."""
 
     def __init__(self, *, advisor: Advisor, clock: Clock) -> None:
-        """Start without tickets."""
+        """Initialize an empty cache."""
         self._advisor = advisor
         self._clock = clock
         self._tickets: dict[str, dict[str, Ticket]] = {}
-        self._asked: dict[str, set[tuple[str, int]]] = {}
+        self._requested: dict[str, set[tuple[str, int]]] = {}
         self._failed: dict[str, bool] = {}
-        self._numbers = count(1)
-        self._last_numbers: dict[str, int] = {}
-        self._first_in_a_row = 0
+        self._next_numbers = count(1)
+        self._request_numbers: dict[str, int] = {}
+        self._first_requests = 0
 
-    def good(
+    def valid_tickets(
         self,
         ready: ReadyStep,
         incarnations: Mapping[str, int],
     ) -> dict[str, str]:
-        """Return the good tickets of a step by worker.
+        """Return the valid tickets of a step by worker.
 
         :param incarnations: of the workers that may be used now, by their ids.
         """
@@ -112,19 +112,20 @@
             and (worker_id, ticket.incarnation) in usable
         }
 
-    def question(
+    def next_request(
         self,
         ready: ReadyStep,
         workers: Mapping[str, int],
-    ) -> Question | None:
-        """Return what to ask next for a step, if anything.
+    ) -> TicketRequest | None:
+        """Return the next request for a step, or None if there is none.
 
-        Each incarnation of a worker is asked for once; when all have been and
-        no ticket is good any more, those that had tickets are asked again.
+        Tickets are requested once for each incarnation of a worker. When that
+        is done and no ticket is valid any more, they are requested again for
+        the workers that had one.
 
         :param workers: the incarnations of the workers by their ids.
         """
-        asked = self._asked.get(ready.name, set())
+        asked = self._requested.get(ready.name, set())
         names = [one for one in workers.items() if one not in asked]
         repeated = not names or self._failed.get(ready.name, False)
         if not names:
@@ -132,24 +133,24 @@
             names = [one for one in workers.items() if one[0] in had]
         if not names:
             return None
-        return Question(ready, dict(names[:WORKERS_PER_QUESTION]), repeated)
+        return TicketRequest(ready, dict(names[:WORKERS_PER_REQUEST]), repeated)
 
-    def choose(self, questions: Sequence[Question]) -> Question | None:
-        """Return the question to ask now.
+    def choose(self, requests: Sequence[TicketRequest]) -> TicketRequest | None:
+        """Return the request to send now.
 
-        :param questions: one of each step at the most, in the steps' order.
+        :param requests: at most one of each step, in the order of the steps.
         """
-        first = next((one for one in questions if not one.repeated), None)
-        repeats = [one for one in questions if one.repeated]
-        due = self._first_in_a_row >= FIRST_IN_A_ROW
+        first = next((one for one in requests if not one.repeated), None)
+        repeats = [one for one in requests if one.repeated]
+        due = self._first_requests >= FIRST_REQUESTS_PER_REPEAT
         if first is not None and not (due and repeats):
             return first
-        return min(repeats, key=self._last_number, default=None)
+        return min(repeats, key=self._last_request_number, default=None)
 
-    async def ask(self, question: Question) -> None:
-        """Ask for some workers; the answer is kept."""
-        self._count(question)
-        name, workers = question.ready.name, question.workers
+    async def request(self, request: TicketRequest) -> None:
+        """Request tickets for some workers and cache those in the response."""
+        self._record_request(request)
+        name, workers = request.ready.name, request.workers
         try:
             advice = await self._advisor.ask(name, tuple(workers))
         except AdvisorError as error:
@@ -166,37 +167,37 @@
             good=len(advice.tickets),
             validity_s=advice.validity_s,
         )
-        self._asked.setdefault(name, set()).update(workers.items())
+        self._requested.setdefault(name, set()).update(workers.items())
         kept = self._tickets.setdefault(name, {})
         for worker_id, incarnation in workers.items():
             text = advice.tickets.get(worker_id)
             if text is not None:
                 kept[worker_id] = Ticket(text, until_s, incarnation)
 
-    def forget_except(self, job_ids: set[str]) -> None:
-        """Drop what is kept of jobs that are over."""
+    def retain_jobs(self, job_ids: set[str]) -> None:
+        """Remove everything cached for jobs other than the given ones."""
         known: tuple[dict[str, Any], ...] = (
             self._tickets,
-            self._asked,
+            self._requested,
             self._failed,
-            self._last_numbers,
+            self._request_numbers,
         )
         for kept in known:
             for name in list(kept):
                 if name.split('.', 1)[0] not in job_ids:
                     kept.pop(name)
 
-    def _count(self, question: Question) -> None:
-        """Note that a question is asked now, for the turns of others."""
-        self._last_numbers[question.ready.name] = next(self._numbers)
-        if question.repeated:
-            self._first_in_a_row = 0
+    def _record_request(self, request: TicketRequest) -> None:
+        """Record a request for the order of the following ones."""
+        self._request_numbers[request.ready.name] = next(self._next_numbers)
+        if request.repeated:
+            self._first_requests = 0
         else:
-            self._first_in_a_row += 1
+            self._first_requests += 1
 
-    def _last_number(self, question: Question) -> int:
-        """Return the number of a step's last question."""
-        return self._last_numbers.get(question.ready.name, 0)
+    def _last_request_number(self, request: TicketRequest) -> int:
+        """Return the number of a step's last request, 0 if there was none."""
+        return self._request_numbers.get(request.ready.name, 0)
 
 
-__all__ = ('Advice', 'Advisor', 'AdvisorError', 'Question', 'TicketOffice')
+__all__ = ('Advice', 'Advisor', 'AdvisorError', 'TicketCache', 'TicketRequest')
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -1,9 +1,9 @@
-"""The leader's dealings with one worker, straight down.
+"""The leader's session with one worker.
 
 The session renews the worker's lease while anything may run there, reads
-what runs and what ended, and raises the fencing token after every order
-whose effect is unknown: once a call under the raised token is answered, no
-older order can take effect any more.
+which runs exist and which have ended, and increments the fencing token after
+every order whose effect is unknown: once a call under the new token gets a
+response, no older order can take effect.
 """
 
 import asyncio
@@ -12,22 +12,22 @@
 from curranthill.clock import Clock
 from curranthill.dispatch.crashes import (
     LEASE_LAPSED,
-    WORKER_GONE,
-    DoubtfulLosses,
+    WORKER_REMOVED,
+    UnconfirmedLosses,
     is_lost,
 )
 from curranthill.dispatch.lease import Lease
-from curranthill.dispatch.looks import LookTurns
 from curranthill.dispatch.owner import ClosureSource, SessionOwner
-from curranthill.dispatch.runlist import RunList
+from curranthill.dispatch.probing import ProbeLimiter
+from curranthill.dispatch.run_list import RunList
 from curranthill.dispatch.unused import (
     CLOSED,
-    GONE,
-    LEAVING,
+    DRAINING,
     NOT_LISTED,
     NOT_SYNCED,
     OTHER_INCARNATION,
     REJECTED,
+    REMOVED,
     UNREACHABLE,
     UNREADABLE,
     UnusedReason,
@@ -39,7 +39,7 @@
     RejectedError,
     StartOrder,
     TaskWorker,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.errors import WorkerError, WorkerUnreachableError
 from curranthill.placement import (
@@ -54,38 +54,38 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Raises of the token that one epoch has room for; far above what one term
-#: of one leader makes at one raise a lost reply.
-RAISES_PER_EPOCH: Final = 1 << 20
+#: Fencing tokens reserved for each epoch. Each lost response increments the
+#: token once, which in one term of one leader stays far below this.
+TOKENS_PER_EPOCH: Final = 1 << 20
 
-#: How long a renewal waits at the worker for an end, in seconds: three
-#: renewals then fall into the shortest lease of six seconds.
+#: How long a renewal may wait at the worker for a run to end, in seconds: the
+#: shortest lease of six seconds then sees three renewals.
 RENEWAL_WAIT_S: Final = 1.5
 
-#: The same while an urgent run has shown no progress yet: two reports then
-#: tell within a second that it stands still.
-FIRST_SIGN_WAIT_S: Final = 0.35
+#: The same while an urgent run has reported no progress yet, in seconds: two
+#: reports within a second then show that it is stalled.
+FIRST_PROGRESS_WAIT_S: Final = 0.35
 
-#: The pause after a renewal without an answer, in seconds.
-MISSED_DELAY_S: Final = 0.25
+#: The delay after a renewal without a response, in seconds.
+LOST_REPLY_DELAY_S: Final = 0.25
 
-#: A worker that rejected a start is given no other for so long, in seconds:
-#: the same start would be rejected again some hundred times a second.
+#: No start is sent to a worker for so long after it rejected one, in seconds:
+#: otherwise it would reject the same start some hundred times a second.
 REJECTION_PAUSE_S: Final = 0.5
 
 
 class WorkerSession:
-    """One worker under one id, through all its incarnations.
+    """The session of one worker id, across all incarnations of the worker.
 
-    :param entry: the worker as listed last.
-    :param incarnation: the one that answered last, 0 as long as none told.
+    :param entry: the worker's newest entry.
+    :param incarnation: the one that responded last; 0 until one is known.
     :param runs: all runs that may exist there, by task and attempt.
     :param readable: whether the newest entry could be read.
-    :param troubles_s: when runs failed or stood still here since the last one
+    :param failure_times_s: when runs failed or stalled here since the last run
         that was done.
-    :param stalled_runs: how many runs stood still when last looked at.
-    :param doubtful: runs of which it is not known whether they crashed the
-        worker.
+    :param stalled_runs: the number of stalled runs at the last check.
+    :param unconfirmed_losses: runs of which it is unknown whether they crashed
+        the worker.
     """
 
     def __init__(
@@ -97,45 +97,46 @@
         clock: Clock,
         timing: Timing,
         token: int,
-        former_s: float,
+        previous_s: float,
         closures: ClosureSource,
-        looks: LookTurns,
+        probe_limiter: ProbeLimiter,
     ) -> None:
-        """Start with nothing known of the worker.
+        """Initialize the session of a worker that has not responded yet.
 
         :param token: the fencing token of the first order.
         """
         self.entry = entry
         self.incarnation = entry.incarnation
-        self._list = RunList(session=self, owner=owner, clock=clock)
-        self.runs = self._list.runs
+        self._run_list = RunList(session=self, owner=owner, clock=clock)
+        self.runs = self._run_list.runs
         self.listed = worker is not None
         self.readable = True
-        self.gone = False
+        self.removed = False
         self.reachable = False
         self.synced = False
-        self.troubles_s: list[float] = []
+        self.failure_times_s: list[float] = []
         self.stalled_runs = 0
-        self.doubtful = DoubtfulLosses(owner=owner)
+        self.unconfirmed_losses = UnconfirmedLosses(owner=owner)
         self.rejected_s = -REJECTION_PAUSE_S
         self._worker = worker
         self._owner = owner
         self._closures = closures
-        self._looks = looks
+        self._probe_limiter = probe_limiter
         self._clock = clock
         self._token = token
         self._lease = Lease(
             clock=clock,
             length_s=timing.lease_s,
             clock_s=entry.clock_s,
-            former_s=former_s,
+            previous_s=previous_s,
         )
-        self._urgent = asyncio.Event()
-        self._order_turn = asyncio.Lock()
-        # Not set from a raise of the token until a renewal under it tells what
-        # became of the orders before, or that the worker is silent.
-        self._settled = asyncio.Event()
-        self._settled.set()
+        self._wake_event = asyncio.Event()
+        self._order_lock = asyncio.Lock()
+        # Cleared when the token is incremented, and set by the next renewal
+        # under the new token: its response, or the lack of one, resolves what
+        # became of the earlier orders.
+        self._orders_resolved = asyncio.Event()
+        self._orders_resolved.set()
 
     @property
     def worker_id(self) -> str:
@@ -153,8 +154,8 @@
         rejected_s = self._clock.monotonic_s() - self.rejected_s
         open_here = self._closures.allows_starts(self.entry.data_centre)
         reasons: dict[UnusedReason, bool] = {
-            GONE: self.gone,
-            LEAVING: self.entry.leaving,
+            REMOVED: self.removed,
+            DRAINING: self.entry.leaving,
             UNREADABLE: not self.readable,
             REJECTED: rejected_s < REJECTION_PAUSE_S,
             OTHER_INCARNATION: not _is_current(self),
@@ -164,7 +165,7 @@
             NOT_SYNCED: not self.synced,
         }
         if not any(reasons.values()):
-            # Asked of every worker in each round: most answers end here.
+            # Checked for every worker in each round; usually nothing holds.
             return None
         return next(reason for reason, holds in reasons.items() if holds)
 
@@ -174,70 +175,70 @@
         return self._token
 
     def connect(self, worker: TaskWorker) -> None:
-        """Take a client of the worker at its present address."""
+        """Use a client of the worker at its current address."""
         self._worker = worker
         self.wake()
 
-    def relist(self, entry: WorkerEntry) -> None:
-        """Take the worker's newest entry.
+    def update_entry(self, entry: WorkerEntry) -> None:
+        """Store the worker's newest entry.
 
-        The entry of another incarnation ends nothing by itself, since it may
-        be older than what the worker has said: the worker is asked.
+        An entry of another incarnation does not end any run: it may be older
+        than what the worker has reported, so the worker is asked.
         """
-        news = entry.incarnation != self.entry.incarnation
+        changed = entry.incarnation != self.entry.incarnation
         self.entry = entry
         self.listed = True
         self.readable = True
-        if news and not _is_current(self):
-            self.raise_token()
+        if changed and not _is_current(self):
+            self.increment_token()
 
     def wake(self) -> None:
-        """Look at the worker at once."""
-        self._urgent.set()
+        """Renew the lease at once."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Renew the lease while anything may run, until the worker is gone."""
+        """Renew the lease while anything may run, until the id is removed."""
         try:
-            while not self.gone:
+            while not self.removed:
                 await self._run_once()
         finally:
-            self._list.ends.close()
+            self._run_list.ends.close()
 
     async def _run_once(self) -> None:
         if self._is_idle():
-            await self._urgent.wait()
-        self._urgent.clear()
+            await self._wake_event.wait()
+        self._wake_event.clear()
         if self.reachable:
             await self._renew()
         else:
-            await self._looks.take(self._renew())
+            await self._probe_limiter.run(self._renew())
 
     async def start(self, run: Run, payload: str) -> None:
-        """Order one start; the run's state tells what became of it."""
-        async with self._order_turn:
-            await self._settled.wait()
+        """Order one start; the state of the run then shows its outcome."""
+        async with self._order_lock:
+            await self._orders_resolved.wait()
             if run.state != ASSIGNED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
-                # Placed by the room of a former incarnation.
-                self._list.vanish(run, 'placed before a restart')
+                # Placed on the capacity of a previous incarnation.
+                self._run_list.drop_absent(run, 'placed before a restart')
                 return
             if self.entry.leaving or not self.reachable:
-                # So since orders without an answer held this one up.
+                # This changed while lost responses delayed the start.
                 leaving = self.entry.leaving
                 reason = 'worker leaving' if leaving else 'worker unreachable'
-                self._list.vanish(run, reason)
+                self._run_list.drop_absent(run, reason)
                 return
             if not self._closures.allows_starts(self.entry.data_centre):
-                # It was closed while the start waited for its turn.
-                self._list.vanish(run, 'data centre closed')
+                # The data centre was closed while the start was queued.
+                self._run_list.drop_absent(run, 'data centre closed')
                 return
-            if not self._list.fits(run, self.entry.capacity):
-                # Its room has shrunk while the start waited for its turn.
-                self._list.vanish(run, 'room shrunk')
+            if not self._run_list.fits(run, self.entry.capacity):
+                # The capacity shrank while the start was queued.
+                self._run_list.drop_absent(run, 'room shrunk')
                 return
             if not self._owner.may_order() or self._worker is None:
-                self._list.vanish(run, 'not ordered')
+                self._run_list.drop_absent(run, 'not ordered')
                 return
             run.state = ORDERED
             run.ordered_token = self._token
@@ -253,13 +254,13 @@
             await self._order_start(run, order)
 
     async def stop(self, run: Run) -> None:
-        """Order one stop; the run takes room until its end is listed."""
-        async with self._order_turn:
-            await self._settled.wait()
+        """Order one stop; the run uses capacity until its end is listed."""
+        async with self._order_lock:
+            await self._orders_resolved.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
                 return
             if run.state == ASSIGNED:
-                self._list.vanish(run, 'stopped before its start')
+                self._run_list.drop_absent(run, 'stopped before its start')
                 return
             run.stop_sent_s = self._clock.monotonic_s()
             if not self._owner.may_order():
@@ -272,11 +273,11 @@
                     self._token,
                 )
             except WorkerError as error:
-                _tell_unanswered('stop', run, error)
-                self.raise_token()
+                _log_unanswered('stop', run, error)
+                self.increment_token()
             else:
                 self._read_clock(clock_s, known_clock_s)
-            self._urgent.set()
+            self._wake_event.set()
 
     async def _order_start(self, run: Run, order: StartOrder) -> None:
         assert self._worker is not None  # noqa: S101
@@ -286,33 +287,33 @@
             clock_s = await self._worker.start(order)
         except RejectedError as rejected:
             self._start_rejected(run, rejected)
-        except (WorkerGoneError, WorkerUnreachableError) as error:
+        except (WorkerReplacedError, WorkerUnreachableError) as error:
             self._not_started(run, error)
         except WorkerError as error:
-            _tell_unanswered('start', run, error)
+            _log_unanswered('start', run, error)
             if run.state == ORDERED:
                 run.state = UNKNOWN
-            self.raise_token()
+            self.increment_token()
         else:
             self._read_clock(clock_s, known_clock_s)
             run.confirmed_s = self._clock.monotonic_s()
             run.set_start_clock(clock_s)
-            self._list.start_answered(run)
+            self._run_list.start_answered(run)
             metrics.start_order_s.record(run.confirmed_s - sent_s)
             run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
                 run.state = RUNNING
-            self._urgent.set()
+            self._wake_event.set()
 
     def _not_started(self, run: Run, error: WorkerError) -> None:
-        """Let a task start elsewhere whose start never reached its worker."""
-        if isinstance(error, WorkerGoneError):
-            self._list.vanish(run, 'another worker answered its start')
-            self.end_life(replaced=True)
+        """Release a task whose start did not reach the worker."""
+        if isinstance(error, WorkerReplacedError):
+            self._run_list.drop_absent(run, 'another worker answered its start')
+            self.remove(replaced=True)
             return
-        self._list.vanish(run, 'not sent')
-        self._note_unreachable(error)
-        self._urgent.set()
+        self._run_list.drop_absent(run, 'not sent')
+        self._set_unreachable(error)
+        self._wake_event.set()
 
     def _start_rejected(self, run: Run, rejected: RejectedError) -> None:
         events.log(
@@ -324,31 +325,32 @@
         )
         self.rejected_s = self._clock.monotonic_s()
         if rejected.reason == FENCE:
-            # Settled by the next renewal, which also tells who leads. A worker
-            # that started again has forgotten the token and accepts it.
+            # The next renewal resolves the run and shows whether another
+            # leader exists: a restarted worker has forgotten the token and
+            # accepts the renewal.
             run.state = UNKNOWN
-            self.raise_token()
+            self.increment_token()
             return
-        self._list.vanish(run, f'rejected: {rejected.reason}')
+        self._run_list.drop_absent(run, f'rejected: {rejected.reason}')
 
     def _is_idle(self) -> bool:
         if not self.reachable or not self.synced:
             return False
-        ended = not self.runs and self._list.ends.settled
-        return ended and not self._urgent.is_set()
+        ended = not self.runs and self._run_list.ends.all_confirmed
+        return ended and not self._wake_event.is_set()
 
     async def _renew(self) -> None:
-        """Make one renewal and take in its answer."""
-        await self._list.ends.acknowledge()
+        """Make one renewal and apply its response."""
+        await self._run_list.ends.acknowledge()
         if self._worker is None or not self._owner.may_renew():
-            await self._clock.sleep(MISSED_DELAY_S)
-            self._check_lapse()
+            await self._clock.sleep(LOST_REPLY_DELAY_S)
+            self._check_expiry()
             return
         order = LeaseOrder(
             token=self._token,
             acknowledged=self._number_to_acknowledge(),
-            # A worker that does not answer is only looked at: were its lease
-            # extended by calls that may yet arrive, it would never lapse.
+            # An unreachable worker is only probed: if calls that may still
+            # arrive extended its lease, the lease would never expire.
             deadline_s=self._lease.grant() if self.reachable else 0.0,
             wait_s=self._renewal_wait_s(),
         )
@@ -358,62 +360,63 @@
             report = await self._call(order)
         except RejectedError as rejected:
             self._renewal_rejected(order, rejected)
-            await self._clock.sleep(MISSED_DELAY_S)
-        except WorkerGoneError:
-            self.end_life(replaced=True)
+            await self._clock.sleep(LOST_REPLY_DELAY_S)
+        except WorkerReplacedError:
+            self.remove(replaced=True)
         except WorkerError as error:
-            await self._missed(error)
+            await self._handle_lost_reply(error)
         else:
             if report is not None:
-                self._list.ends.tell(order.acknowledged)
+                self._run_list.ends.confirm(order.acknowledged)
                 self._check_incarnation(report, known_clock_s)
-                self._take(report, order, sent_s)
+                self._apply_report(report, order, sent_s)
 
     async def _call(self, order: LeaseOrder) -> LeaseReport | None:
-        """Return the report, or nothing if the token was raised meanwhile."""
+        """Return the report; None if the token was incremented meanwhile."""
         assert self._worker is not None  # noqa: S101
         renewal = asyncio.ensure_future(self._worker.renew(order))
         try:
             while not renewal.done() and order.token == self._token:
-                await self._wait_for_news(renewal)
+                await self._wait_for_reply(renewal)
             return renewal.result() if renewal.done() else None
         finally:
             renewal.cancel()
 
-    async def _wait_for_news(
+    async def _wait_for_reply(
         self, renewal: asyncio.Future[LeaseReport]
     ) -> None:
-        self._urgent.clear()
-        urgent = asyncio.ensure_future(self._urgent.wait())
+        self._wake_event.clear()
+        woken = asyncio.ensure_future(self._wake_event.wait())
         try:
             await asyncio.wait(
-                (renewal, urgent),
+                (renewal, woken),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            urgent.cancel()
+            woken.cancel()
 
     def _renewal_wait_s(self) -> float:
-        """Return how long the worker may keep the next renewal for an end.
+        """Return how long the worker may hold the next renewal for an end.
 
-        One that tells of stored ends waits like any other: told apart, eight
-        ends cost sixteen renewals.
+        A renewal that acknowledges ends waits like any other: sent separately,
+        the acknowledgements of eight ends took sixteen renewals.
         """
-        if not self.synced or not self._list.ends.all_stored:
+        if not self.synced or not self._run_list.ends.all_stored:
             return 0.0
         if any(run.awaits_progress for run in self.runs.values()):
-            return FIRST_SIGN_WAIT_S
+            return FIRST_PROGRESS_WAIT_S
         return RENEWAL_WAIT_S if self.runs else 0.0
 
     def _number_to_acknowledge(self) -> int:
         """Return the number of an end that this incarnation has listed, or 0.
 
-        A start that no list has shown may have reached a new incarnation and
-        have ended there under that number: it would be forgotten unread.
+        A start that no report has confirmed may have reached a new incarnation
+        and have ended there under that number: acknowledged, that end would be
+        forgotten without having been read.
         """
-        if not self.synced or self._list.any_unproven:
+        if not self.synced or self._run_list.any_unconfirmed:
             return 0
-        return self._list.ends.acknowledged
+        return self._run_list.ends.acknowledged
 
     def _renewal_rejected(
         self,
@@ -427,23 +430,23 @@
             token=order.token,
         )
         if rejected.reason != FENCE:
-            # Nothing was renewed, so the lease runs out like that of a worker
-            # that is silent.
-            self._note_unreachable(rejected)
-            self._check_lapse()
+            # Nothing was renewed, so the lease expires as it does for a worker
+            # that does not respond.
+            self._set_unreachable(rejected)
+            self._check_expiry()
         elif order.token == self._token:
-            # No order of ours had a higher token, so another leader's had.
+            # This leader has used no higher token, so another leader has.
             self._owner.fenced(self)
 
-    async def _missed(self, error: WorkerError) -> None:
-        """A renewal without an answer: its effect is unknown."""
-        self._note_unreachable(error)
-        self.raise_token()
-        await self._clock.sleep(MISSED_DELAY_S)
-        self._check_lapse()
+    async def _handle_lost_reply(self, error: WorkerError) -> None:
+        """Handle a renewal without a response, whose effect is unknown."""
+        self._set_unreachable(error)
+        self.increment_token()
+        await self._clock.sleep(LOST_REPLY_DELAY_S)
+        self._check_expiry()
 
-    def _note_unreachable(self, error: WorkerError) -> None:
-        """Place nothing here until the worker answers."""
+    def _set_unreachable(self, error: WorkerError) -> None:
+        """Exclude the worker from placement until it responds."""
         if not self.reachable:
             return
         events.log(
@@ -455,33 +458,33 @@
         self.reachable = False
         self._owner.session_changed(self)
 
-    def _check_lapse(self) -> None:
-        """Give up all runs once no lease can reach this far."""
-        self._settled.set()
-        if not self._lease.lapsed:
+    def _check_expiry(self) -> None:
+        """Drop all runs once every lease that was granted has expired."""
+        self._orders_resolved.set()
+        if not self._lease.expired:
             return
         for run in self.runs.values():
             if is_lost(run, LEASE_LAPSED, leaving=self.entry.leaving):
-                self.doubtful.add(run)
-        self._list.vanish_all(LEASE_LAPSED)
+                self.unconfirmed_losses.add(run)
+        self._run_list.drop_all(LEASE_LAPSED)
         if not self.listed:
-            self.end_life()
+            self.remove()
 
-    def raise_token(self) -> None:
-        """Shut out all orders so far, and have the worker tell what runs."""
+    def increment_token(self) -> None:
+        """Fence off all earlier orders and have the worker report its runs."""
         self._token += 1
         self.synced = False
-        if not self.gone:
-            self._settled.clear()
-        self._list.doubt_ordered()
-        self._urgent.set()
+        if not self.removed:
+            self._orders_resolved.clear()
+        self._run_list.invalidate_ordered()
+        self._wake_event.set()
 
     def _read_clock(self, clock_s: float, known_s: float) -> None:
-        """Take the clock of an answer to an order.
+        """Store the worker's clock from the response to an order.
 
-        :param known_s: the clock as it was known when the order was sent. An
-            earlier one is that of another incarnation: the worker is asked
-            which one it is.
+        :param known_s: the clock as known when the order was sent. A response
+            with an earlier clock comes from another incarnation: a renewal
+            asks which one.
         """
         self._lease.read_clock(clock_s)
         if clock_s >= known_s:
@@ -492,14 +495,14 @@
             known_s=known_s,
             clock_s=clock_s,
         )
-        self._list.begin_anew()
-        self.raise_token()
+        self._run_list.reset()
+        self.increment_token()
 
     def _check_incarnation(self, report: LeaseReport, known_s: float) -> None:
-        """Begin anew with a worker that has started again under its id.
+        """Reset what is known of a worker that restarted under its id.
 
-        Renewals are answered in the order in which they are sent, so another
-        incarnation than before is a newer one.
+        Renewals get a response in the order in which they are sent, so a
+        different incarnation is always a newer one.
         """
         restarted = report.incarnation != self.incarnation
         if not report.incarnation:
@@ -514,26 +517,26 @@
             runs=[str(run.key) for run in self.runs.values()],
         )
         metrics.workers_restarted.add(1)
-        # The first word of an incarnation tells nothing of one before.
+        # The first report of an incarnation says nothing about a previous one.
         known = bool(self.incarnation) or not report.incarnation
         self.incarnation = report.incarnation or self.incarnation
-        self.troubles_s.clear()
+        self.failure_times_s.clear()
         self.stalled_runs = 0
         if known:
-            self.doubtful.settle(crashed=True)
-        self._list.begin_anew(restarted=known)
+            self.unconfirmed_losses.resolve(crashed=True)
+        self._run_list.reset(restarted=known)
 
-    def end_life(self, *, replaced: bool = False) -> None:
-        """Take the worker as gone for good.
+    def remove(self, *, replaced: bool = False) -> None:
+        """Mark the worker's id as removed for good.
 
-        :param replaced: another one answers at its address.
+        :param replaced: whether another worker responded at its address.
         """
-        if self.gone:
+        if self.removed:
             return
         if replaced:
-            self.doubtful.settle(crashed=not self.entry.leaving)
-        self.gone = True
-        self._settled.set()
+            self.unconfirmed_losses.resolve(crashed=not self.entry.leaving)
+        self.removed = True
+        self._orders_resolved.set()
         events.log(
             'worker_gone',
             worker=self.worker_id,
@@ -541,11 +544,11 @@
             listed=self.listed,
             runs=[str(run.key) for run in self.runs.values()],
         )
-        self._list.vanish_all(WORKER_GONE)
-        self._urgent.set()
+        self._run_list.drop_all(WORKER_REMOVED)
+        self._wake_event.set()
         self._owner.session_changed(self)
 
-    def _take(
+    def _apply_report(
         self,
         report: LeaseReport,
         order: LeaseOrder,
@@ -553,31 +556,32 @@
     ) -> None:
         accepted_work = self.accepts_work
         self._lease.read_clock(report.clock_s)
-        self.doubtful.settle_by(report.incarnation)
+        self.unconfirmed_losses.resolve_by_incarnation(report.incarnation)
         if not self.reachable:
             self.reachable = True
             events.log('worker_reachable', worker=self.worker_id)
         if order.token == self._token:
             self.synced = True
-            self._settled.set()
-            # Orders of lower tokens are shut out, so no lease is longer.
-            self._lease.bound()
-        self._list.take(report, order, sent_s)
+            self._orders_resolved.set()
+            # Orders under older tokens are fenced off, so the lease ends with
+            # this leader's own grants at the latest.
+            self._lease.exclude_older_grants()
+        self._run_list.apply(report, order, sent_s)
         if self.accepts_work != accepted_work:
             self._owner.session_changed(self)
 
 
 def _is_current(session: WorkerSession) -> bool:
-    """Return whether the entry is of the incarnation that answered.
+    """Return whether the entry is of the incarnation that responded.
 
-    Another one may be of another kind, with other room and labels.
+    Another incarnation may be of another kind, with other capacity and labels.
     """
     listed = session.entry.incarnation
-    told = listed and session.incarnation
-    return not told or listed == session.incarnation
+    both_known = listed and session.incarnation
+    return not both_known or listed == session.incarnation
 
 
-def _tell_unanswered(order: str, run: Run, error: WorkerError) -> None:
+def _log_unanswered(order: str, run: Run, error: WorkerError) -> None:
     events.log(
         f'{order}_unanswered',
         task=str(run.key),
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -1,4 +1,4 @@
-"""Tells operators of workers that are listed and have no use."""
+"""Logs workers that are listed but can't be used."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Final, Literal
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from curranthill.dispatch.session import WorkerSession
 
-#: Why a worker accepts no work, in an operator's words.
+#: Why a worker accepts no work, as logged for operators.
 UnusedReason = Literal[
     'gone',
     'leaving',
@@ -23,8 +23,8 @@
     'not synced',
 ]
 
-GONE: Final = 'gone'
-LEAVING: Final = 'leaving'
+REMOVED: Final = 'gone'
+DRAINING: Final = 'leaving'
 UNREADABLE: Final = 'unreadable entry'
 REJECTED: Final = 'rejected a start'
 OTHER_INCARNATION: Final = 'entry of another incarnation'
@@ -33,20 +33,20 @@
 UNREACHABLE: Final = 'unreachable'
 NOT_SYNCED: Final = 'not synced'
 
-#: A worker is told of that has accepted no work for so long, in seconds.
-TOLD_FROM_S: Final = 5.0
+#: A worker is logged once it has accepted no work for so long, in seconds.
+LOGGED_FROM_S: Final = 5.0
 
-#: The least time between two lines, in seconds.
-LINES_INTERVAL_S: Final = 5.0
+#: The shortest interval between two log lines, in seconds.
+LOG_INTERVAL_S: Final = 5.0
 
-#: Workers that one line names; the rest are counted.
-NAMED_WORKERS: Final = 40
+#: The most workers named in one log line; the others are counted.
+MAX_NAMED_WORKERS: Final = 40
 
 
-class UnusedWorkers:
-    """Logs the listed workers that accept no work, whenever they change.
+class UnusedWorkerReporter:
+    """Logs the listed workers that accept no work whenever they change.
 
-    :param sessions: by worker.
+    :param sessions: the worker sessions by worker id.
     """
 
     def __init__(
@@ -55,24 +55,24 @@
         clock: Clock,
         sessions: Mapping[str, 'WorkerSession'],
     ) -> None:
-        """Start with no worker known to be unused."""
+        """Initialize the reporter without unused workers."""
         self._clock = clock
         self._sessions = sessions
         self._since_s: dict[str, float] = {}
-        self._told: dict[str, UnusedReason] = {}
-        self._told_s = clock.monotonic_s() - LINES_INTERVAL_S
+        self._logged: dict[str, UnusedReason] = {}
+        self._logged_s = clock.monotonic_s() - LOG_INTERVAL_S
 
-    def show(self) -> None:
-        """Set the gauge, and log what is unused if that has changed."""
+    def report(self) -> None:
+        """Set the gauge, and log the unused workers if they have changed."""
         unused = self._unused()
         metrics.workers_unused.set(len(unused))
         now_s = self._clock.monotonic_s()
-        if unused == self._told or now_s - self._told_s < LINES_INTERVAL_S:
+        if unused == self._logged or now_s - self._logged_s < LOG_INTERVAL_S:
             return
-        self._told = unused
-        self._told_s = now_s
+        self._logged = unused
+        self._logged_s = now_s
         named: dict[str, list[str]] = {}
-        for worker_id in sorted(unused)[:NAMED_WORKERS]:
+        for worker_id in sorted(unused)[:MAX_NAMED_WORKERS]:
             named.setdefault(unused[worker_id], []).append(worker_id)
         events.log(
             'workers_unused',
@@ -82,7 +82,7 @@
         )
 
     def _unused(self) -> dict[str, UnusedReason]:
-        """Return why workers are unused that have been so for long."""
+        """Return the reasons of workers that have been unused for long."""
         now_s = self._clock.monotonic_s()
         reasons: dict[str, UnusedReason] = {}
         for worker_id, session in self._sessions.items():
@@ -96,20 +96,20 @@
         return {
             worker_id: reason
             for worker_id, reason in reasons.items()
-            if now_s - self._since_s[worker_id] > TOLD_FROM_S
+            if now_s - self._since_s[worker_id] > LOGGED_FROM_S
         }
 
 
 __all__ = (
     'CLOSED',
-    'GONE',
-    'LEAVING',
+    'DRAINING',
     'NOT_LISTED',
     'NOT_SYNCED',
     'OTHER_INCARNATION',
     'REJECTED',
+    'REMOVED',
     'UNREACHABLE',
     'UNREADABLE',
     'UnusedReason',
-    'UnusedWorkers',
+    'UnusedWorkerReporter',
 )
