--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,6 +1,6 @@
 """How long one placement decision takes, and its slope.
 
-``python -m bench.decisions`` fills a board of each size, then times the
+``python -m bench.decisions`` fills a cluster of each size, then times the
 decision that follows each arrival and each end, and writes
 ``bench/results/decisions.json``. It then times whole rounds of ``placement``
 over full clusters, in processor time, and writes ``rounds.json``.
@@ -16,9 +16,9 @@
 from bench.processes import ROOT
 from curranthill.jobs import Job
 from curranthill.load import percentile
-from curranthill.scheduler import Board, Waiting, policies
+from curranthill.scheduler import SchedulerState, WaitingJob, policies
 from curranthill.scheduler.cluster import WorkerState
-from curranthill.scheduler.guarantees import Unit, UnitId
+from curranthill.scheduler.guarantees import GuaranteeUnit, GuaranteeUnitId
 
 RESULTS = ROOT / 'bench' / 'results'
 EVENTS = 400
@@ -69,12 +69,12 @@
     )
 
 
-def make_board(size: Size, source: random.Random) -> Board:
-    """Return a board full of running work, with a long queue."""
-    board = Board()
+def make_state(size: Size, source: random.Random) -> SchedulerState:
+    """Return the state of a full cluster, with a long queue."""
+    state = SchedulerState()
     for number in range(size.workers):
         name = f'w{number:04d}'
-        board.cluster.add(
+        state.cluster.add(
             WorkerState(
                 name=name,
                 address=name,
@@ -82,55 +82,59 @@
                 slots=SLOTS,
             ),
         )
-    promise(board, size)
+    set_guarantees(state, size)
     policy = policies.get('guarantees')(5)
     number = 0
-    while len(board.placed) < size.running:
+    while len(state.placed) < size.running:
         for _ in range(size.running // 4 + 1):
             number += 1
             slots = 4 if source.randrange(50) == 0 else 1
             job = make_job(source, number, size.teams, slots)
-            board.queue.add(Waiting(job, float(number)))
-        if not policy.decide(board, float(number)):
+            state.queue.add(WaitingJob(job, float(number)))
+        if not policy.decide(state, float(number)):
             break
-    while len(board.queue) < size.waiting:
+    while len(state.queue) < size.waiting:
         number += 1
         slots = source.choice(SIZES)
         job = make_job(source, number, size.teams, slots)
-        board.queue.add(Waiting(job, float(number)))
-    return board
+        state.queue.add(WaitingJob(job, float(number)))
+    return state
 
 
-def promise(board: Board, size: Size) -> None:
-    """Promise each team a block of four as far as half the slots go."""
+def set_guarantees(state: SchedulerState, size: Size) -> None:
+    """Guarantee each team a block of four as far as half the slots go."""
     units = {}
     for team in range(min(size.teams, size.workers * SLOTS // 8)):
-        unit_id = UnitId(f'team-{team}', 'shape-4', 0)
-        units[unit_id] = Unit(unit_id=unit_id, slots=4, adjacent='worker')
-    board.plan.promise(units)
+        unit_id = GuaranteeUnitId(f'team-{team}', 'shape-4', 0)
+        units[unit_id] = GuaranteeUnit(
+            unit_id=unit_id,
+            slots=4,
+            adjacent='worker',
+        )
+    state.plan.set_units(units)
 
 
 def measure(size: Size) -> dict[str, Any]:
     """Return the time of the decision after each of many events."""
     source = random.Random(size.workers)  # noqa: S311
-    board = make_board(size, source)
+    state = make_state(size, source)
     policy = policies.get('guarantees')(5)
     times_s: list[float] = []
     placed = 0
     for event in range(EVENTS):
         if event % 2:
-            board.release(source.choice(sorted(board.placed)))
+            state.release(source.choice(sorted(state.placed)))
         else:
             slots = source.choice(SIZES)
             job = make_job(source, 10**6 + event, size.teams, slots)
-            board.queue.add(Waiting(job, 10.0**6 + event))
+            state.queue.add(WaitingJob(job, 10.0**6 + event))
         begun_s = time.perf_counter()
-        placed += len(policy.decide(board, 10.0**6 + event))
+        placed += len(policy.decide(state, 10.0**6 + event))
         times_s.append(time.perf_counter() - begun_s)
     return {
         **size._asdict(),
-        'running_at_end': len(board.placed),
-        'waiting_at_end': len(board.queue),
+        'running_at_end': len(state.placed),
+        'waiting_at_end': len(state.queue),
         'placed': placed,
         'p50_ms': round(1000 * percentile(times_s, 0.5), 3),
         'p99_ms': round(1000 * percentile(times_s, 0.99), 3),
--- a/src/curranthill/scheduler/cluster.py
+++ b/src/curranthill/scheduler/cluster.py
@@ -39,7 +39,7 @@
     jobs: set[str] = field(default_factory=set)
 
     @property
-    def unpromised(self) -> int:
+    def unguaranteed(self) -> int:
         """Return the slots that no promise covers, in use or not."""
         promised = self.planned + self.guaranteed + self.quick
         return max(0, self.slots - promised) if self.usable else 0
--- a/src/curranthill/scheduler/daemon.py
+++ b/src/curranthill/scheduler/daemon.py
@@ -55,7 +55,7 @@
             directory=self.node.directory,
             configuration=self.node.configuration,
             view=self.node.view,
-            tell_moved=self.node.notifier.notify,
+            notify_moved=self.node.notifier.notify,
         )
         service = SchedulerService(
             leader=self.leader,
--- a/src/curranthill/scheduler/fair.py
+++ b/src/curranthill/scheduler/fair.py
@@ -12,11 +12,16 @@
 from typing import Final, NamedTuple
 
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.board import Board, Decision, ShapeKey, Waiting
 from curranthill.scheduler.cluster import Room, WorkerState
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.reservations import Reservations
 from curranthill.scheduler.search import Price, find_place, may_fit
+from curranthill.scheduler.state import (
+    Decision,
+    SchedulerState,
+    ShapeKey,
+    WaitingJob,
+)
 from curranthill.scheduler.victims import choose_victims, lost_work_on
 
 #: How much waiting once its own run time moves a job against usage that
@@ -63,129 +68,142 @@
         self._reservations = Reservations()
         self._reviewed_s = float('-inf')
 
-    def decide(self, board: Board, now_s: float) -> list[Decision]:
+    def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
         """Place guaranteed work, then borrowed work."""
-        decisions = self._place_guaranteed(board, now_s)
+        decisions = self._place_guaranteed(state, now_s)
         if now_s - self._reviewed_s >= REVIEW_S:
             self._reviewed_s = now_s
-            self._review(board, now_s)
-        decisions.extend(self._place_borrowed(board, now_s))
+            self._review(state, now_s)
+        decisions.extend(self._place_borrowed(state, now_s))
         return decisions
 
-    def explain(self, board: Board, job_id: str, now_s: float) -> list[str]:
+    def explain(
+        self,
+        state: SchedulerState,
+        job_id: str,
+        now_s: float,
+    ) -> list[str]:
         """Say what a job is entitled to and what it waits for."""
-        waiting = board.queue.get(job_id)
+        waiting = state.queue.get(job_id)
         if waiting is None:
             return []
-        return _explanation(board, waiting, now_s)
+        return _explanation(state, waiting, now_s)
 
-    def _place_guaranteed(self, board: Board, now_s: float) -> list[Decision]:
+    def _place_guaranteed(
+        self,
+        state: SchedulerState,
+        now_s: float,
+    ) -> list[Decision]:
         entitled = [
             head
-            for pair in board.plan.unused_pairs()
-            for head in board.queue.heads_of_pair(*pair)
+            for pair in state.plan.unused_pairs()
+            for head in state.queue.heads_of_pair(*pair)
         ]
         decisions: list[Decision] = []
         for key, _ in sorted(entitled, key=_head_age):
-            decision = self._restore(board, key, now_s)
+            decision = self._restore(state, key, now_s)
             while decision is not None:
                 decisions.append(decision)
-                decision = self._restore(board, key, now_s)
+                decision = self._restore(state, key, now_s)
         return decisions
 
     def _restore(
         self,
-        board: Board,
+        state: SchedulerState,
         key: ShapeKey,
         now_s: float,
     ) -> Decision | None:
         """Give a workspace one guaranteed shape, from others if need be."""
-        waiting = board.queue.head(key)
-        unit = board.plan.free_unit(key.workspace, key.shape)
+        waiting = state.queue.head(key)
+        unit = state.plan.free_unit(key.workspace, key.shape)
         if waiting is None or unit is None:
             return None
         job = waiting.job
-        planned = board.plan.unplan_for_search(unit)
-        place = self._restored_place(board, job, now_s)
+        planned = state.plan.unplan_for_search(unit)
+        place = self._restored_place(state, job, now_s)
         if place is None:
-            board.plan.put_back(unit, planned)
+            state.plan.put_back(unit, planned)
             return None
         self._reservations.started(job.job_id, place)
-        return board.place(
+        return state.place(
             waiting,
             place,
             hard=True,
             now_s=now_s,
             reason='guarantee',
             unit=unit,
-            victims=choose_victims(board, place, now_s),
+            victims=choose_victims(state, place, now_s),
         )
 
     def _restored_place(
         self,
-        board: Board,
+        state: SchedulerState,
         job: Job,
         now_s: float,
     ) -> tuple[Member, ...] | None:
         """Return a free place, else the one that costs others least."""
         place = find_place(
-            board.cluster,
+            state.cluster,
             job.slots,
             job.adjacent,
             'both',
             price=_failure_price(job),
         )
         if place is None:
-            place = find_place(board.cluster, job.slots, job.adjacent, 'free')
-            if place is not None and not board.plan.make_way(place):
+            place = find_place(state.cluster, job.slots, job.adjacent, 'free')
+            if place is not None and not state.plan.make_way(place):
                 place = None
         if place is not None:
             return place
 
         def price(worker: WorkerState) -> float:  # noqa: WPS430
-            return lost_work_on(board, worker, now_s)
+            return lost_work_on(state, worker, now_s)
 
         return find_place(
-            board.cluster,
+            state.cluster,
             job.slots,
             job.adjacent,
             'open',
             price=price,
         )
 
-    def _place_borrowed(self, board: Board, now_s: float) -> list[Decision]:
+    def _place_borrowed(
+        self,
+        state: SchedulerState,
+        now_s: float,
+    ) -> list[Decision]:
         decisions: list[Decision] = []
         fitting = [
             head
-            for form in board.queue.forms()
-            if may_fit(board.cluster, form.slots, form.adjacent, 'free')
-            for head in board.queue.heads_of_form(form)
+            for form in state.queue.forms()
+            if may_fit(state.cluster, form.slots, form.adjacent, 'free')
+            for head in state.queue.heads_of_form(form)
         ]
         failed: set[_Trial] = set()
-        for key in self._ranked(board, fitting, now_s):
-            decision = self._borrow(board, key, now_s, failed)
+        for key in self._ranked(state, fitting, now_s):
+            decision = self._borrow(state, key, now_s, failed)
             while decision is not None:
                 decisions.append(decision)
-                decision = self._borrow(board, key, now_s, failed)
+                decision = self._borrow(state, key, now_s, failed)
         return decisions
 
     def _ranked(
         self,
-        board: Board,
-        heads: Iterable[tuple[ShapeKey, Waiting]],
+        state: SchedulerState,
+        heads: Iterable[tuple[ShapeKey, WaitingJob]],
         now_s: float,
     ) -> list[ShapeKey]:
         """Return lines, the one that should be served first first."""
-        total = max(1, board.cluster.slots)
+        total = max(1, state.cluster.slots)
         shares = {
-            name: used / total / board.weights.get(name, 1)
-            for name, used in board.borrowed.items()
+            name: used / total / state.weights.get(name, 1)
+            for name, used in state.borrowed.items()
         }
         ranked: list[tuple[float, float, ShapeKey]] = []
         for key, waiting in heads:
-            if not board.may_borrow.get(key.workspace, True):
+            if not state.may_borrow.get(key.workspace, True):
                 continue
-            run_s = max(board.run_time_s(waiting.job), LEAST_RUN_S)
+            run_s = max(state.run_time_s(waiting.job), LEAST_RUN_S)
             age = (now_s - waiting.since_s) / run_s
             rank = shares.get(key.workspace, 0) - AGEING * age
             ranked.append((rank, waiting.since_s, key))
@@ -194,29 +212,29 @@
 
     def _borrow(
         self,
-        board: Board,
+        state: SchedulerState,
         key: ShapeKey,
         now_s: float,
         failed: set[_Trial],
     ) -> Decision | None:
         """Place the head of one line, if it fits now."""
-        waiting = board.queue.head(key)
+        waiting = state.queue.head(key)
         if waiting is None:
             return None
         job = waiting.job
-        if not may_fit(board.cluster, job.slots, job.adjacent, 'free'):
+        if not may_fit(state.cluster, job.slots, job.adjacent, 'free'):
             return None
-        before = self._reservations.before(board, job, now_s)
+        before = self._reservations.before(state, job, now_s)
         for hard in self._manners(job):
             trial = _Trial(job.slots, job.adjacent, hard, before)
             if trial in failed:
                 continue
-            place = self._find(board, job, trial)
+            place = self._find(state, job, trial)
             if place is None:
                 failed.add(trial)
                 continue
             self._reservations.started(job.job_id, place)
-            return board.place(
+            return state.place(
                 waiting,
                 place,
                 hard=hard,
@@ -239,7 +257,7 @@
 
     def _find(
         self,
-        board: Board,
+        state: SchedulerState,
         job: Job,
         trial: _Trial,
     ) -> tuple[Member, ...] | None:
@@ -248,7 +266,7 @@
         place: tuple[Member, ...] | None = None
         for room in _ROOMS:
             place = place or find_place(
-                board.cluster,
+                state.cluster,
                 job.slots,
                 job.adjacent,
                 room,
@@ -257,24 +275,24 @@
             )
         if place is None or not trial.hard:
             return place
-        return place if board.plan.make_way(place) else None
+        return place if state.plan.make_way(place) else None
 
-    def _review(self, board: Board, now_s: float) -> None:
+    def _review(self, state: SchedulerState, now_s: float) -> None:
         """Keep workers for those who are first in order and do not fit."""
         self._reservations.clear(now_s)
         # A single slot fits wherever one is free: nothing is kept for it.
         gangs = [
             head
-            for form in board.queue.forms()
+            for form in state.queue.forms()
             if form.slots > 1
-            for head in board.queue.heads_of_form(form)
+            for head in state.queue.heads_of_form(form)
         ]
-        for key in self._ranked(board, gangs, now_s):
-            waiting = board.queue.head(key)
+        for key in self._ranked(state, gangs, now_s):
+            waiting = state.queue.head(key)
             if self._reservations.full or waiting is None:
                 return
-            if now_s - waiting.since_s >= _patience_s(board, waiting.job):
-                self._reservations.keep_for(board, waiting.job, now_s)
+            if now_s - waiting.since_s >= _patience_s(state, waiting.job):
+                self._reservations.keep_for(state, waiting.job, now_s)
 
 
 @policies.register('guarantees')
@@ -283,15 +301,15 @@
     return Guarantees(preemptions=preemptions)
 
 
-def _patience_s(board: Board, job: Job) -> float:
+def _patience_s(state: SchedulerState, job: Job) -> float:
     """Return how long a job waits before workers are kept for it.
 
     Draining costs others most where a gang takes most of the data centre,
     and is lost where the gang is then stopped for a guarantee: so a large
     part waits longer, and each of the first stops doubles the wait.
     """
-    run_s = max(board.run_time_s(job), LEAST_RUN_S)
-    part = job.slots / max(1, board.cluster.slots)
+    run_s = max(state.run_time_s(job), LEAST_RUN_S)
+    part = job.slots / max(1, state.cluster.slots)
     stops = min(job.preemptions, STOPS_COUNTED)
     return PATIENCE * run_s * max(1, 4 * part) * 2.0**stops
 
@@ -308,13 +326,13 @@
     return price
 
 
-def _head_age(head: tuple[ShapeKey, Waiting]) -> float:
+def _head_age(head: tuple[ShapeKey, WaitingJob]) -> float:
     return head[1].since_s
 
 
 def _explanation(
-    board: Board,
-    waiting: Waiting,
+    state: SchedulerState,
+    waiting: WaitingJob,
     now_s: float,
 ) -> list[str]:
     job = waiting.job
@@ -323,7 +341,7 @@
         f' {now_s - waiting.since_s:.1f} s for {job.slots} accelerators'
         f' ({job.adjacent}).',
     ]
-    units = board.plan.units_of(job.workspace, job.shape)
+    units = state.plan.units_of(job.workspace, job.shape)
     if not units:
         lines.append('Its workspace holds no guarantee of this shape here.')
     for unit in units:
@@ -331,13 +349,13 @@
             lines.append(f'{unit.unit_id} is in use by {unit.job_id}.')
         elif unit.at_risk:
             lines.append(f'{unit.unit_id} is at risk: no place holds it.')
-    if not board.may_borrow.get(job.workspace, True):
+    if not state.may_borrow.get(job.workspace, True):
         lines.append('Its workspace may not borrow.')
-    free = sum(worker.free for worker in board.cluster.workers.values())
-    most = board.cluster.most('free')
+    free = sum(worker.free for worker in state.cluster.workers.values())
+    most = state.cluster.most('free')
     lines.append(
         f'{free} accelerators are free, at most {most.widest} on one worker'
-        f' and {most.total} in one rack; {len(board.queue)} jobs wait.',
+        f' and {most.total} in one rack; {len(state.queue)} jobs wait.',
     )
     return lines
 
--- a/src/curranthill/scheduler/fifo.py
+++ b/src/curranthill/scheduler/fifo.py
@@ -1,8 +1,8 @@
 """The baselines: first come, first served, into the first place that fits."""
 
-from curranthill.scheduler.board import Board, Decision, Waiting
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.search import first_fit
+from curranthill.scheduler.state import Decision, SchedulerState, WaitingJob
 
 
 class FifoFirstFit:
@@ -15,22 +15,22 @@
         """Choose whether the head of the queue blocks the rest."""
         self._skipping = skipping
 
-    def decide(self, board: Board, now_s: float) -> list[Decision]:
+    def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
         """Place jobs in order of arrival."""
         decisions: list[Decision] = []
         failed: set[tuple[int, str]] = set()
-        for waiting in sorted(board.queue, key=_arrival):
+        for waiting in sorted(state.queue, key=_arrival):
             job = waiting.job
             if (job.slots, job.adjacent) in failed:
                 continue
-            members = first_fit(board.cluster, job.slots, job.adjacent)
+            members = first_fit(state.cluster, job.slots, job.adjacent)
             if members is None:
                 if not self._skipping:
                     break
                 failed.add((job.slots, job.adjacent))
                 continue
             decisions.append(
-                board.place(
+                state.place(
                     waiting,
                     members,
                     hard=True,
@@ -40,9 +40,14 @@
             )
         return decisions
 
-    def explain(self, board: Board, job_id: str, now_s: float) -> list[str]:
+    def explain(
+        self,
+        state: SchedulerState,
+        job_id: str,
+        now_s: float,
+    ) -> list[str]:
         """Say how many jobs stand before this one."""
-        order = sorted(board.queue, key=_arrival)
+        order = sorted(state.queue, key=_arrival)
         ahead = 0
         for waiting in order:
             if waiting.job.job_id == job_id:
@@ -63,7 +68,7 @@
     return FifoFirstFit(skipping=True)
 
 
-def _arrival(waiting: Waiting) -> float:
+def _arrival(waiting: WaitingJob) -> float:
     return waiting.since_s
 
 
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -29,9 +29,9 @@
     next_state,
 )
 from curranthill.scheduler.context import Context
+from curranthill.scheduler.finalize import BackOff, Settlement
 from curranthill.scheduler.members import RETRY_S, Members
-from curranthill.scheduler.settle import BackOff, Settlement
-from curranthill.scheduler.watch import LOST, MemberNews, WorkerWatch
+from curranthill.scheduler.watch import LOST, MemberUpdate, WorkerWatch
 from curranthill.workers import (
     FINISHED,
     RESERVED,
@@ -110,7 +110,7 @@
         """Return the members in the order in which they are reserved."""
         return self._members.members
 
-    def on_news(self, news: MemberNews) -> None:
+    def on_news(self, news: MemberUpdate) -> None:
         """Take in what a watch learnt of one member."""
         if self._states.get(news.worker) != news.state:
             self._states[news.worker] = news.state
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -18,7 +18,7 @@
 from curranthill.telemetry import metrics
 
 
-class UnitId(NamedTuple):
+class GuaranteeUnitId(NamedTuple):
     """One guaranteed shape of one workspace."""
 
     workspace: str
@@ -27,10 +27,10 @@
 
 
 @dataclass(kw_only=True)
-class Unit:
+class GuaranteeUnit:
     """One guaranteed shape: planned, in use, or at risk."""
 
-    unit_id: UnitId
+    unit_id: GuaranteeUnitId
     slots: int
     adjacent: Adjacency
     planned: tuple[Member, ...] = ()
@@ -51,13 +51,16 @@
     def __init__(self, *, cluster: Cluster) -> None:
         """Start with no promise."""
         #: Units that no place can restore now.
-        self.at_risk: set[UnitId] = set()
+        self.at_risk: set[GuaranteeUnitId] = set()
         self._cluster = cluster
-        self._units: dict[UnitId, Unit] = {}
-        self._by_job: dict[str, UnitId] = {}
-        self._unused: dict[tuple[str, str], dict[UnitId, Unit]] = {}
-
-    def __iter__(self) -> Iterator[Unit]:
+        self._units: dict[GuaranteeUnitId, GuaranteeUnit] = {}
+        self._by_job: dict[str, GuaranteeUnitId] = {}
+        self._unused: dict[
+            tuple[str, str],
+            dict[GuaranteeUnitId, GuaranteeUnit],
+        ] = {}
+
+    def __iter__(self) -> Iterator[GuaranteeUnit]:
         """Yield all units."""
         return iter(self._units.values())
 
@@ -67,9 +70,9 @@
         data_centre: str,
     ) -> None:
         """Take over the promises of a configuration."""
-        self.promise(dict(_wanted_units(document, data_centre)))
+        self.set_units(dict(_wanted_units(document, data_centre)))
 
-    def promise(self, wanted: dict[UnitId, Unit]) -> None:
+    def set_units(self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]) -> None:
         """Hold exactly these units; those that stay keep their places."""
         for unit_id in list(self._units):
             if unit_id not in wanted or self._resized(wanted[unit_id]):
@@ -80,7 +83,7 @@
                 self._note_unused(unit)
         self.repair()
 
-    def free_unit(self, workspace: str, shape: str) -> Unit | None:
+    def free_unit(self, workspace: str, shape: str) -> GuaranteeUnit | None:
         """Return a unit of a workspace and shape that is not in use."""
         unused = self._unused.get((workspace, shape))
         return next(iter(unused.values())) if unused else None
@@ -89,11 +92,11 @@
         """Return workspaces and shapes of which a unit is not in use."""
         return [pair for pair, unused in self._unused.items() if unused]
 
-    def units_of(self, workspace: str, shape: str) -> list[Unit]:
+    def units_of(self, workspace: str, shape: str) -> list[GuaranteeUnit]:
         """Return all units of a workspace and shape."""
         return [unit for unit in self if unit.unit_id[:2] == (workspace, shape)]
 
-    def use(self, unit: Unit, job_id: str) -> None:
+    def use(self, unit: GuaranteeUnit, job_id: str) -> None:
         """Let a job use a unit; the plan's slots are its own from now on."""
         self._unplan(unit)
         unit.job_id = job_id
@@ -102,7 +105,9 @@
 
     def give_back(self, job_id: str, members: Iterable[Member]) -> None:
         """Plan a unit where the job that used it was."""
-        unit = self._units.get(self._by_job.pop(job_id, UnitId('', '', 0)))
+        unit = self._units.get(
+            self._by_job.pop(job_id, GuaranteeUnitId('', '', 0)),
+        )
         if unit is None:
             return
         unit.job_id = ''
@@ -169,31 +174,35 @@
         self.at_risk = now_at_risk
         metrics.guarantees_at_risk.set(len(now_at_risk))
 
-    def unplan_for_search(self, unit: Unit) -> tuple[Member, ...]:
+    def unplan_for_search(self, unit: GuaranteeUnit) -> tuple[Member, ...]:
         """Take a unit's plan away for a search; return it."""
         planned = unit.planned
         self._unplan(unit)
         return planned
 
-    def put_back(self, unit: Unit, planned: tuple[Member, ...]) -> None:
+    def put_back(
+        self,
+        unit: GuaranteeUnit,
+        planned: tuple[Member, ...],
+    ) -> None:
         """Undo :meth:`unplan_for_search`."""
         self._set_plan(unit, planned)
 
-    def _resized(self, wanted: Unit) -> bool:
+    def _resized(self, wanted: GuaranteeUnit) -> bool:
         unit = self._units[wanted.unit_id]
         return (unit.slots, unit.adjacent) != (wanted.slots, wanted.adjacent)
 
-    def _drop(self, unit_id: UnitId) -> None:
+    def _drop(self, unit_id: GuaranteeUnitId) -> None:
         unit = self._units.pop(unit_id)
         self._unplan(unit)
         self._unused[unit_id[:2]].pop(unit_id, None)
         self._by_job.pop(unit.job_id, None)
 
-    def _note_unused(self, unit: Unit) -> None:
+    def _note_unused(self, unit: GuaranteeUnit) -> None:
         pair = unit.unit_id[:2]
         self._unused.setdefault(pair, {})[unit.unit_id] = unit
 
-    def _displaced(self, members: tuple[Member, ...]) -> list[Unit]:
+    def _displaced(self, members: tuple[Member, ...]) -> list[GuaranteeUnit]:
         names = {
             member.worker
             for member in members
@@ -205,7 +214,7 @@
             if any(part.worker in names for part in unit.planned)
         ]
 
-    def _planned_on(self, worker: str) -> list[Unit]:
+    def _planned_on(self, worker: str) -> list[GuaranteeUnit]:
         return [
             unit
             for unit in self
@@ -220,19 +229,23 @@
             for member in members
         )
 
-    def _replan(self, unit: Unit) -> bool:
+    def _replan(self, unit: GuaranteeUnit) -> bool:
         place = find_place(self._cluster, unit.slots, unit.adjacent, 'open')
         if place is None:
             return False
         self._set_plan(unit, place)
         return True
 
-    def _set_plan(self, unit: Unit, members: tuple[Member, ...]) -> None:
+    def _set_plan(
+        self,
+        unit: GuaranteeUnit,
+        members: tuple[Member, ...],
+    ) -> None:
         self._unplan(unit)
         unit.planned = members
         self._cluster.plan(members)
 
-    def _unplan(self, unit: Unit) -> None:
+    def _unplan(self, unit: GuaranteeUnit) -> None:
         self._cluster.plan(unit.planned, -1)
         unit.planned = ()
 
@@ -240,7 +253,7 @@
 def _wanted_units(
     document: ConfigurationDocument,
     data_centre: str,
-) -> Iterator[tuple[UnitId, Unit]]:
+) -> Iterator[tuple[GuaranteeUnitId, GuaranteeUnit]]:
     for name, workspace in document.workspaces.items():
         counts: dict[str, int] = {}
         for guarantee in workspace.guarantees:
@@ -250,10 +263,10 @@
         for shape_name, count in counts.items():
             shape = document.shapes[shape_name]
             for number in range(count):
-                unit_id = UnitId(name, shape_name, number)
+                unit_id = GuaranteeUnitId(name, shape_name, number)
                 yield (
                     unit_id,
-                    Unit(
+                    GuaranteeUnit(
                         unit_id=unit_id,
                         slots=shape.accelerators,
                         adjacent=shape.adjacent,
@@ -261,8 +274,8 @@
                 )
 
 
-def _largest_first(units: Iterable[Unit]) -> list[Unit]:
+def _largest_first(units: Iterable[GuaranteeUnit]) -> list[GuaranteeUnit]:
     return sorted(units, key=lambda unit: (-unit.slots, unit.unit_id))
 
 
-__all__ = ('GuaranteePlan', 'Unit', 'UnitId')
+__all__ = ('GuaranteePlan', 'GuaranteeUnit', 'GuaranteeUnitId')
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -24,7 +24,8 @@
     """One scheduler's leadership of its data centre.
 
     :param view: told of the epoch, so that peers find the active scheduler.
-    :param tell_moved: tells a data centre's scheduler of a job given to it.
+    :param notify_moved: notifies a data centre's scheduler of a job that was
+        moved to it.
     """
 
     def __init__(  # noqa: WPS211
@@ -36,10 +37,10 @@
         directory: HostDirectory,
         configuration: ConfigurationHolder,
         view: View,
-        tell_moved: Callable[[str, str], None],
+        notify_moved: Callable[[str, str], None],
     ) -> None:
         """Start as a standby."""
-        self._tell_moved = tell_moved
+        self._notify_moved = notify_moved
         self.term: Term | None = None
         self.recovered: Recovered | None = None
         self._app = app
@@ -125,7 +126,7 @@
             directory=self._directory,
             configuration=self._configuration,
             neighbours=self._neighbours,
-            tell_moved=self._tell_moved,
+            notify_moved=self._notify_moved,
         )
 
     def _neighbours(self) -> list[Member]:
@@ -148,7 +149,7 @@
         while True:
             await self._app.clock.sleep(LOAD_INTERVAL_S)
             if self.term is not None:
-                self._view.update_own(load=self.term.board.load())
+                self._view.update_own(load=self.term.state.load())
 
     def _workers_changed(self) -> None:
         if self.term is not None:
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -10,7 +10,7 @@
 
 from curranthill.clock import Clock
 from curranthill.jobs import birth_of
-from curranthill.scheduler.board import Board, Waiting
+from curranthill.scheduler.state import SchedulerState, WaitingJob
 
 #: How long a job waits here before another place is considered, in seconds.
 PATIENCE_S: Final = 1.0
@@ -69,12 +69,12 @@
     def __init__(
         self,
         *,
-        board: Board,
+        state: SchedulerState,
         clock: Clock,
         neighbours: Callable[[], Sequence[Neighbour]],
     ) -> None:
         """Start with nothing sent."""
-        self._board = board
+        self._state = state
         self._clock = clock
         self._neighbours = neighbours
         self._sent: list[_Sent] = []
@@ -89,7 +89,7 @@
         moves: list[Move] = []
         if not places:
             return moves
-        for waiting in sorted(self._board.queue, key=_age):
+        for waiting in sorted(self._state.queue, key=_age):
             if len(moves) >= MOST:
                 break
             if self._stays(waiting, now_s):
@@ -99,10 +99,10 @@
                 moves.append(self._send(waiting, place, now_s))
         return moves
 
-    def _stays(self, waiting: Waiting, now_s: float) -> bool:
+    def _stays(self, waiting: WaitingJob, now_s: float) -> bool:
         job = waiting.job
-        entitled = self._board.plan.free_unit(job.workspace, job.shape)
-        may_borrow = self._board.may_borrow.get(job.workspace, True)
+        entitled = self._state.plan.free_unit(job.workspace, job.shape)
+        may_borrow = self._state.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
         moved = birth_of(job.job_id) != job.home
         patience_s = MOVED_PATIENCE_S if moved else PATIENCE_S
@@ -110,7 +110,7 @@
 
     def _place_for(
         self,
-        waiting: Waiting,
+        waiting: WaitingJob,
         places: Sequence[Neighbour],
     ) -> Neighbour | None:
         slots = waiting.job.slots
@@ -135,7 +135,12 @@
             if sent.data_centre == place.data_centre
         )
 
-    def _send(self, waiting: Waiting, place: Neighbour, now_s: float) -> Move:
+    def _send(
+        self,
+        waiting: WaitingJob,
+        place: Neighbour,
+        now_s: float,
+    ) -> Move:
         job = waiting.job
         left = self._left(place)
         self._sent.append(_Sent(place.data_centre, job.slots, now_s))
@@ -146,7 +151,7 @@
         )
 
 
-def _age(waiting: Waiting) -> float:
+def _age(waiting: WaitingJob) -> float:
     return waiting.since_s
 
 
--- a/src/curranthill/scheduler/policies.py
+++ b/src/curranthill/scheduler/policies.py
@@ -4,19 +4,24 @@
 from typing import Protocol
 
 from curranthill.registry import Registry
-from curranthill.scheduler.board import Board, Decision
+from curranthill.scheduler.state import Decision, SchedulerState
 
 
 class Policy(Protocol):
     """Decide which waiting jobs get which places."""
 
-    def decide(self, board: Board, now_s: float) -> list[Decision]:
-        """Place what can be placed now, by ``board.place``, and return it.
+    def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
+        """Place what can be placed now, by ``state.place``, and return it.
 
         :param now_s: monotonic seconds.
         """
 
-    def explain(self, board: Board, job_id: str, now_s: float) -> list[str]:
+    def explain(
+        self,
+        state: SchedulerState,
+        job_id: str,
+        now_s: float,
+    ) -> list[str]:
         """Say in plain sentences why a job waits."""
 
 
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -5,8 +5,8 @@
 
 from curranthill.clock import Clock
 from curranthill.jobs import Member
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import WorkerState
+from curranthill.scheduler.state import SchedulerState
 from curranthill.scheduler.victims import choose_victims
 
 #: Slots kept for each request that was in flight at the peak.
@@ -40,9 +40,15 @@
     gangs need whole; they grow and shrink on the same workers first.
     """
 
-    def __init__(self, *, board: Board, clock: Clock, least: int) -> None:
+    def __init__(
+        self,
+        *,
+        state: SchedulerState,
+        clock: Clock,
+        least: int,
+    ) -> None:
         """Start with the least reserve wanted."""
-        self._board = board
+        self._state = state
         self._clock = clock
         self.least = least
         self._demands: dict[str, Demand] = {}
@@ -68,7 +74,7 @@
             for demand in self._demands.values()
             if now_s - demand.at_s < 2 * DEMAND_MEMORY_S
         )
-        workers = self._board.cluster.workers.values()
+        workers = self._state.cluster.workers.values()
         total = sum(worker.slots for worker in workers if worker.usable)
         wanted = max(self.least, math.ceil(peak * HEADROOM))
         return min(wanted, int(total * MOST_SHARE))
@@ -76,12 +82,12 @@
     def adjust(self) -> tuple[str, ...]:
         """Grow or shrink the reserve; return the jobs that must stop."""
         held = sum(
-            worker.quick for worker in self._board.cluster.workers.values()
+            worker.quick for worker in self._state.cluster.workers.values()
         )
         wanted = self.wanted()
         if wanted < held:
             self._shrink(held - wanted)
-            self._board.plan.repair()
+            self._state.plan.repair()
             return ()
         if wanted > held:
             return self._grow(wanted - held)
@@ -105,20 +111,20 @@
     def _holders(self) -> list[WorkerState]:
         return [
             worker
-            for worker in self._board.cluster.workers.values()
+            for worker in self._state.cluster.workers.values()
             if worker.quick and worker.usable
         ]
 
     def _shrink(self, surplus: int) -> None:
         for worker in sorted(self._holders(), key=_fewest_quick):
             given = min(surplus, worker.quick)
-            self._board.cluster.keep_quick(worker, -given)
+            self._state.cluster.keep_quick(worker, -given)
             surplus -= given
 
     def _grow(self, missing: int) -> tuple[str, ...]:
         victims: list[str] = []
         for worker in sorted(
-            self._board.cluster.workers.values(),
+            self._state.cluster.workers.values(),
             key=_best_for_quick,
         ):
             if missing <= 0:
@@ -139,13 +145,13 @@
         victims: tuple[str, ...] = ()
         if worker.free < slots:
             victims = choose_victims(
-                self._board,
+                self._state,
                 (member,),
                 self._clock.monotonic_s(),
             )
             for victim in victims:
-                self._board.release(victim)
-        self._board.cluster.keep_quick(worker, slots)
+                self._state.release(victim)
+        self._state.cluster.keep_quick(worker, slots)
         return victims
 
 
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -42,7 +42,7 @@
     workers: list[HostEntry],
     data_centre: str,
 ) -> Recovered:
-    """Fill a new term's board from the workers and the table.
+    """Fill a new term's state from the workers and the table.
 
     The workers are fenced before the rows are read, so that whatever an
     older leader marks later it can no longer start.
--- a/src/curranthill/scheduler/turns.py
+++ b/src/curranthill/scheduler/reservation_windows.py
@@ -9,10 +9,10 @@
 from typing import Final, NamedTuple
 
 #: The shortest time for which a worker is kept, in seconds.
-SHORTEST_TURN_S: Final = 5.0
+MIN_WINDOW_S: Final = 5.0
 
 #: A worker is kept for so many times the wait by estimates: some take longer.
-TURN_FACTOR: Final = 2.0
+WINDOW_FACTOR: Final = 2.0
 
 
 class _Turn(NamedTuple):
@@ -33,7 +33,7 @@
         return now_s - self.since_s >= 2 * self.length_s
 
 
-class WorkerTurns:
+class WorkerReservationWindows:
     """The turns of all workers that are kept for gangs, or were of late."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
 
         :param wait_s: how long the gang waits for them, by estimates.
         """
-        length_s = max(SHORTEST_TURN_S, TURN_FACTOR * wait_s)
+        length_s = max(MIN_WINDOW_S, WINDOW_FACTOR * wait_s)
         for name in workers:
             self._turns.setdefault(name, _Turn(now_s, length_s))
 
@@ -73,4 +73,4 @@
                 self._turns.pop(name)
 
 
-__all__ = ('SHORTEST_TURN_S', 'TURN_FACTOR', 'WorkerTurns')
+__all__ = ('MIN_WINDOW_S', 'WINDOW_FACTOR', 'WorkerReservationWindows')
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -4,10 +4,10 @@
 from typing import NamedTuple
 
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import Rack, WorkerState
+from curranthill.scheduler.reservation_windows import WorkerReservationWindows
 from curranthill.scheduler.search import Barred
-from curranthill.scheduler.turns import WorkerTurns
+from curranthill.scheduler.state import SchedulerState
 
 #: The most jobs for which workers are kept at the same time.
 MOST_KEPT = 4
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         """Start with no worker kept."""
         self._kept: dict[str, Reservation] = {}
-        self._turns = WorkerTurns()
+        self._turns = WorkerReservationWindows()
 
     @property
     def full(self) -> bool:
@@ -68,31 +68,36 @@
         """Return what is kept for a job."""
         return self._kept.get(job_id)
 
-    def keep_for(self, board: Board, job: Job, now_s: float) -> None:
+    def keep_for(self, state: SchedulerState, job: Job, now_s: float) -> None:
         """Keep the workers on which a job will fit first, if any are left."""
         taken = self.barred(self._kept)
-        closed = _with_workers(board, taken, self._turns.pausing(now_s))
+        closed = _with_workers(state, taken, self._turns.pausing(now_s))
         best: Reservation | None = None
-        for name, rack in board.cluster.racks.items():
-            found = _in_rack(board, rack, job, closed.get(name))
+        for name, rack in state.cluster.racks.items():
+            found = _in_rack(state, rack, job, closed.get(name))
             if found and (best is None or found.until_s < best.until_s):
                 best = found
         if best is None or best.until_s == _NEVER:
             return
         kept = sum(len(workers) for workers in taken.values())
-        open_after = len(board.cluster.workers) - kept - len(best.workers)
+        open_after = len(state.cluster.workers) - kept - len(best.workers)
         if not self._kept or open_after >= OPEN_SHARE * len(
-            board.cluster.workers,
+            state.cluster.workers,
         ):
             until_s = max(now_s, best.until_s)
             self._kept[job.job_id] = best._replace(until_s=until_s)
             self._turns.begin(best.workers, now_s, until_s - now_s)
 
-    def before(self, board: Board, job: Job, now_s: float) -> frozenset[str]:
+    def before(
+        self,
+        state: SchedulerState,
+        job: Job,
+        now_s: float,
+    ) -> frozenset[str]:
         """Return the jobs whose kept workers a job may not use."""
         if not self._kept:
             return frozenset()
-        ends_s = now_s + board.run_time_s(job)
+        ends_s = now_s + state.run_time_s(job)
         return frozenset(
             job_id
             for job_id, reservation in self._kept.items()
@@ -109,9 +114,13 @@
         return barred
 
 
-def _with_workers(board: Board, barred: Barred, names: Iterable[str]) -> Barred:
+def _with_workers(
+    state: SchedulerState,
+    barred: Barred,
+    names: Iterable[str],
+) -> Barred:
     """Return barred workers, by rack, with some more of them."""
-    workers = board.cluster.workers
+    workers = state.cluster.workers
     more = dict(barred)
     for worker in filter(None, map(workers.get, names)):
         others = more.get(worker.rack, frozenset())
@@ -120,7 +129,7 @@
 
 
 def _in_rack(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
     closed: frozenset[str] | None,
@@ -135,34 +144,34 @@
         for worker in rack.workers
         if worker.usable and not (closed and worker.name in closed)
     ]
-    found = _first_fitting(board, rack, job, able)
+    found = _first_fitting(state, rack, job, able)
     if closed is None:
         rack.memo[memo_key] = found
     return found
 
 
 def _first_fitting(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
     able: list[WorkerState],
 ) -> Reservation | None:
-    widest = max((worker.unpromised for worker in able), default=0)
+    widest = max((worker.unguaranteed for worker in able), default=0)
     if job.slots <= widest:
         until_s, name = min(
-            (_has_free_at_s(board, worker, job.slots), worker.name)
+            (_has_free_at_s(state, worker, job.slots), worker.name)
             for worker in able
-            if worker.unpromised >= job.slots
+            if worker.unguaranteed >= job.slots
         )
         return Reservation(job.job_id, rack.name, frozenset((name,)), until_s)
-    total = sum(worker.unpromised for worker in able)
+    total = sum(worker.unguaranteed for worker in able)
     if job.adjacent == 'worker' or total < job.slots:
         return None
-    return _whole_workers(board, rack, job, able)
+    return _whole_workers(state, rack, job, able)
 
 
 def _whole_workers(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
     able: list[WorkerState],
@@ -170,9 +179,9 @@
     """Take the workers that are wholly free first until they are enough."""
     times = sorted(
         (
-            _has_free_at_s(board, worker, worker.unpromised),
+            _has_free_at_s(state, worker, worker.unguaranteed),
             worker.name,
-            worker.unpromised,
+            worker.unguaranteed,
         )
         for worker in able
     )
@@ -187,12 +196,16 @@
     return None
 
 
-def _has_free_at_s(board: Board, worker: WorkerState, slots: int) -> float:
+def _has_free_at_s(
+    state: SchedulerState,
+    worker: WorkerState,
+    slots: int,
+) -> float:
     """Return when a worker is expected to have so many slots free."""
     free = worker.free
     if free >= slots:
         return 0
-    for end_s, freed in board.ends_on(worker):
+    for end_s, freed in state.ends_on(worker):
         free += freed
         if free >= slots:
             return end_s
--- a/src/curranthill/scheduler/roster.py
+++ b/src/curranthill/scheduler/roster.py
@@ -5,11 +5,11 @@
 
 from loguru import logger
 
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import WorkerState
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.health import WorkerHealth
-from curranthill.scheduler.watch import MemberNews, WatchListener, WorkerWatch
+from curranthill.scheduler.state import SchedulerState
+from curranthill.scheduler.watch import MemberUpdate, WatchListener, WorkerWatch
 from curranthill.storage import HostEntry
 from curranthill.workers import LeaseReport
 
@@ -30,9 +30,9 @@
         self,
         *,
         context: Context,
-        board: Board,
+        state: SchedulerState,
         spawn: Spawn,
-        on_member: Callable[[MemberNews], bool],
+        on_member: Callable[[MemberUpdate], bool],
         on_orphan: Callable[[str, LeaseReport], None],
         on_change: Callable[[], None],
     ) -> None:
@@ -43,7 +43,7 @@
             settings=context.placement,
         )
         self._context = context
-        self._board = board
+        self._state = state
         self._spawn = spawn
         self._listener = WatchListener(
             on_member=on_member,
@@ -67,7 +67,7 @@
 
     def update(self, entries: list[HostEntry]) -> None:
         """Take in the host list: new workers, leaving ones, gone ones."""
-        cluster = self._board.cluster
+        cluster = self._state.cluster
         listed = {entry.host: entry for entry in entries}
         for entry in entries:
             if entry.host not in cluster.workers:
@@ -80,7 +80,7 @@
 
     def drain(self, name: str) -> bool:
         """Place no new work on a worker; return whether it is known."""
-        if name not in self._board.cluster.workers:
+        if name not in self._state.cluster.workers:
             return False
         self._drained.add(name)
         self.judge()
@@ -89,18 +89,18 @@
     def judge(self) -> None:
         """Say which workers may take work, and plan promises anew."""
         changed = False
-        for worker in self._board.cluster.workers.values():
+        for worker in self._state.cluster.workers.values():
             usable = self._is_usable(worker)
             if usable != worker.usable:
                 changed = True
-                self._board.cluster.set_usable(worker, usable)
+                self._state.cluster.set_usable(worker, usable)
                 logger.bind(step='health', peer=worker.name).info(
                     '{} {} work',
                     worker.name,
                     'may take' if usable else 'takes no',
                 )
         if changed:
-            self._board.plan.repair()
+            self._state.plan.repair()
             self._on_change()
 
     def failed(self, worker: str, job_id: str) -> None:
@@ -124,7 +124,7 @@
         return not self.health.quarantined(worker.name)
 
     def _add(self, entry: HostEntry) -> None:
-        self._board.cluster.add(
+        self._state.cluster.add(
             WorkerState(
                 name=entry.host,
                 address=entry.address,
@@ -143,9 +143,9 @@
             self._spawn(watch.run())
 
     def _remove(self, name: str) -> None:
-        cluster = self._board.cluster
+        cluster = self._state.cluster
         cluster.set_usable(cluster.workers[name], usable=False)
-        self._board.plan.repair()
+        self._state.plan.repair()
         cluster.remove(name)
         watch = self.watches.pop(name, None)
         if watch is not None:
--- a/src/curranthill/scheduler/board.py
+++ b/src/curranthill/scheduler/state.py
@@ -10,10 +10,10 @@
 from curranthill.membership import Load
 from curranthill.scheduler.cluster import Allocation, Cluster, WorkerState
 from curranthill.scheduler.estimates import Estimates
-from curranthill.scheduler.guarantees import GuaranteePlan, Unit
+from curranthill.scheduler.guarantees import GuaranteePlan, GuaranteeUnit
 
 
-class Waiting(NamedTuple):
+class WaitingJob(NamedTuple):
     """A job that waits for a place.
 
     :param since_s: monotonic seconds at which it began to wait.
@@ -34,7 +34,7 @@
 
 
 @dataclass(kw_only=True)
-class Placed:
+class PlacedJob:
     """A job that holds a place."""
 
     job: Job
@@ -75,8 +75,8 @@
     def __init__(self) -> None:
         """Start empty."""
         self._keys: dict[str, ShapeKey] = {}
-        self._lines: dict[ShapeKey, deque[Waiting]] = {}
-        self._by_form: dict[Form, dict[ShapeKey, deque[Waiting]]] = {}
+        self._lines: dict[ShapeKey, deque[WaitingJob]] = {}
+        self._by_form: dict[Form, dict[ShapeKey, deque[WaitingJob]]] = {}
         self._by_pair: dict[tuple[str, str], set[ShapeKey]] = {}
 
     def __len__(self) -> int:
@@ -87,12 +87,12 @@
         """Return whether a job waits."""
         return job_id in self._keys
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingJob]:
         """Yield all waiting jobs."""
         for line in self._lines.values():
             yield from line
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingJob) -> None:
         """Let a job wait; one that has waited longer goes before."""
         key = shape_key(waiting.job)
         self._keys[waiting.job.job_id] = key
@@ -104,7 +104,7 @@
         else:
             line.append(waiting)
 
-    def remove(self, job_id: str) -> Waiting | None:
+    def remove(self, job_id: str) -> WaitingJob | None:
         """Take a job out, wherever it stands."""
         waiting = self.get(job_id)
         if waiting is None:
@@ -116,7 +116,7 @@
             self._close(key)
         return waiting
 
-    def get(self, job_id: str) -> Waiting | None:
+    def get(self, job_id: str) -> WaitingJob | None:
         """Return a waiting job."""
         key = self._keys.get(job_id)
         if key is None:
@@ -124,12 +124,12 @@
         line = self._lines[key]
         return next(one for one in line if one.job.job_id == job_id)
 
-    def head(self, key: ShapeKey) -> Waiting | None:
+    def head(self, key: ShapeKey) -> WaitingJob | None:
         """Return the oldest job of one line."""
         line = self._lines.get(key)
         return line[0] if line else None
 
-    def heads(self) -> list[tuple[ShapeKey, Waiting]]:
+    def heads(self) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest job of each line."""
         return [(key, line[0]) for key, line in self._lines.items()]
 
@@ -137,7 +137,7 @@
         """Return the forms of which jobs wait."""
         return list(self._by_form)
 
-    def heads_of_form(self, form: Form) -> list[tuple[ShapeKey, Waiting]]:
+    def heads_of_form(self, form: Form) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest job of each line of a form."""
         lines = self._by_form.get(form, {})
         return [(key, line[0]) for key, line in lines.items()]
@@ -146,13 +146,13 @@
         self,
         workspace: str,
         shape: str,
-    ) -> list[tuple[ShapeKey, Waiting]]:
+    ) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest jobs of a workspace and shape."""
         keys = self._by_pair.get((workspace, shape), ())
         return [(key, self._lines[key][0]) for key in keys]
 
-    def _open(self, key: ShapeKey) -> deque[Waiting]:
-        line: deque[Waiting] = deque()
+    def _open(self, key: ShapeKey) -> deque[WaitingJob]:
+        line: deque[WaitingJob] = deque()
         self._lines[key] = line
         self._by_form.setdefault(form_of(key), {})[key] = line
         self._by_pair.setdefault((key.workspace, key.shape), set()).add(key)
@@ -169,7 +169,7 @@
             self._by_pair.pop(pair)
 
 
-class Board:
+class SchedulerState:
     """The cluster, the promises, the queue and what is placed.
 
     Every change goes through :meth:`place`, :meth:`adopt` and
@@ -182,7 +182,7 @@
         self.plan = GuaranteePlan(cluster=self.cluster)
         self.queue = Queue()
         self.estimates = Estimates()
-        self.placed: dict[str, Placed] = {}
+        self.placed: dict[str, PlacedJob] = {}
         #: Slots that each workspace holds beyond its guarantees.
         self.borrowed: dict[str, int] = {}
         self.weights: dict[str, float] = {}
@@ -191,13 +191,13 @@
 
     def place(  # noqa: WPS211
         self,
-        waiting: Waiting,
+        waiting: WaitingJob,
         members: tuple[Member, ...],
         *,
         hard: bool,
         now_s: float,
         reason: str,
-        unit: Unit | None = None,
+        unit: GuaranteeUnit | None = None,
         victims: Iterable[str] = (),
     ) -> Decision:
         """Give a waiting job a place; its victims lose theirs."""
@@ -228,7 +228,7 @@
         hard = unit is not None or not job.preemptible
         self._hold(job, job.members, hard=hard, unit=unit, now_s=now_s)
 
-    def release(self, job_id: str) -> Placed | None:
+    def release(self, job_id: str) -> PlacedJob | None:
         """Take a job's place away; one without a place is no error."""
         placed = self.placed.pop(job_id, None)
         if placed is None:
@@ -284,7 +284,7 @@
         members: tuple[Member, ...],
         *,
         hard: bool,
-        unit: Unit | None,
+        unit: GuaranteeUnit | None,
         now_s: float,
     ) -> None:
         self._forget_ends(members)
@@ -299,7 +299,7 @@
         if unit is None:
             held = self.borrowed.get(job.workspace, 0)
             self.borrowed[job.workspace] = held + job.slots
-        self.placed[job.job_id] = Placed(
+        self.placed[job.job_id] = PlacedJob(
             job=job,
             members=members,
             hard=hard,
@@ -330,13 +330,13 @@
 
 
 __all__ = (
-    'Board',
+    'SchedulerState',
     'Decision',
     'Form',
-    'Placed',
+    'PlacedJob',
     'Queue',
     'ShapeKey',
-    'Waiting',
+    'WaitingJob',
     'form_of',
     'shape_key',
 )
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -14,7 +14,6 @@
 from curranthill.configuration import ConfigurationHolder
 from curranthill.errors import StorageError, WorkerError
 from curranthill.jobs import ACCEPTED, ENDED, Job, Member, Stored
-from curranthill.scheduler.board import Board, Decision, Waiting
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.gang import Gang, GangEnd, next_attempt
 from curranthill.scheduler.loader import RowLoader
@@ -22,7 +21,8 @@
 from curranthill.scheduler.policies import Policy
 from curranthill.scheduler.quick import QuickReserve
 from curranthill.scheduler.roster import Roster
-from curranthill.scheduler.watch import MemberNews
+from curranthill.scheduler.state import Decision, SchedulerState, WaitingJob
+from curranthill.scheduler.watch import MemberUpdate
 from curranthill.storage import HostDirectory
 from curranthill.telemetry import metrics
 from curranthill.workers import AttemptId, LeaseReport
@@ -41,8 +41,8 @@
     :param policy: who gets which place.
     :param data_centre: the data centre that is led.
     :param neighbours: returns the region's other active schedulers.
-    :param tell_moved: tells a data centre's scheduler of a job that is now
-        its own.
+    :param notify_moved: notifies a data centre's scheduler of a job that was
+        moved to it.
     """
 
     def __init__(
@@ -54,19 +54,19 @@
         directory: HostDirectory,
         configuration: ConfigurationHolder,
         neighbours: Callable[[], Sequence[Neighbour]],
-        tell_moved: Callable[[str, str], None],
+        notify_moved: Callable[[str, str], None],
     ) -> None:
-        """Start with an empty board."""
+        """Initialize an empty state."""
         self._neighbours = neighbours
-        self._tell_moved = tell_moved
-        self.board = Board()
+        self._notify_moved = notify_moved
+        self.state = SchedulerState()
         self.quick = QuickReserve(
-            board=self.board,
+            state=self.state,
             clock=context.clock,
             least=context.placement.quick_slots,
         )
         self._offload = Offload(
-            board=self.board,
+            state=self.state,
             clock=context.clock,
             neighbours=neighbours,
         )
@@ -74,7 +74,7 @@
         self._wake = asyncio.Event()
         self.roster = Roster(
             context=context,
-            board=self.board,
+            state=self.state,
             spawn=self._spawn,
             on_member=self._on_member,
             on_orphan=self.release_orphan,
@@ -102,9 +102,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def begin(self) -> None:
-        """Place jobs from now on; recovery has filled the board."""
+        """Place jobs from now on; recovery has filled the state."""
         self.configure()
-        self.board.plan.repair()
+        self.state.plan.repair()
         self.roster.begin()
         self._spawn(self._dispatch())
         self._spawn(self._tick())
@@ -116,26 +116,26 @@
     def configure(self) -> None:
         """Take over the weights and promises of the revision in force."""
         document = self._configuration.document
-        self.board.weights = {
+        self.state.weights = {
             name: workspace.weight
             for name, workspace in document.workspaces.items()
         }
-        self.board.may_borrow = {
+        self.state.may_borrow = {
             name: workspace.borrowing
             for name, workspace in document.workspaces.items()
         }
-        self.board.plan.configure(document, self._data_centre)
+        self.state.plan.configure(document, self._data_centre)
         self._wake.set()
 
     def submit(self, stored: Stored) -> None:
         """Let an accepted job wait for its place."""
         job = stored.job
-        if job.job_id in self.gangs or job.job_id in self.board.queue:
+        if job.job_id in self.gangs or job.job_id in self.state.queue:
             return
         self._known[job.job_id] = stored
         waited_s = max(0, self._context.clock.wall_s() - job.accepted_at_s)
         since_s = self._context.clock.monotonic_s() - waited_s
-        self.board.queue.add(Waiting(job=job, since_s=since_s))
+        self.state.queue.add(WaitingJob(job=job, since_s=since_s))
         self._wake.set()
 
     def notify(self, job_ids: Iterable[str]) -> None:
@@ -150,7 +150,7 @@
     def resume(self, stored: Stored, states: dict[str, str]) -> None:
         """Go on with an attempt that an earlier leader had marked."""
         job = stored.job
-        self.board.adopt(job, self._context.clock.monotonic_s())
+        self.state.adopt(job, self._context.clock.monotonic_s())
         gang = self._gang(stored, job.members, job.attempt)
         if job.cancel_requested:
             gang.cancel()
@@ -165,7 +165,7 @@
             )
             return [f'{job_id} is {gang.state}: {places}.']
         return self._policy.explain(
-            self.board,
+            self.state,
             job_id,
             self._context.clock.monotonic_s(),
         )
@@ -174,7 +174,7 @@
         """Give back a lease that no job of this term has."""
         self._spawn(self._release(worker, lease.attempt_id))
 
-    def _on_member(self, news: MemberNews) -> bool:
+    def _on_member(self, news: MemberUpdate) -> bool:
         gang = self.gangs.get(news.attempt_id.job)
         if gang is None or gang.attempt_id != news.attempt_id:
             return False
@@ -188,7 +188,7 @@
             if job.cancel_requested:
                 gang.cancel()
         elif job.state in ENDED:
-            self.board.queue.remove(job.job_id)
+            self.state.queue.remove(job.job_id)
             self._known.pop(job.job_id, None)
         elif job.state == ACCEPTED and job.home == self._data_centre:
             self.submit(stored)
@@ -208,7 +208,7 @@
     async def _move(self, move: Move) -> None:
         """Give a waiting job to a data centre that has room for it now."""
         job_id = move.job_id
-        waiting = self.board.queue.remove(job_id)
+        waiting = self.state.queue.remove(job_id)
         stored = self._known.pop(job_id, None)
         if waiting is None or stored is None:
             return
@@ -223,7 +223,7 @@
             # Whether it moved or not, its row tells.
             await self._submit_later(stored)
             return
-        self._tell_moved(move.data_centre, job_id)
+        self._notify_moved(move.data_centre, job_id)
 
     def _rack_is_wanted(self) -> bool:
         """Return whether a job wants a rack that the reserve stands in.
@@ -234,13 +234,13 @@
         widest = max(
             (
                 sum(worker.slots for worker in rack.workers if worker.usable)
-                for rack in self.board.cluster.racks.values()
+                for rack in self.state.cluster.racks.values()
             ),
             default=0,
         )
         most_beside = widest - self.quick.least
-        wanted = [key.slots for key, _ in self.board.queue.heads()]
-        wanted.extend(placed.job.slots for placed in self.board.placed.values())
+        wanted = [key.slots for key, _ in self.state.queue.heads()]
+        wanted.extend(placed.job.slots for placed in self.state.placed.values())
         return most_beside < max(wanted, default=0) <= widest
 
     async def _dispatch(self) -> None:
@@ -253,7 +253,7 @@
                 self._wake.set()
                 continue
             begun_s = self._context.clock.monotonic_s()
-            decisions = self._policy.decide(self.board, begun_s)
+            decisions = self._policy.decide(self.state, begun_s)
             took_s = self._context.clock.monotonic_s() - begun_s
             metrics.decision_s.record(took_s)
             for decision in decisions:
@@ -327,7 +327,7 @@
         if end.end == 'abandoned':
             return
         self.gangs.pop(job_id, None)
-        self.board.release(job_id)
+        self.state.release(job_id)
         self._judge_end(gang, end)
         job = end.stored.job
         logger.bind(
@@ -347,7 +347,7 @@
     async def _submit_later(self, stored: Stored) -> None:
         """Let a job wait again after a moment, its row read afresh."""
         job_id = stored.job.job_id
-        while job_id not in self.board.queue and job_id not in self.gangs:
+        while job_id not in self.state.queue and job_id not in self.gangs:
             delay_s = random.uniform(_RETRY_S / 2, _RETRY_S)  # noqa: S311
             await self._context.clock.sleep(delay_s)
             try:
@@ -367,7 +367,7 @@
             self._learn(end.stored.job)
 
     def _learn(self, job: Job) -> None:
-        self.board.estimates.learn(
+        self.state.estimates.learn(
             job.workspace,
             job.kind,
             declared_s=job.run_time_s,
@@ -375,10 +375,10 @@
         )
 
     async def _release(self, worker: str, attempt_id: AttemptId) -> None:
-        state = self.board.cluster.workers.get(worker)
-        if state is None:
+        worker_state = self.state.cluster.workers.get(worker)
+        if worker_state is None:
             return
-        client = self._context.worker_at(state.address)
+        client = self._context.worker_at(worker_state.address)
         try:
             await client.release(self._context.election.token, attempt_id)
         except WorkerError as error:
--- a/src/curranthill/scheduler/victims.py
+++ b/src/curranthill/scheduler/victims.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 
 from curranthill.jobs import Member
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import WorkerState
+from curranthill.scheduler.state import SchedulerState
 
 
 def choose_victims(
-    board: Board,
+    state: SchedulerState,
     members: Iterable[Member],
     now_s: float,
 ) -> tuple[str, ...]:
@@ -19,27 +19,31 @@
     """
     victims: list[str] = []
     for member in members:
-        worker = board.cluster.workers[member.worker]
+        worker = state.cluster.workers[member.worker]
         missing = member.slots - worker.free
-        missing -= sum(_slots_on(board, job, worker) for job in victims)
+        missing -= sum(_slots_on(state, job, worker) for job in victims)
         candidates = [
             job_id
-            for job_id in _cheapest_first(board, worker, now_s)
+            for job_id in _cheapest_first(state, worker, now_s)
             if job_id not in victims
         ]
         while missing > 0 and candidates:
             job_id = candidates.pop(0)
             victims.append(job_id)
-            missing -= _slots_on(board, job_id, worker)
+            missing -= _slots_on(state, job_id, worker)
     return tuple(victims)
 
 
-def lost_work_on(board: Board, worker: WorkerState, now_s: float) -> float:
+def lost_work_on(
+    state: SchedulerState,
+    worker: WorkerState,
+    now_s: float,
+) -> float:
     """Return the slot-seconds lost if all soft work of a worker stops.
 
     A gang counts whole: all of it stops wherever it runs.
     """
-    placed_here = [board.placed[job_id] for job_id in worker.jobs]
+    placed_here = [state.placed[job_id] for job_id in worker.jobs]
     return sum(
         placed.lost_work_s(now_s) + placed.job.slots
         for placed in placed_here
@@ -48,25 +52,25 @@
 
 
 def _cheapest_first(
-    board: Board,
+    state: SchedulerState,
     worker: WorkerState,
     now_s: float,
 ) -> list[str]:
-    soft = [job_id for job_id in worker.jobs if not board.placed[job_id].hard]
+    soft = [job_id for job_id in worker.jobs if not state.placed[job_id].hard]
     return sorted(
         soft,
         key=lambda job_id: (
-            board.placed[job_id].lost_work_s(now_s),
-            board.placed[job_id].job.slots,
+            state.placed[job_id].lost_work_s(now_s),
+            state.placed[job_id].job.slots,
             job_id,
         ),
     )
 
 
-def _slots_on(board: Board, job_id: str, worker: WorkerState) -> int:
+def _slots_on(state: SchedulerState, job_id: str, worker: WorkerState) -> int:
     return sum(
         member.slots
-        for member in board.placed[job_id].members
+        for member in state.placed[job_id].members
         if member.worker == worker.name
     )
 
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -25,7 +25,7 @@
 _RETRY_S: Final = 0.5
 
 
-class MemberNews(NamedTuple):
+class MemberUpdate(NamedTuple):
     """What a watch learnt of one member."""
 
     worker: str
@@ -43,7 +43,7 @@
     :param on_contact: whether the worker answers, and whether it leaves.
     """
 
-    on_member: Callable[[MemberNews], bool]
+    on_member: Callable[[MemberUpdate], bool]
     on_orphan: Callable[[str, LeaseReport], None]
     on_contact: Callable[[str, bool, bool], None]
 
@@ -128,7 +128,7 @@
             if attempt_id in self._live:
                 self._tell(attempt_id, LOST, 'The worker forgot its lease.')
         for attempt_id, lease in reported.items():
-            news = MemberNews(
+            news = MemberUpdate(
                 worker=self.name,
                 attempt_id=attempt_id,
                 state=lease.state,
@@ -159,7 +159,7 @@
     def _tell(self, attempt_id: AttemptId, state: str, reason: str) -> None:
         self._live.discard(attempt_id)
         self._listener.on_member(
-            MemberNews(
+            MemberUpdate(
                 worker=self.name,
                 attempt_id=attempt_id,
                 state=state,
@@ -168,4 +168,4 @@
         )
 
 
-__all__ = ('LOST', 'MemberNews', 'WatchListener', 'WorkerWatch')
+__all__ = ('LOST', 'MemberUpdate', 'WatchListener', 'WorkerWatch')
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -192,7 +192,7 @@
             directory=self.directory,
             configuration=self.configuration,
             view=View(own=own, clock=site.clock),
-            tell_moved=self._on_moved,
+            notify_moved=self._on_moved,
         )
 
     def _on_moved(self, data_centre: str, job_id: str) -> None:
--- a/tests/support.py
+++ b/tests/support.py
@@ -17,8 +17,8 @@
     WorkerUnreachableError,
 )
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.board import Board, Waiting
 from curranthill.scheduler.cluster import WorkerState
+from curranthill.scheduler.state import SchedulerState, WaitingJob
 from curranthill.standin import Faults, TableModel, WorkerModel
 from curranthill.storage import Page, Row, Transaction
 
@@ -230,18 +230,18 @@
     return Job(**(known | fields))
 
 
-def make_board(
+def make_state(
     *,
     racks: int = 2,
     workers: int = 4,
     slots: int = 8,
-) -> Board:
-    """Return a board with some racks of equal workers."""
-    board = Board()
+) -> SchedulerState:
+    """Return a scheduler state with some racks of equal workers."""
+    state = SchedulerState()
     for rack in range(racks):
         for number in range(workers):
             name = f'r{rack}-w{number}'
-            board.cluster.add(
+            state.cluster.add(
                 WorkerState(
                     name=name,
                     address=name,
@@ -249,13 +249,13 @@
                     slots=slots,
                 ),
             )
-    return board
+    return state
 
 
-def wait_on(board: Board, job: Job, since_s: float = 0) -> Waiting:
-    """Let a job wait on a board."""
-    waiting = Waiting(job=job, since_s=since_s)
-    board.queue.add(waiting)
+def wait_on(state: SchedulerState, job: Job, since_s: float = 0) -> WaitingJob:
+    """Add a waiting job to the queue of a scheduler state."""
+    waiting = WaitingJob(job=job, since_s=since_s)
+    state.queue.add(waiting)
     return waiting
 
 
@@ -269,8 +269,8 @@
     'EmbeddedTable',
     'EmbeddedWorker',
     'ManualClock',
-    'make_board',
     'make_job',
+    'make_state',
     'members_on',
     'run',
     'settle',
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,15 +15,15 @@
 
 from curranthill.configuration import checked
 from curranthill.load import fragmentation
-from curranthill.scheduler import Board, policies
+from curranthill.scheduler import SchedulerState, policies
 from curranthill.scheduler.estimates import QUANTILE, SAMPLES, Estimates
 from curranthill.scheduler.quick import QuickReserve
 from curranthill.scheduler.search import find_place
 from curranthill.scheduler.victims import choose_victims
 from tests.support import (
     ManualClock,
-    make_board,
     make_job,
+    make_state,
     members_on,
     wait_on,
 )
@@ -70,13 +70,13 @@
     )
 
 
-def promised_board(
+def guaranteed_state(
     promises: dict[str, list[tuple[str, int]]] | None = None,
-) -> Board:
-    """Return a board that holds promises."""
-    board = make_board()
-    board.plan.configure(document(promises or PROMISES), 'dc')
-    return board
+) -> SchedulerState:
+    """Return a scheduler state that holds guarantees."""
+    state = make_state()
+    state.plan.configure(document(promises or PROMISES), 'dc')
+    return state
 
 
 def shaped(job_id: str, workspace: str, shape: str, **fields: Any) -> Any:
@@ -92,13 +92,13 @@
     )
 
 
-class BoardMachine(RuleBasedStateMachine):
+class SchedulerStateMachine(RuleBasedStateMachine):
     """Arrivals, ends, worker losses and reclaims in any order."""
 
     def __init__(self) -> None:
-        """Start with an empty board and its promises."""
+        """Initialize an empty state and its guarantees."""
         super().__init__()
-        self.board = promised_board()
+        self.state = guaranteed_state()
         self.policy = policies.get('guarantees')(2)
         self.now_s = 0.0
         self.number = 0
@@ -107,7 +107,7 @@
     def keep_quick_slots(self, quick: int) -> None:
         """Keep some slots for quick work, as the reserve does."""
         reserve = QuickReserve(
-            board=self.board,
+            state=self.state,
             clock=ManualClock(),
             least=quick,
         )
@@ -138,41 +138,41 @@
             checkpointable=checkpointable,
             preemptions=preemptions,
         )
-        wait_on(self.board, job, self.now_s)
+        wait_on(self.state, job, self.now_s)
         self.decide()
 
     @rule(place=st.integers(min_value=0, max_value=99))
     def end(self, place: int) -> None:
         """A placed job ends."""
-        names = sorted(self.board.placed)
+        names = sorted(self.state.placed)
         if names:
-            self.board.release(names[place % len(names)])
+            self.state.release(names[place % len(names)])
         self.decide()
 
     @rule(place=st.integers(min_value=0, max_value=7), usable=st.booleans())
     def lose_or_return(self, place: int, usable: bool) -> None:
         """A worker is lost, its jobs with it, or comes back."""
-        names = sorted(self.board.cluster.workers)
-        worker = self.board.cluster.workers[names[place]]
-        self.board.cluster.set_usable(worker, usable)
+        names = sorted(self.state.cluster.workers)
+        worker = self.state.cluster.workers[names[place]]
+        self.state.cluster.set_usable(worker, usable)
         if not usable:
             for job_id in list(worker.jobs):
-                self.board.release(job_id)
-        self.board.plan.repair()
+                self.state.release(job_id)
+        self.state.plan.repair()
         self.decide()
 
     def decide(self) -> None:
         """Place what can be placed; victims wait again."""
         self.now_s += 1
         before = {
-            job_id: placed.job for job_id, placed in self.board.placed.items()
+            job_id: placed.job for job_id, placed in self.state.placed.items()
         }
-        for decision in self.policy.decide(self.board, self.now_s):
+        for decision in self.policy.decide(self.state, self.now_s):
             before[decision.job.job_id] = decision.job
             for victim in decision.victims:
                 job = before[victim]
                 wait_on(
-                    self.board,
+                    self.state,
                     job._replace(preemptions=job.preemptions + 1),
                     self.now_s,
                 )
@@ -180,7 +180,7 @@
     @invariant()
     def every_guarantee_could_be_restored_now(self) -> None:
         """Hard, planned and quick slots fit together on each worker."""
-        for worker in self.board.cluster.workers.values():
+        for worker in self.state.cluster.workers.values():
             if worker.usable:
                 kept = worker.hard + worker.planned + worker.quick
                 assert kept <= worker.slots, worker
@@ -188,12 +188,12 @@
     @invariant()
     def plans_keep_their_adjacency(self) -> None:
         """Each plan is whole, on usable workers of one worker or rack."""
-        for unit in self.board.plan:
+        for unit in self.state.plan:
             if not unit.planned:
                 continue
             assert sum(part.slots for part in unit.planned) == unit.slots
             workers = [
-                self.board.cluster.workers[part.worker] for part in unit.planned
+                self.state.cluster.workers[part.worker] for part in unit.planned
             ]
             assert all(worker.usable for worker in workers)
             assert len({worker.rack for worker in workers}) == 1
@@ -203,10 +203,10 @@
     @invariant()
     def a_unit_at_risk_has_no_place(self) -> None:
         """Only what cannot be placed at all is left without a plan."""
-        for unit in self.board.plan:
+        for unit in self.state.plan:
             if unit.at_risk:
                 place = find_place(
-                    self.board.cluster,
+                    self.state.cluster,
                     unit.slots,
                     unit.adjacent,
                     'open',
@@ -217,13 +217,13 @@
     def counts_agree_with_what_is_placed(self) -> None:
         """Slots on each worker are those of its jobs, gangs whole."""
         held: dict[str, int] = {}
-        for placed in self.board.placed.values():
+        for placed in self.state.placed.values():
             assert (
                 sum(part.slots for part in placed.members) == placed.job.slots
             )
             for part in placed.members:
                 held[part.worker] = held.get(part.worker, 0) + part.slots
-        for worker in self.board.cluster.workers.values():
+        for worker in self.state.cluster.workers.values():
             assert worker.hard + worker.soft == held.get(worker.name, 0)
             if worker.usable:
                 assert worker.hard + worker.soft + worker.quick <= worker.slots
@@ -231,8 +231,8 @@
     @invariant()
     def nobody_with_a_free_guarantee_waits(self) -> None:
         """A guaranteed job waits only while its unit is at risk or in use."""
-        for key, _ in self.board.queue.heads():
-            unit = self.board.plan.free_unit(key.workspace, key.shape)
+        for key, _ in self.state.queue.heads():
+            unit = self.state.plan.free_unit(key.workspace, key.shape)
             assert unit is None or unit.at_risk
 
 
@@ -241,7 +241,7 @@
 
     def test_promises_hold_over_any_sequence(self) -> None:
         """Run the machine with the profile's settings."""
-        run_state_machine_as_test(BoardMachine)
+        run_state_machine_as_test(SchedulerStateMachine)
 
     @given(
         st.lists(
@@ -267,95 +267,95 @@
 
     def test_a_guarantee_is_restored_from_borrowers(self) -> None:
         """Borrowed work is stopped, no more of it than must be."""
-        board = promised_board()
+        state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(8):
-            wait_on(board, shaped(f'dc-{number}', 'casework', 'block'))
-        self.assertEqual(len(policy.decide(board, 1)), 8)
-        wait_on(board, shaped('dc-audit', 'audit', 'pair'))
-        (decision,) = policy.decide(board, 2)  # noqa: WPS460
+            wait_on(state, shaped(f'dc-{number}', 'casework', 'block'))
+        self.assertEqual(len(policy.decide(state, 1)), 8)
+        wait_on(state, shaped('dc-audit', 'audit', 'pair'))
+        (decision,) = policy.decide(state, 2)  # noqa: WPS460
         self.assertTrue(decision.guaranteed)
         self.assertEqual(len(decision.victims), 2)
 
     def test_all_workspaces_reclaim_at_once(self) -> None:
         """Every promise is met in one pass."""
-        board = promised_board()
+        state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(64):
-            wait_on(board, shaped(f'dc-{number}', 'casework', 'single'))
-        policy.decide(board, 1)
+            wait_on(state, shaped(f'dc-{number}', 'casework', 'single'))
+        policy.decide(state, 1)
         for number, (workspace, shape) in enumerate(
             [('audit', 'pair'), ('audit', 'quad'), ('ledger', 'rack')],
         ):
-            wait_on(board, shaped(f'dc-g{number}', workspace, shape))
+            wait_on(state, shaped(f'dc-g{number}', workspace, shape))
         restored = {
             decision.job.job_id
-            for decision in policy.decide(board, 2)
+            for decision in policy.decide(state, 2)
             if decision.guaranteed
         }
         self.assertEqual(restored, {'dc-g0', 'dc-g1', 'dc-g2'})
 
     def test_work_that_cannot_be_stopped_keeps_off_promises(self) -> None:
         """Hard borrowed work takes only what no promise needs."""
-        board = promised_board()
+        state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(64):
             job = shaped(f'dc-{number}', 'casework', 'single', idempotent=False)
-            wait_on(board, job)
+            wait_on(state, job)
         # 64 slots less 16, 8 and 32 that are promised.
-        self.assertEqual(len(policy.decide(board, 1)), 8)
+        self.assertEqual(len(policy.decide(state, 1)), 8)
 
     def test_the_victims_lose_least(self) -> None:
         """A checkpointed task goes before one that would lose its work."""
-        board = make_board(racks=1, workers=1)
+        state = make_state(racks=1, workers=1)
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'casework', 'quad'))
-        wait_on(board, shaped('dc-2', 'casework', 'quad', checkpointable=True))
-        policy.decide(board, 1)
-        victims = choose_victims(board, members_on(('r0-w0', 4)), 100)
+        wait_on(state, shaped('dc-1', 'casework', 'quad'))
+        wait_on(state, shaped('dc-2', 'casework', 'quad', checkpointable=True))
+        policy.decide(state, 1)
+        victims = choose_victims(state, members_on(('r0-w0', 4)), 100)
         self.assertEqual(victims, ('dc-2',))
 
     def test_a_lost_rack_scales_promises_and_its_return_restores(self) -> None:
         """Promises that still stand are kept; the lost one is at risk."""
-        board = promised_board()
-        rack = board.cluster.racks['r0'].workers
+        state = guaranteed_state()
+        rack = state.cluster.racks['r0'].workers
         for worker in rack:
-            board.cluster.set_usable(worker, usable=False)
-        board.plan.repair()
-        at_risk = [unit.unit_id.shape for unit in board.plan if unit.at_risk]
+            state.cluster.set_usable(worker, usable=False)
+        state.plan.repair()
+        at_risk = [unit.unit_id.shape for unit in state.plan if unit.at_risk]
         self.assertEqual(at_risk, ['rack'])
         for worker in rack:
-            board.cluster.set_usable(worker, usable=True)
-        board.plan.repair()
-        self.assertFalse([unit for unit in board.plan if unit.at_risk])
+            state.cluster.set_usable(worker, usable=True)
+        state.plan.repair()
+        self.assertFalse([unit for unit in state.plan if unit.at_risk])
 
     def test_a_unit_at_risk_is_planned_once_hard_work_ends(self) -> None:
         """The end of borrowed work that stood in the way restores it."""
-        board = promised_board({'ledger': [('rack', 1)]})
+        state = guaranteed_state({'ledger': [('rack', 1)]})
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'audit', 'rack', idempotent=False))
-        policy.decide(board, 1)
+        wait_on(state, shaped('dc-1', 'audit', 'rack', idempotent=False))
+        policy.decide(state, 1)
         lost = next(
             worker
-            for worker in board.cluster.workers.values()
+            for worker in state.cluster.workers.values()
             if worker.planned
         )
-        board.cluster.set_usable(lost, usable=False)
-        board.plan.repair()
-        self.assertEqual(len(board.plan.at_risk), 1)
-        board.release('dc-1')
-        self.assertEqual(board.plan.at_risk, set())
+        state.cluster.set_usable(lost, usable=False)
+        state.plan.repair()
+        self.assertEqual(len(state.plan.at_risk), 1)
+        state.release('dc-1')
+        self.assertEqual(state.plan.at_risk, set())
 
     def test_a_job_that_was_stopped_often_still_runs(self) -> None:
         """Where promises leave no place to stay, it borrows again."""
-        board = promised_board()
+        state = guaranteed_state()
         policy = policies.get('guarantees')(2)
         for number in range(8):
             job = shaped(f'dc-{number}', 'casework', 'block', preemptions=2)
-            wait_on(board, job)
-        placed = policy.decide(board, 1)
+            wait_on(state, job)
+        placed = policy.decide(state, 1)
         self.assertEqual(len(placed), 8)
-        stay = [one for one in board.placed.values() if one.hard]
+        stay = [one for one in state.placed.values() if one.hard]
         self.assertEqual(len(stay), 1)
 
 
@@ -364,7 +364,7 @@
 
     def test_a_large_gang_does_not_starve_behind_small_jobs(self) -> None:
         """A rack drains for it although small jobs keep arriving."""
-        board = make_board(racks=1)
+        state = make_state(racks=1)
         policy = policies.get('guarantees')(5)
         number = 0
         ends: dict[str, int] = {}
@@ -372,15 +372,15 @@
             for _ in range(3):
                 number += 1
                 job = shaped(f'dc-{number}', 'casework', 'single')
-                wait_on(board, job._replace(run_time_s=10), second)
+                wait_on(state, job._replace(run_time_s=10), second)
             if second == 20:
                 gang = shaped('dc-gang', 'foundations', 'rack')
-                wait_on(board, gang._replace(run_time_s=5), second)
+                wait_on(state, gang._replace(run_time_s=5), second)
             for job_id, end in list(ends.items()):
                 if end <= second:
-                    board.release(job_id)
+                    state.release(job_id)
                     ends.pop(job_id)
-            for decision in policy.decide(board, second):
+            for decision in policy.decide(state, second):
                 ends[decision.job.job_id] = second + int(
                     decision.job.run_time_s
                 )
@@ -392,28 +392,28 @@
 
     def test_small_jobs_fill_what_a_reservation_leaves(self) -> None:
         """A job that ends before the gang could start may pass it."""
-        board = make_board(racks=1)
+        state = make_state(racks=1)
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'a', 'block', run_time_s=1000))
-        policy.decide(board, 0)
-        wait_on(board, shaped('dc-2', 'b', 'rack', run_time_s=10))
-        wait_on(board, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
-        wait_on(board, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
-        placed = {decision.job.job_id for decision in policy.decide(board, 161)}
+        wait_on(state, shaped('dc-1', 'a', 'block', run_time_s=1000))
+        policy.decide(state, 0)
+        wait_on(state, shaped('dc-2', 'b', 'rack', run_time_s=10))
+        wait_on(state, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
+        wait_on(state, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
+        placed = {decision.job.job_id for decision in policy.decide(state, 161)}
         self.assertEqual(placed, {'dc-3'})
 
     def test_no_worker_is_kept_for_what_promises_never_leave(self) -> None:
         """A gang that needs promised slots does not idle the rest."""
-        board = make_board(racks=1)
+        state = make_state(racks=1)
         one_rack = document({'ledger': [('pair', 1)]})
-        board.plan.configure(one_rack, 'dc')
+        state.plan.configure(one_rack, 'dc')
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
-        policy.decide(board, 1)
-        wait_on(board, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
-        policy.decide(board, 500)
-        wait_on(board, shaped('dc-3', 'casework', 'block'), 500)
-        placed = [one.job.job_id for one in policy.decide(board, 502)]
+        wait_on(state, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
+        policy.decide(state, 1)
+        wait_on(state, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
+        policy.decide(state, 500)
+        wait_on(state, shaped('dc-3', 'casework', 'block'), 500)
+        placed = [one.job.job_id for one in policy.decide(state, 502)]
         self.assertEqual(placed, ['dc-3'])
 
     def test_estimates_follow_what_runs_took(self) -> None:
@@ -427,11 +427,11 @@
 
     def test_fifo_first_fit_lets_the_head_block(self) -> None:
         """The baseline does what its name says."""
-        board = make_board(racks=1, workers=1)
-        wait_on(board, shaped('dc-1', 'a', 'quad'), 1)
-        wait_on(board, shaped('dc-2', 'a', 'block'), 2)
-        wait_on(board, shaped('dc-3', 'a', 'quad'), 3)
+        state = make_state(racks=1, workers=1)
+        wait_on(state, shaped('dc-1', 'a', 'quad'), 1)
+        wait_on(state, shaped('dc-2', 'a', 'block'), 2)
+        wait_on(state, shaped('dc-3', 'a', 'quad'), 3)
         strict = policies.get('fifo_first_fit')(5)
-        self.assertEqual(len(strict.decide(board, 4)), 1)
+        self.assertEqual(len(strict.decide(state, 4)), 1)
         skipping = policies.get('fifo_skipping')(5)
-        self.assertEqual(len(skipping.decide(board, 5)), 1)
+        self.assertEqual(len(skipping.decide(state, 5)), 1)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -354,7 +354,7 @@
             term.notify(jobs)
             term.notify(jobs)
             await site.clock.advance(1)
-            known = len(term.board.queue) + len(term.gangs)
+            known = len(term.state.queue) + len(term.gangs)
             self.assertEqual(known, 64)
 
         on_site(case)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,8 +9,8 @@
 from curranthill.storage import HostEntry
 from tests.support import (
     ManualClock,
-    make_board,
     make_job,
+    make_state,
     members_on,
     wait_on,
 )
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         """List the worker."""
-        self.board = make_board(racks=1, workers=0)
+        self.state = make_state(racks=1, workers=0)
         context: Any = SimpleNamespace(
             clock=ManualClock(),
             placement=PlacementSettings(),
@@ -33,7 +33,7 @@
         self.changes = 0
         self.roster = Roster(
             context=context,
-            board=self.board,
+            state=self.state,
             spawn=lambda work: None,
             on_member=lambda news: True,
             on_orphan=lambda worker, lease: None,
@@ -44,12 +44,12 @@
     @property
     def usable(self) -> bool:
         """Return whether the worker may take work."""
-        return self.board.cluster.workers['w'].usable
+        return self.state.cluster.workers['w'].usable
 
     def hold(self) -> None:
         """Have a job hold the worker, so that it is not removed."""
-        waiting = wait_on(self.board, make_job('held'))
-        self.board.place(
+        waiting = wait_on(self.state, make_job('held'))
+        self.state.place(
             waiting,
             members_on(('w', 1)),
             hard=True,
