--- a/src/curranthill/scheduler/__init__.py
+++ b/src/curranthill/scheduler/__init__.py
@@ -1,15 +1,15 @@
 """Queue, guarantees, gang placement, leases and recovery."""
 
 from curranthill.scheduler.daemon import SchedulerDaemon
-from curranthill.scheduler.fair import Guarantees
+from curranthill.scheduler.fair import FairSharePolicy
 from curranthill.scheduler.fifo import FifoFirstFit
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.state import Decision, SchedulerState, WaitingJob
 
 __all__ = (
     'Decision',
+    'FairSharePolicy',
     'FifoFirstFit',
-    'Guarantees',
     'Policy',
     'SchedulerDaemon',
     'SchedulerState',
--- a/src/curranthill/scheduler/cluster.py
+++ b/src/curranthill/scheduler/cluster.py
@@ -15,7 +15,7 @@
 
 #: What a search may use: slots that are free now; slots that hard work may
 #: take without breaking a promise; or those that are both.
-Room = Literal['free', 'open', 'both']
+CapacityKind = Literal['free', 'open', 'both']
 
 
 @dataclass(kw_only=True)
@@ -31,8 +31,8 @@
     rack: str
     slots: int
     usable: bool = True
-    hard: int = 0
-    soft: int = 0
+    non_preemptible: int = 0
+    preemptible: int = 0
     planned: int = 0
     quick: int = 0
     guaranteed: int = 0
@@ -41,28 +41,32 @@
     @property
     def unguaranteed(self) -> int:
         """Return the slots that no promise covers, in use or not."""
-        promised = self.planned + self.guaranteed + self.quick
-        return max(0, self.slots - promised) if self.usable else 0
+        committed = self.planned + self.guaranteed + self.quick
+        return max(0, self.slots - committed) if self.usable else 0
 
     @property
     def free(self) -> int:
         """Return the slots that nothing holds now."""
         if not self.usable:
             return 0
-        return max(0, self.slots - self.hard - self.soft - self.quick)
+        return max(
+            0, self.slots - self.non_preemptible - self.preemptible - self.quick
+        )
 
     @property
     def open(self) -> int:
         """Return the slots that hard work may take and keep."""
         if not self.usable:
             return 0
-        return max(0, self.slots - self.hard - self.planned - self.quick)
+        return max(
+            0, self.slots - self.non_preemptible - self.planned - self.quick
+        )
 
-    def room(self, room: Room) -> int:
+    def capacity(self, kind: CapacityKind) -> int:
         """Return the slots that a search of this sort may use."""
-        if room == 'free':
+        if kind == 'free':
             return self.free
-        if room == 'open':
+        if kind == 'open':
             return self.open
         return min(self.free, self.open)
 
@@ -75,11 +79,11 @@
 
     job_id: str
     members: tuple[Member, ...]
-    hard: bool
+    non_preemptible: bool
     guaranteed: bool = False
 
 
-class RackRoom(NamedTuple):
+class RackCapacity(NamedTuple):
     """What a rack has of one sort of room.
 
     :param total: slots in the rack.
@@ -87,7 +91,7 @@
     """
 
     total: int
-    widest: int
+    max_on_worker: int
 
 
 class Rack:
@@ -98,21 +102,21 @@
         self.name = name
         self.workers: list[WorkerState] = []
         #: What others worked out of this rack, until something changes.
-        self.memo: dict[Hashable, Any] = {}
-        self._rooms: dict[Room, RackRoom] = {}
+        self.cache: dict[Hashable, Any] = {}
+        self._capacities: dict[CapacityKind, RackCapacity] = {}
 
-    def touch(self) -> None:
+    def invalidate(self) -> None:
         """Forget the sums: a worker of this rack has changed."""
-        self._rooms.clear()
-        self.memo.clear()
+        self._capacities.clear()
+        self.cache.clear()
 
-    def room(self, room: Room) -> RackRoom:
+    def capacity(self, kind: CapacityKind) -> RackCapacity:
         """Return the rack's sums for one sort of room."""
-        known = self._rooms.get(room)
+        known = self._capacities.get(kind)
         if known is None:
-            slots = [worker.room(room) for worker in self.workers]
-            known = RackRoom(sum(slots), max(slots, default=0))
-            self._rooms[room] = known
+            slots = [worker.capacity(kind) for worker in self.workers]
+            known = RackCapacity(sum(slots), max(slots, default=0))
+            self._capacities[kind] = known
         return known
 
 
@@ -129,7 +133,7 @@
         self.racks: dict[str, Rack] = {}
         self.allocations: dict[str, Allocation] = {}
         self.slots = 0
-        self._most: dict[Room, RackRoom] = {}
+        self._max_capacities: dict[CapacityKind, RackCapacity] = {}
 
     def add(self, worker: WorkerState) -> None:
         """Add a worker."""
@@ -137,7 +141,7 @@
         self.slots += worker.slots
         rack = self.racks.setdefault(worker.rack, Rack(name=worker.rack))
         rack.workers.append(worker)
-        self.touch(worker)
+        self.invalidate(worker)
 
     def remove(self, name: str) -> None:
         """Forget a worker that is gone for good."""
@@ -145,78 +149,85 @@
         self.slots -= worker.slots
         rack = self.racks[worker.rack]
         rack.workers.remove(worker)
-        self.touch(worker)
+        self.invalidate(worker)
         if not rack.workers:
             self.racks.pop(worker.rack)
 
     def set_usable(self, worker: WorkerState, usable: bool) -> None:
         """Say whether a worker may take work."""
         worker.usable = usable
-        self.touch(worker)
+        self.invalidate(worker)
 
-    def keep_quick(self, worker: WorkerState, slots: int) -> None:
+    def reserve_quick(self, worker: WorkerState, slots: int) -> None:
         """Keep so many more slots of a worker for quick work, or fewer."""
         worker.quick += slots
-        self.touch(worker)
+        self.invalidate(worker)
 
     def allocate(self, allocation: Allocation) -> None:
         """Let a job hold slots."""
         self.allocations[allocation.job_id] = allocation
-        for worker, slots in self._parts(allocation.members):
+        for worker, slots in self._member_workers(allocation.members):
             worker.jobs.add(allocation.job_id)
             if allocation.guaranteed:
                 worker.guaranteed += slots
-            if allocation.hard:
-                worker.hard += slots
+            if allocation.non_preemptible:
+                worker.non_preemptible += slots
             else:
-                worker.soft += slots
+                worker.preemptible += slots
 
     def release(self, job_id: str) -> Allocation | None:
         """Take a job's slots back; a job that holds none is no error."""
         allocation = self.allocations.pop(job_id, None)
         if allocation is None:
             return None
-        for worker, slots in self._parts(allocation.members):
+        for worker, slots in self._member_workers(allocation.members):
             worker.jobs.discard(job_id)
             if allocation.guaranteed:
                 worker.guaranteed -= slots
-            if allocation.hard:
-                worker.hard -= slots
+            if allocation.non_preemptible:
+                worker.non_preemptible -= slots
             else:
-                worker.soft -= slots
+                worker.preemptible -= slots
         return allocation
 
     def plan(self, members: Iterable[Member], sign: int = 1) -> None:
         """Plan slots for a guarantee, or with sign -1 take the plan back."""
-        for worker, slots in self._parts(members):
+        for worker, slots in self._member_workers(members):
             worker.planned += sign * slots
 
-    def most(self, room: Room) -> RackRoom:
+    def max_capacity(self, kind: CapacityKind) -> RackCapacity:
         """Return the most slots that any one rack and worker has."""
-        known = self._most.get(room)
+        known = self._max_capacities.get(kind)
         if known is None:
-            rooms = [rack.room(room) for rack in self.racks.values()]
-            known = RackRoom(
-                max((one.total for one in rooms), default=0),
-                max((one.widest for one in rooms), default=0),
+            capacities = [rack.capacity(kind) for rack in self.racks.values()]
+            known = RackCapacity(
+                max((one.total for one in capacities), default=0),
+                max((one.max_on_worker for one in capacities), default=0),
             )
-            self._most[room] = known
+            self._max_capacities[kind] = known
         return known
 
-    def touch(self, worker: WorkerState) -> None:
+    def invalidate(self, worker: WorkerState) -> None:
         """Note that a worker has changed."""
-        self.racks[worker.rack].touch()
-        self._most.clear()
+        self.racks[worker.rack].invalidate()
+        self._max_capacities.clear()
 
-    def _parts(
+    def _member_workers(
         self,
         members: Iterable[Member],
     ) -> Iterator[tuple[WorkerState, int]]:
         for member in members:
             worker = self.workers.get(member.worker)
             if worker is not None:
-                self.touch(worker)
+                self.invalidate(worker)
                 yield worker, member.slots
 
 
-__all__ = ('Allocation', 'Cluster', 'Rack', 'RackRoom', 'Room', 'WorkerState')
+__all__ = (
+    'Allocation',
+    'CapacityKind',
+    'Cluster',
+    'Rack',
+    'RackCapacity',
+    'WorkerState',
+)
--- a/src/curranthill/scheduler/estimates.py
+++ b/src/curranthill/scheduler/estimates.py
@@ -4,16 +4,16 @@
 from typing import Final
 
 #: Ratios kept for each workspace and kind.
-SAMPLES: Final = 64
+MAX_SAMPLES: Final = 64
 
 #: Pairs of workspace and kind that are remembered; the least recent go.
-PAIRS: Final = 4096
+MAX_KINDS: Final = 4096
 
 #: The quantile that an estimate is taken from: few run longer than it says.
 QUANTILE: Final = 0.8
 
 
-class Estimates:
+class RunTimeEstimates:
     """Quantiles of actual over declared run time, in bounded memory."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._ratios = OrderedDict()
         self._quantiles: dict[tuple[str, str], float] = {}
 
-    def learn(
+    def record_run(
         self,
         workspace: str,
         kind: str,
@@ -33,14 +33,14 @@
         """Take in one finished run."""
         if declared_s <= 0:
             return
-        pair = (workspace, kind)
-        ratios = self._ratios.setdefault(pair, deque(maxlen=SAMPLES))
-        self._ratios.move_to_end(pair)
+        key = (workspace, kind)
+        ratios = self._ratios.setdefault(key, deque(maxlen=MAX_SAMPLES))
+        self._ratios.move_to_end(key)
         ratios.append(actual_s / declared_s)
         ordered = sorted(ratios)
-        place = min(len(ordered) - 1, int(len(ordered) * QUANTILE))
-        self._quantiles[pair] = ordered[place]
-        if len(self._ratios) > PAIRS:
+        index = min(len(ordered) - 1, int(len(ordered) * QUANTILE))
+        self._quantiles[key] = ordered[index]
+        if len(self._ratios) > MAX_KINDS:
             oldest, _ = self._ratios.popitem(last=False)
             self._quantiles.pop(oldest)
 
@@ -54,4 +54,4 @@
         return declared_s * self._quantiles.get((workspace, kind), 1)
 
 
-__all__ = ('Estimates',)
+__all__ = ('RunTimeEstimates',)
--- a/src/curranthill/scheduler/fair.py
+++ b/src/curranthill/scheduler/fair.py
@@ -12,10 +12,10 @@
 from typing import Final, NamedTuple
 
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.cluster import Room, WorkerState
+from curranthill.scheduler.cluster import CapacityKind, WorkerState
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.reservations import Reservations
-from curranthill.scheduler.search import Price, find_place, may_fit
+from curranthill.scheduler.search import Cost, find_place, may_fit
 from curranthill.scheduler.state import (
     Decision,
     SchedulerState,
@@ -26,37 +26,37 @@
 
 #: How much waiting once its own run time moves a job against usage that
 #: equals the whole cluster.
-AGEING: Final = 0.5
+AGEING_WEIGHT: Final = 0.5
 
 #: A run time below this does not make a job age faster, in seconds.
-LEAST_RUN_S: Final = 1.0
+MIN_RUN_S: Final = 1.0
 
 #: How long a job waits, in run times of its own, before workers are kept
 #: for it.
-PATIENCE: Final = 4.0
+RESERVE_AFTER_RUN_TIMES: Final = 4.0
 
 #: So many stops double that wait, later ones do not: how often a job is
 #: stopped has no bound where promises leave no place to stay.
-STOPS_COUNTED: Final = 2
+MAX_COUNTED_PREEMPTIONS: Final = 2
 
 #: How often the order of all lines is looked at, in seconds.
-REVIEW_S: Final = 1.0
+RESERVE_INTERVAL_S: Final = 1.0
 
 
 #: Where borrowed work looks, in order: off the promises, then anywhere.
-_ROOMS: Final[tuple[Room, ...]] = ('both', 'free')
+_BORROWED_KINDS: Final[tuple[CapacityKind, ...]] = ('both', 'free')
 
 
-class _Trial(NamedTuple):
+class _SearchKey(NamedTuple):
     """What made a search fail: the next one like it fails, too."""
 
     slots: int
     adjacent: str
-    hard: bool
-    before: frozenset[str]
+    non_preemptible: bool
+    blocking_jobs: frozenset[str]
 
 
-class Guarantees:
+class FairSharePolicy:
     """Place by promise, then by weighted fair share with ageing.
 
     :param preemptions: after so many, a job may not be stopped again.
@@ -64,16 +64,16 @@
 
     def __init__(self, *, preemptions: int) -> None:
         """Keep the bound; no rack is kept yet."""
-        self._preemptions = preemptions
+        self._max_preemptions = preemptions
         self._reservations = Reservations()
-        self._reviewed_s = float('-inf')
+        self._reservations_updated_s = float('-inf')
 
     def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
         """Place guaranteed work, then borrowed work."""
         decisions = self._place_guaranteed(state, now_s)
-        if now_s - self._reviewed_s >= REVIEW_S:
-            self._reviewed_s = now_s
-            self._review(state, now_s)
+        if now_s - self._reservations_updated_s >= RESERVE_INTERVAL_S:
+            self._reservations_updated_s = now_s
+            self._update_reservations(state, now_s)
         decisions.extend(self._place_borrowed(state, now_s))
         return decisions
 
@@ -96,18 +96,18 @@
     ) -> list[Decision]:
         entitled = [
             head
-            for pair in state.plan.unused_pairs()
-            for head in state.queue.heads_of_pair(*pair)
+            for workspace_shape in state.plan.unused_shapes()
+            for head in state.queue.heads_of_shape(*workspace_shape)
         ]
         decisions: list[Decision] = []
-        for key, _ in sorted(entitled, key=_head_age):
-            decision = self._restore(state, key, now_s)
+        for key, _ in sorted(entitled, key=_waiting_since):
+            decision = self._place_on_unit(state, key, now_s)
             while decision is not None:
                 decisions.append(decision)
-                decision = self._restore(state, key, now_s)
+                decision = self._place_on_unit(state, key, now_s)
         return decisions
 
-    def _restore(
+    def _place_on_unit(
         self,
         state: SchedulerState,
         key: ShapeKey,
@@ -120,22 +120,22 @@
             return None
         job = waiting.job
         planned = state.plan.unplan_for_search(unit)
-        place = self._restored_place(state, job, now_s)
+        place = self._find_guaranteed(state, job, now_s)
         if place is None:
-            state.plan.put_back(unit, planned)
+            state.plan.restore_plan(unit, planned)
             return None
-        self._reservations.started(job.job_id, place)
+        self._reservations.on_placed(job.job_id, place)
         return state.place(
             waiting,
             place,
-            hard=True,
+            non_preemptible=True,
             now_s=now_s,
             reason='guarantee',
             unit=unit,
             victims=choose_victims(state, place, now_s),
         )
 
-    def _restored_place(
+    def _find_guaranteed(
         self,
         state: SchedulerState,
         job: Job,
@@ -147,16 +147,16 @@
             job.slots,
             job.adjacent,
             'both',
-            price=_failure_price(job),
+            cost=_failure_cost(job),
         )
         if place is None:
             place = find_place(state.cluster, job.slots, job.adjacent, 'free')
-            if place is not None and not state.plan.make_way(place):
+            if place is not None and not state.plan.relocate_plans(place):
                 place = None
         if place is not None:
             return place
 
-        def price(worker: WorkerState) -> float:  # noqa: WPS430
+        def cost(worker: WorkerState) -> float:  # noqa: WPS430
             return lost_work_on(state, worker, now_s)
 
         return find_place(
@@ -164,7 +164,7 @@
             job.slots,
             job.adjacent,
             'open',
-            price=price,
+            cost=cost,
         )
 
     def _place_borrowed(
@@ -175,16 +175,18 @@
         decisions: list[Decision] = []
         fitting = [
             head
-            for form in state.queue.forms()
-            if may_fit(state.cluster, form.slots, form.adjacent, 'free')
-            for head in state.queue.heads_of_form(form)
+            for fit_class in state.queue.fit_classes()
+            if may_fit(
+                state.cluster, fit_class.slots, fit_class.adjacent, 'free'
+            )
+            for head in state.queue.heads_of_fit_class(fit_class)
         ]
-        failed: set[_Trial] = set()
+        failed: set[_SearchKey] = set()
         for key in self._ranked(state, fitting, now_s):
-            decision = self._borrow(state, key, now_s, failed)
+            decision = self._place_head(state, key, now_s, failed)
             while decision is not None:
                 decisions.append(decision)
-                decision = self._borrow(state, key, now_s, failed)
+                decision = self._place_head(state, key, now_s, failed)
         return decisions
 
     def _ranked(
@@ -203,19 +205,19 @@
         for key, waiting in heads:
             if not state.may_borrow.get(key.workspace, True):
                 continue
-            run_s = max(state.run_time_s(waiting.job), LEAST_RUN_S)
+            run_s = max(state.run_time_s(waiting.job), MIN_RUN_S)
             age = (now_s - waiting.since_s) / run_s
-            rank = shares.get(key.workspace, 0) - AGEING * age
+            rank = shares.get(key.workspace, 0) - AGEING_WEIGHT * age
             ranked.append((rank, waiting.since_s, key))
         ranked.sort()
         return [key for _, _, key in ranked]
 
-    def _borrow(
+    def _place_head(
         self,
         state: SchedulerState,
         key: ShapeKey,
         now_s: float,
-        failed: set[_Trial],
+        failed: set[_SearchKey],
     ) -> Decision | None:
         """Place the head of one line, if it fits now."""
         waiting = state.queue.head(key)
@@ -224,26 +226,28 @@
         job = waiting.job
         if not may_fit(state.cluster, job.slots, job.adjacent, 'free'):
             return None
-        before = self._reservations.before(state, job, now_s)
-        for hard in self._manners(job):
-            trial = _Trial(job.slots, job.adjacent, hard, before)
-            if trial in failed:
+        blocking_jobs = self._reservations.blocking_jobs(state, job, now_s)
+        for non_preemptible in self._allocation_modes(job):
+            search_key = _SearchKey(
+                job.slots, job.adjacent, non_preemptible, blocking_jobs
+            )
+            if search_key in failed:
                 continue
-            place = self._find(state, job, trial)
+            place = self._find_borrowed(state, job, search_key)
             if place is None:
-                failed.add(trial)
+                failed.add(search_key)
                 continue
-            self._reservations.started(job.job_id, place)
+            self._reservations.on_placed(job.job_id, place)
             return state.place(
                 waiting,
                 place,
-                hard=hard,
+                non_preemptible=non_preemptible,
                 now_s=now_s,
-                reason='borrowed, to stay' if hard else 'borrowed',
+                reason='borrowed, to stay' if non_preemptible else 'borrowed',
             )
         return None
 
-    def _manners(self, job: Job) -> tuple[bool, ...]:
+    def _allocation_modes(self, job: Job) -> tuple[bool, ...]:
         """Return whether to place a job hard or soft, in order of trial.
 
         One that was stopped often is placed to stay if the promises allow
@@ -251,82 +255,86 @@
         """
         if not job.preemptible:
             return (True,)
-        if job.preemptions >= self._preemptions:
+        if job.preemptions >= self._max_preemptions:
             return (True, False)
         return (False,)
 
-    def _find(
+    def _find_borrowed(
         self,
         state: SchedulerState,
         job: Job,
-        trial: _Trial,
+        search_key: _SearchKey,
     ) -> tuple[Member, ...] | None:
         """Find a place off the promises, else one that they can spare."""
-        barred = self._reservations.barred(trial.before)
+        excluded = self._reservations.reserved_workers(search_key.blocking_jobs)
         place: tuple[Member, ...] | None = None
-        for room in _ROOMS:
+        for kind in _BORROWED_KINDS:
             place = place or find_place(
                 state.cluster,
                 job.slots,
                 job.adjacent,
-                room,
-                barred=barred,
-                price=_failure_price(job),
+                kind,
+                excluded=excluded,
+                cost=_failure_cost(job),
             )
-        if place is None or not trial.hard:
+        if place is None or not search_key.non_preemptible:
             return place
-        return place if state.plan.make_way(place) else None
+        return place if state.plan.relocate_plans(place) else None
 
-    def _review(self, state: SchedulerState, now_s: float) -> None:
+    def _update_reservations(self, state: SchedulerState, now_s: float) -> None:
         """Keep workers for those who are first in order and do not fit."""
         self._reservations.clear(now_s)
         # A single slot fits wherever one is free: nothing is kept for it.
         gangs = [
             head
-            for form in state.queue.forms()
-            if form.slots > 1
-            for head in state.queue.heads_of_form(form)
+            for fit_class in state.queue.fit_classes()
+            if fit_class.slots > 1
+            for head in state.queue.heads_of_fit_class(fit_class)
         ]
         for key in self._ranked(state, gangs, now_s):
             waiting = state.queue.head(key)
             if self._reservations.full or waiting is None:
                 return
-            if now_s - waiting.since_s >= _patience_s(state, waiting.job):
-                self._reservations.keep_for(state, waiting.job, now_s)
+            if now_s - waiting.since_s >= _reservation_delay_s(
+                state, waiting.job
+            ):
+                self._reservations.reserve_for(state, waiting.job, now_s)
 
 
 @policies.register('guarantees')
-def guarantees(preemptions: int) -> Policy:
+def fair_share_policy(preemptions: int) -> Policy:
     """Return the real policy."""
-    return Guarantees(preemptions=preemptions)
+    return FairSharePolicy(preemptions=preemptions)
 
 
-def _patience_s(state: SchedulerState, job: Job) -> float:
+def _reservation_delay_s(state: SchedulerState, job: Job) -> float:
     """Return how long a job waits before workers are kept for it.
 
     Draining costs others most where a gang takes most of the data centre,
     and is lost where the gang is then stopped for a guarantee: so a large
     part waits longer, and each of the first stops doubles the wait.
     """
-    run_s = max(state.run_time_s(job), LEAST_RUN_S)
-    part = job.slots / max(1, state.cluster.slots)
-    stops = min(job.preemptions, STOPS_COUNTED)
-    return PATIENCE * run_s * max(1, 4 * part) * 2.0**stops
+    run_s = max(state.run_time_s(job), MIN_RUN_S)
+    share = job.slots / max(1, state.cluster.slots)
+    preemptions = min(job.preemptions, MAX_COUNTED_PREEMPTIONS)
+    return (
+        RESERVE_AFTER_RUN_TIMES * run_s * max(1, 4 * share) * 2.0**preemptions
+    )
 
 
-def _failure_price(job: Job) -> Price | None:
+def _failure_cost(job: Job) -> Cost | None:
     """Return a price that keeps a job off the workers that it failed on."""
     failed_on = frozenset(job.failed_on)
     if not failed_on:
         return None
 
-    def price(worker: WorkerState) -> float:  # noqa: WPS430
+    def cost(worker: WorkerState) -> float:  # noqa: WPS430
         return float(worker.name in failed_on)
 
-    return price
+    return cost
 
 
-def _head_age(head: tuple[ShapeKey, WaitingJob]) -> float:
+def _waiting_since(head: tuple[ShapeKey, WaitingJob]) -> float:
     return head[1].since_s
 
 
@@ -352,12 +360,12 @@
     if not state.may_borrow.get(job.workspace, True):
         lines.append('Its workspace may not borrow.')
     free = sum(worker.free for worker in state.cluster.workers.values())
-    most = state.cluster.most('free')
+    largest = state.cluster.max_capacity('free')
     lines.append(
-        f'{free} accelerators are free, at most {most.widest} on one worker'
-        f' and {most.total} in one rack; {len(state.queue)} jobs wait.',
+        f'{free} accelerators are free, at most {largest.max_on_worker} on one worker'
+        f' and {largest.total} in one rack; {len(state.queue)} jobs wait.',
     )
     return lines
 
 
-__all__ = ('Guarantees', 'guarantees')
+__all__ = ('FairSharePolicy', 'fair_share_policy')
--- a/src/curranthill/scheduler/fifo.py
+++ b/src/curranthill/scheduler/fifo.py
@@ -33,7 +33,7 @@
                 state.place(
                     waiting,
                     members,
-                    hard=True,
+                    non_preemptible=True,
                     now_s=now_s,
                     reason='first fit',
                 ),
--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -16,8 +16,8 @@
 from curranthill.workers import AttemptId, Worker
 
 #: Waits between tries while the platform is away, in seconds.
-_FIRST_WAIT_S: Final = 0.1
-_LONGEST_WAIT_S: Final = 5.0
+_MIN_WAIT_S: Final = 0.1
+_MAX_WAIT_S: Final = 5.0
 
 _FETCH_TRIES: Final = 5
 
@@ -27,16 +27,16 @@
 
     def __init__(self) -> None:
         """Start with the shortest wait."""
-        self._wait_s = _FIRST_WAIT_S
+        self._wait_s = _MIN_WAIT_S
 
     def next_s(self) -> float:
         """Return the next wait."""
         wait_s = self._wait_s
-        self._wait_s = min(_LONGEST_WAIT_S, 2 * wait_s)
+        self._wait_s = min(_MAX_WAIT_S, 2 * wait_s)
         return random.uniform(wait_s / 2, wait_s)  # noqa: S311
 
 
-class Settlement:
+class Finalization:
     """Write the end of one attempt, however long the platform is away.
 
     :param stored: the job's row with the attempt's start mark.
@@ -54,7 +54,7 @@
         self._stored = stored
         self._attempt_id = attempt_id
 
-    async def keep_result(self, worker: Worker) -> int | None:
+    async def store_result(self, worker: Worker) -> int | None:
         """Move the result from its worker to the object store.
 
         Returns its length in bytes, or nothing if the worker lost it. Until
@@ -63,8 +63,10 @@
         body = await self._fetch(worker)
         job, attempt = self._attempt_id
         if body is None:
-            kept = await self._context.objects.get(f'results/{job}/{attempt}')
-            return None if kept is None else len(kept)
+            stored_result = await self._context.objects.get(
+                f'results/{job}/{attempt}'
+            )
+            return None if stored_result is None else len(stored_result)
         back_off = BackOff()
         while True:
             try:
@@ -78,7 +80,7 @@
             except StorageError as error:
                 self._log('its result waits for the object store', error)
                 await self._context.clock.sleep(back_off.next_s())
-                self._stay_leader()
+                self._require_leading()
                 continue
             return len(body)
 
@@ -93,7 +95,7 @@
             ),
         )
 
-    async def settle(
+    async def finalize(
         self,
         end: str,
         *,
@@ -181,11 +183,11 @@
                     return found or self._stored
                 self._stored = found
                 job = job._replace(cancel_requested=found.job.cancel_requested)
-                job = self._honour_cancel(job)
+                job = self._apply_cancel(job)
             except StorageError as error:
                 self._log('its end waits for the table', error)
                 await self._context.clock.sleep(back_off.next_s())
-            self._stay_leader()
+            self._require_leading()
 
     async def _reload(self, back_off: BackOff) -> Stored | None:
         while True:
@@ -193,7 +195,7 @@
                 return await self._context.store.load(self._attempt_id.job)
             except StorageError:
                 await self._context.clock.sleep(back_off.next_s())
-                self._stay_leader()
+                self._require_leading()
 
     def _is_own(self, found: Stored) -> bool:
         """Return whether the row still stands at this attempt's mark."""
@@ -203,13 +205,13 @@
             and found.job.attempt == self._attempt_id.attempt
         )
 
-    def _honour_cancel(self, job: Job) -> Job:
+    def _apply_cancel(self, job: Job) -> Job:
         """Let a cancel that came meanwhile win over another run."""
         if job.cancel_requested and job.state == ACCEPTED:
             return self._ended(job, 'cancel', 'Cancelled while it ran.')
         return job
 
-    def _stay_leader(self) -> None:
+    def _require_leading(self) -> None:
         if not self._context.election.leading:
             raise LeaseLapsedError(
                 'Another scheduler leads.',
@@ -226,4 +228,4 @@
         ).warning('{}: {}', message, error)
 
 
-__all__ = ('BackOff', 'Settlement')
+__all__ = ('BackOff', 'Finalization')
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -29,8 +29,8 @@
     next_state,
 )
 from curranthill.scheduler.context import Context
-from curranthill.scheduler.finalize import BackOff, Settlement
-from curranthill.scheduler.members import RETRY_S, Members
+from curranthill.scheduler.finalize import BackOff, Finalization
+from curranthill.scheduler.members import RETRY_S, GangMembers
 from curranthill.scheduler.watch import LOST, MemberUpdate, WorkerWatch
 from curranthill.workers import (
     FINISHED,
@@ -92,7 +92,7 @@
         self.stopped = asyncio.Event()
         self.state: str = ACCEPTED
         self._states: dict[str, str] = {}
-        self._members = Members(
+        self._members = GangMembers(
             context=context,
             attempt_id=self.attempt_id,
             members=members,
@@ -103,34 +103,34 @@
         self._wait_for = tuple(wait_for)
         self._reasons: dict[str, str] = {}
         self._changed = asyncio.Event()
-        self._wish: Literal['', 'cancel', 'preempt'] = ''
+        self._stop_request: Literal['', 'cancel', 'preempt'] = ''
 
     @property
     def members(self) -> tuple[Member, ...]:
         """Return the members in the order in which they are reserved."""
         return self._members.members
 
-    def on_news(self, news: MemberUpdate) -> None:
+    def on_update(self, update: MemberUpdate) -> None:
         """Take in what a watch learnt of one member."""
-        if self._states.get(news.worker) != news.state:
-            self._states[news.worker] = news.state
-            self._reasons[news.worker] = news.reason
+        if self._states.get(update.worker) != update.state:
+            self._states[update.worker] = update.state
+            self._reasons[update.worker] = update.reason
             self._changed.set()
 
     def cancel(self) -> None:
         """Stop the attempt as soon as may be; the caller gave the job up."""
-        self._wish = 'cancel'
+        self._stop_request = 'cancel'
         self._changed.set()
 
     def preempt(self) -> None:
         """Checkpoint and stop the attempt; the job will wait again."""
-        self._wish = self._wish or 'preempt'
+        self._stop_request = self._stop_request or 'preempt'
         self._changed.set()
 
     async def run(self) -> GangEnd:
         """Reserve, mark, start, wait and settle."""
         try:
-            return await self._run_fresh()
+            return await self._run_new()
         except (FencedError, LeaseLapsedError) as error:
             return self._abandon(error)
         finally:
@@ -148,73 +148,73 @@
         finally:
             self.stopped.set()
 
-    async def _run_fresh(self) -> GangEnd:
+    async def _run_new(self) -> GangEnd:
         for stopped in self._wait_for:
             await stopped.wait()
         self.state = RESERVED
         refused = await self._members.reserve()
-        if refused or self._wish:
+        if refused or self._stop_request:
             await self._members.release()
             return self._not_started(f'Refused by {refused}.')
-        if not await self._mark():
+        if not await self._record_start():
             await self._members.release()
             return self._not_started('The start mark was not written.')
-        return await self._start_and_settle()
+        return await self._start_and_finalize()
 
     async def _run_adopted(self, states: dict[str, str]) -> GangEnd:
         for member in self.members:
             self._states[member.worker] = states.get(member.worker, LOST)
             if self._states[member.worker] in {RESERVED, RUNNING}:
                 self._members.watch(member.worker)
-        if self._broken() and await self._result_is_kept():
+        if self._must_stop() and await self._result_is_stored():
             # The last leader kept the result and died before the row.
             self._states.update(dict.fromkeys(self._states, FINISHED))
-        return await self._start_and_settle()
+        return await self._start_and_finalize()
 
-    async def _result_is_kept(self) -> bool:
+    async def _result_is_stored(self) -> bool:
         job, attempt = self.attempt_id
         back_off = BackOff()
         while True:
             try:
-                kept = await self._context.objects.get(
+                stored_result = await self._context.objects.get(
                     f'results/{job}/{attempt}',
                 )
             except StorageError:
                 await self._context.clock.sleep(back_off.next_s())
                 continue
-            return kept is not None
+            return stored_result is not None
 
-    async def _start_and_settle(self) -> GangEnd:
-        if not self._broken() and await self._members.start(self.stored.job):
+    async def _start_and_finalize(self) -> GangEnd:
+        if not self._must_stop() and await self._members.start(self.stored.job):
             self.state = RUNNING
             await self._wait_end()
-        end = self._verdict()
+        end = self._outcome()
         if end == 'finished':
             self.stopped.set()
-            return await self._settle_result()
+            return await self._finalize_result()
         checkpoint = ''
         if end == 'preempted':
             checkpoint = await self._members.checkpoint()
         started = await self._members.release()
         self.stopped.set()
-        return await self._settle(end, checkpoint=checkpoint, started=started)
+        return await self._finalize(end, checkpoint=checkpoint, started=started)
 
-    async def _mark(self) -> bool:
+    async def _record_start(self) -> bool:
         """Write the start mark; return whether it is known to be written.
 
         While the reply is lost and the table stays silent nothing is
         started and nothing is given back: the members stay reserved.
         """
         while True:
-            await self._members.own_lease('mark')
+            await self._members.wait_for_lease('mark')
             try:
                 self.stored = await self._context.store.change(
                     self.stored,
-                    self._marked_job(),
+                    self._started_job(),
                     (self._context.election.check(),),
                 )
             except ConflictError:
-                return await self._marked_after_all()
+                return await self._start_is_recorded()
             except NotSentError:
                 return False
             except ReplyLostError:
@@ -222,7 +222,7 @@
                 continue
             return True
 
-    def _marked_job(self) -> Job:
+    def _started_job(self) -> Job:
         token = self._context.election.token
         return self.stored.job._replace(
             state=next_state(RESERVED, 'mark'),
@@ -233,11 +233,11 @@
             started_at_s=self._context.clock.wall_s(),
         )
 
-    async def _marked_after_all(self) -> bool:
+    async def _start_is_recorded(self) -> bool:
         """Look whether the row holds this attempt's own mark."""
         found: Stored | None = None
         while found is None:
-            await self._members.own_lease('mark')
+            await self._members.wait_for_lease('mark')
             try:
                 found = await self._context.store.load(self.attempt_id.job)
             except StorageError:
@@ -252,13 +252,13 @@
         )
 
     async def _wait_end(self) -> None:
-        while not (self._broken() or self._complete()):
+        while not (self._must_stop() or self._complete()):
             await self._changed.wait()
             self._changed.clear()
 
-    def _broken(self) -> bool:
+    def _must_stop(self) -> bool:
         ended_badly = {TASK_FAILED, STOPPED, LOST}
-        return bool(self._wish) or any(
+        return bool(self._stop_request) or any(
             state in ended_badly for state in self._states.values()
         )
 
@@ -268,30 +268,30 @@
             for member in self.members
         )
 
-    def _verdict(self) -> End:
+    def _outcome(self) -> End:
         if self._complete():
             return 'finished'
         if TASK_FAILED in self._states.values():
             return 'failed'
-        if self._wish == 'cancel':
+        if self._stop_request == 'cancel':
             return 'cancelled'
         if {STOPPED, LOST}.intersection(self._states.values()):
             return 'lost'
-        return 'preempted' if self._wish else 'lost'
+        return 'preempted' if self._stop_request else 'lost'
 
-    async def _settle_result(self) -> GangEnd:
+    async def _finalize_result(self) -> GangEnd:
         """Keep the result, write the row, then let the workers forget."""
-        settlement = self._settlement()
+        finalization = self._finalization()
         first = self._members.client(self.members[0])
-        kept_bytes = await settlement.keep_result(first)
-        if kept_bytes is None:
+        result_bytes = await finalization.store_result(first)
+        if result_bytes is None:
             await self._members.release()
-            return await self._settle('lost', checkpoint='', started=True)
-        self.stored = await settlement.finish(kept_bytes)
+            return await self._finalize('lost', checkpoint='', started=True)
+        self.stored = await finalization.finish(result_bytes)
         await self._members.release()
         return GangEnd(end='finished', stored=self.stored)
 
-    async def _settle(
+    async def _finalize(
         self,
         end: End,
         *,
@@ -300,7 +300,7 @@
     ) -> GangEnd:
         failed_on = self._worker_in(TASK_FAILED)
         reason = self._reasons.get(failed_on, '')
-        self.stored = await self._settlement().settle(
+        self.stored = await self._finalization().finalize(
             end,
             reason=reason,
             failed_on=failed_on,
@@ -314,8 +314,8 @@
             failed_on=failed_on,
         )
 
-    def _settlement(self) -> Settlement:
-        return Settlement(
+    def _finalization(self) -> Finalization:
+        return Finalization(
             context=self._context,
             stored=self.stored,
             attempt_id=self.attempt_id,
@@ -328,7 +328,9 @@
         return ''
 
     def _not_started(self, reason: str) -> GangEnd:
-        end: End = 'cancelled' if self._wish == 'cancel' else 'not_started'
+        end: End = (
+            'cancelled' if self._stop_request == 'cancel' else 'not_started'
+        )
         return GangEnd(end=end, stored=self.stored, reason=reason)
 
     def _abandon(self, error: CurranthillError) -> GangEnd:
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -80,7 +80,7 @@
         for unit_id, unit in wanted.items():
             if unit_id not in self._units:
                 self._units[unit_id] = unit
-                self._note_unused(unit)
+                self._add_unused(unit)
         self.repair()
 
     def free_unit(self, workspace: str, shape: str) -> GuaranteeUnit | None:
@@ -88,9 +88,9 @@
         unused = self._unused.get((workspace, shape))
         return next(iter(unused.values())) if unused else None
 
-    def unused_pairs(self) -> list[tuple[str, str]]:
+    def unused_shapes(self) -> list[tuple[str, str]]:
         """Return workspaces and shapes of which a unit is not in use."""
-        return [pair for pair, unused in self._unused.items() if unused]
+        return [key for key, unused in self._unused.items() if unused]
 
     def units_of(self, workspace: str, shape: str) -> list[GuaranteeUnit]:
         """Return all units of a workspace and shape."""
@@ -103,7 +103,7 @@
         self._by_job[job_id] = unit.unit_id
         self._unused[unit.unit_id[:2]].pop(unit.unit_id, None)
 
-    def give_back(self, job_id: str, members: Iterable[Member]) -> None:
+    def return_unit(self, job_id: str, members: Iterable[Member]) -> None:
         """Plan a unit where the job that used it was."""
         unit = self._units.get(
             self._by_job.pop(job_id, GuaranteeUnitId('', '', 0)),
@@ -111,14 +111,14 @@
         if unit is None:
             return
         unit.job_id = ''
-        self._note_unused(unit)
+        self._add_unused(unit)
         members = tuple(members)
         if self._fits(members):
             self._set_plan(unit, members)
         else:
-            self.place_missing()
+            self.plan_missing()
 
-    def make_way(self, members: Iterable[Member]) -> bool:
+    def relocate_plans(self, members: Iterable[Member]) -> bool:
         """Move plans so that hard work may take ``members``.
 
         Returns whether that could be done; if not, nothing is changed. The
@@ -126,7 +126,7 @@
         """
         wanted = tuple(members)
         displaced = self._displaced(wanted)
-        before = [(unit, unit.planned) for unit in displaced]
+        previous = [(unit, unit.planned) for unit in displaced]
         for unit in displaced:
             self._unplan(unit)
         fits = self._fits(wanted)
@@ -135,9 +135,9 @@
             fits = all(self._replan(unit) for unit in _largest_first(displaced))
             self._cluster.plan(wanted, -1)
         if not fits:
-            for unit, planned in before:
+            for unit, planned in previous:
                 self._unplan(unit)
-            for unit, planned in before:
+            for unit, planned in previous:
                 self._set_plan(unit, planned)
         return fits
 
@@ -149,21 +149,21 @@
         nowhere is at risk until capacity comes back.
         """
         for worker in self._cluster.workers.values():
-            kept = worker.hard + worker.planned + worker.quick
-            if worker.usable and kept <= worker.slots:
+            committed = worker.non_preemptible + worker.planned + worker.quick
+            if worker.usable and committed <= worker.slots:
                 continue
             for unit in self._planned_on(worker.name):
                 self._unplan(unit)
-        self.place_missing()
+        self.plan_missing()
 
-    def place_missing(self) -> None:
+    def plan_missing(self) -> None:
         """Plan units at risk where they fit now, the larger ones first."""
         missing = [unit for unit in self if unit.at_risk]
-        still_missing = [
+        unplanned = [
             unit for unit in _largest_first(missing) if not self._replan(unit)
         ]
-        now_at_risk = {unit.unit_id for unit in still_missing}
-        for unit in still_missing:
+        now_at_risk = {unit.unit_id for unit in unplanned}
+        for unit in unplanned:
             if unit.unit_id not in self.at_risk:
                 logger.bind(
                     step='guarantee', workspace=unit.unit_id[0]
@@ -180,7 +180,7 @@
         self._unplan(unit)
         return planned
 
-    def put_back(
+    def restore_plan(
         self,
         unit: GuaranteeUnit,
         planned: tuple[Member, ...],
@@ -198,9 +198,9 @@
         self._unused[unit_id[:2]].pop(unit_id, None)
         self._by_job.pop(unit.job_id, None)
 
-    def _note_unused(self, unit: GuaranteeUnit) -> None:
-        pair = unit.unit_id[:2]
-        self._unused.setdefault(pair, {})[unit.unit_id] = unit
+    def _add_unused(self, unit: GuaranteeUnit) -> None:
+        key = unit.unit_id[:2]
+        self._unused.setdefault(key, {})[unit.unit_id] = unit
 
     def _displaced(self, members: tuple[Member, ...]) -> list[GuaranteeUnit]:
         names = {
--- a/src/curranthill/scheduler/health.py
+++ b/src/curranthill/scheduler/health.py
@@ -11,34 +11,34 @@
         """Start with every worker trusted."""
         self._clock = clock
         self._settings = settings
-        self._failed: dict[str, set[str]] = {}
-        self._until_s: dict[str, float] = {}
+        self._failed_jobs: dict[str, set[str]] = {}
+        self._quarantined_until_s: dict[str, float] = {}
 
-    def failed(self, worker: str, job_id: str) -> bool:
+    def record_failure(self, worker: str, job_id: str) -> bool:
         """Count a failure; return whether the worker is now quarantined.
 
         A worker that was let back in is on probation: one failure is enough.
         """
-        jobs = self._failed.setdefault(worker, set())
+        jobs = self._failed_jobs.setdefault(worker, set())
         jobs.add(job_id)
-        enough = self._settings.quarantine_failures
-        on_probation = worker in self._until_s
-        if len(jobs) < enough and not on_probation:
+        threshold = self._settings.quarantine_failures
+        on_probation = worker in self._quarantined_until_s
+        if len(jobs) < threshold and not on_probation:
             return False
-        self._until_s[worker] = (
+        self._quarantined_until_s[worker] = (
             self._clock.monotonic_s() + self._settings.quarantine_s
         )
         return True
 
-    def succeeded(self, worker: str) -> None:
+    def record_success(self, worker: str) -> None:
         """Trust a worker again."""
-        self._failed.pop(worker, None)
-        if not self.quarantined(worker):
-            self._until_s.pop(worker, None)
+        self._failed_jobs.pop(worker, None)
+        if not self.is_quarantined(worker):
+            self._quarantined_until_s.pop(worker, None)
 
-    def quarantined(self, worker: str) -> bool:
+    def is_quarantined(self, worker: str) -> bool:
         """Return whether a worker gets no work now."""
-        until_s = self._until_s.get(worker, 0)
+        until_s = self._quarantined_until_s.get(worker, 0)
         return self._clock.monotonic_s() < until_s
 
 
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -49,16 +49,16 @@
         self._directory = directory
         self._configuration = configuration
         self._view = view
-        self._beginning: asyncio.Task[None] | None = None
+        self._takeover: asyncio.Task[None] | None = None
         self._seen_epoch = 0
-        directory.listen(self._workers_changed)
-        configuration.listen(self._configured)
+        directory.listen(self._on_workers_changed)
+        configuration.listen(self._on_configuration)
 
     async def start(self) -> None:
         """Stand for election from now on."""
         self._app.spawn(self._run(), name='election')
         self._app.spawn(self._scan(), name='scan of open jobs')
-        self._app.spawn(self._tell_load(), name='load')
+        self._app.spawn(self._publish_load(), name='load')
 
     async def stop(self) -> None:
         """End the term and give the lease up; members run on."""
@@ -69,12 +69,12 @@
         election = self._context.election
         while True:
             await election.advance(self._seen_epoch)
-            if election.leading and self._beginning is None:
-                self._beginning = self._app.spawn(
+            if election.leading and self._takeover is None:
+                self._takeover = self._app.spawn(
                     self._begin_term(),
                     name='takeover',
                 )
-            elif not election.leading and self._beginning is not None:
+            elif not election.leading and self._takeover is not None:
                 await self._end_term()
             await self._app.clock.sleep(election.interval_s())
 
@@ -109,9 +109,9 @@
             return
 
     async def _end_term(self) -> None:
-        if self._beginning is not None:
-            self._beginning.cancel()
-            self._beginning = None
+        if self._takeover is not None:
+            self._takeover.cancel()
+            self._takeover = None
         if self.term is not None:
             await self.term.close()
             self.term = None
@@ -131,8 +131,8 @@
 
     def _neighbours(self) -> list[Member]:
         """Return the leaders of the region's other data centres."""
-        places = self._configuration.document.data_centres
-        own = places.get(self._data_centre)
+        data_centres = self._configuration.document.data_centres
+        own = data_centres.get(self._data_centre)
         if own is None:
             return []
         return [
@@ -140,22 +140,22 @@
             for member in self._view.alive('scheduler')
             if member.leading_epoch
             and member.data_centre != self._data_centre
-            and member.data_centre in places
-            and places[member.data_centre].region == own.region
+            and member.data_centre in data_centres
+            and data_centres[member.data_centre].region == own.region
         ]
 
-    async def _tell_load(self) -> None:
+    async def _publish_load(self) -> None:
         """Tell neighbours now and then how full this data centre is."""
         while True:
             await self._app.clock.sleep(LOAD_INTERVAL_S)
             if self.term is not None:
                 self._view.update_own(load=self.term.state.load())
 
-    def _workers_changed(self) -> None:
+    def _on_workers_changed(self) -> None:
         if self.term is not None:
             self.term.update_workers()
 
-    def _configured(self) -> None:
+    def _on_configuration(self) -> None:
         if self.term is not None:
             self.term.configure()
 
--- a/src/curranthill/scheduler/loader.py
+++ b/src/curranthill/scheduler/loader.py
@@ -10,7 +10,7 @@
 from curranthill.jobs import JobStore, Stored
 
 #: Rows read at the same time when many jobs have changed.
-PARALLEL_READS: Final = 16
+MAX_PARALLEL_READS: Final = 16
 
 
 class RowLoader:
@@ -28,27 +28,27 @@
         *,
         store: JobStore,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
-        take: Callable[[Stored], None],
+        on_row: Callable[[Stored], None],
     ) -> None:
         """Start with no news."""
         self._store = store
         self._spawn = spawn
-        self._take = take
-        self._waiting: dict[str, None] = {}
+        self._on_row = on_row
+        self._pending: dict[str, None] = {}
 
     def notify(self, job_ids: Iterable[str]) -> None:
         """Read some jobs' rows, soon; a job named twice is read once."""
-        loading = bool(self._waiting)
-        self._waiting.update(dict.fromkeys(job_ids))
-        if not loading and self._waiting:
+        loading = bool(self._pending)
+        self._pending.update(dict.fromkeys(job_ids))
+        if not loading and self._pending:
             self._spawn(self._load_all())
 
     async def _load_all(self) -> None:
-        while self._waiting:
-            batch = list(self._waiting)[:PARALLEL_READS]
+        while self._pending:
+            batch = list(self._pending)[:MAX_PARALLEL_READS]
             await asyncio.gather(*(self._load(job_id) for job_id in batch))
             for job_id in batch:
-                self._waiting.pop(job_id)
+                self._pending.pop(job_id)
 
     async def _load(self, job_id: str) -> None:
         try:
@@ -60,7 +60,7 @@
             )
             return
         if stored is not None:
-            self._take(stored)
+            self._on_row(stored)
 
 
-__all__ = ('PARALLEL_READS', 'RowLoader')
+__all__ = ('MAX_PARALLEL_READS', 'RowLoader')
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -24,10 +24,10 @@
 )
 
 RETRY_S: Final = 0.2
-_START_TRIES: Final = 5
+_MAX_START_ATTEMPTS: Final = 5
 
 
-class Members:
+class GangMembers:
     """Reserve, start, stop and release the members of one attempt.
 
     :param members: the workers with their slots.
@@ -56,7 +56,7 @@
     async def reserve(self) -> tuple[str, ...]:
         """Reserve all members; return the workers that refused."""
         for member in self.members:
-            await self.own_lease('reserve')
+            await self.wait_for_lease('reserve')
             if not await self._reserve(member):
                 return (member.worker,)
         return ()
@@ -105,7 +105,7 @@
         # taken at its word, work that must run once would run again.
         return self._any_started or any(answers)
 
-    async def own_lease(self, step: str) -> None:
+    async def wait_for_lease(self, step: str) -> None:
         """Wait until the leader's lease holds, margin included.
 
         While the table is away the incumbent waits; once another scheduler
@@ -151,20 +151,20 @@
             members=len(self.members),
             checkpoint=job.checkpoint,
         )
-        for tries_left in reversed(range(_START_TRIES)):
+        for attempts_left in reversed(range(_MAX_START_ATTEMPTS)):
             try:
                 return await self._start_once(member, task)
             except (FencedError, WorkerBusyError):
                 raise
             except WorkerError:
-                if not tries_left:
+                if not attempts_left:
                     self._states[member.worker] = LOST
                     raise
             await self._context.clock.sleep(RETRY_S)
         return None
 
     async def _start_once(self, member: Member, task: Task) -> None:
-        await self.own_lease('start')
+        await self.wait_for_lease('start')
         token = self._context.election.token
         await self.client(member).start(token, self._attempt_id, task)
         self._any_started = True
@@ -209,4 +209,4 @@
         ).info('attempt {}: {}', message, error)
 
 
-__all__ = ('RETRY_S', 'Members')
+__all__ = ('RETRY_S', 'GangMembers')
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -13,17 +13,17 @@
 from curranthill.scheduler.state import SchedulerState, WaitingJob
 
 #: How long a job waits here before another place is considered, in seconds.
-PATIENCE_S: Final = 1.0
+MIN_WAIT_S: Final = 1.0
 
 #: The same for a job that came from elsewhere, lest it go to and fro.
-MOVED_PATIENCE_S: Final = 10.0
+MOVED_MIN_WAIT_S: Final = 10.0
 
 #: How long a place counts as fuller by what was sent there, in seconds;
 #: longer than its next news takes.
-MEMORY_S: Final = 3.0
+SENT_RETENTION_S: Final = 3.0
 
 #: Jobs given away in one look.
-MOST: Final = 16
+MAX_MOVES: Final = 16
 
 
 class Neighbour(Protocol):
@@ -83,80 +83,80 @@
         """Return the jobs that should go, the longest waiting first."""
         now_s = self._clock.monotonic_s()
         self._sent = [
-            sent for sent in self._sent if now_s - sent.at_s < MEMORY_S
+            sent for sent in self._sent if now_s - sent.at_s < SENT_RETENTION_S
         ]
-        places = self._neighbours()
+        neighbours = self._neighbours()
         moves: list[Move] = []
-        if not places:
+        if not neighbours:
             return moves
-        for waiting in sorted(self._state.queue, key=_age):
-            if len(moves) >= MOST:
+        for waiting in sorted(self._state.queue, key=_waiting_since):
+            if len(moves) >= MAX_MOVES:
                 break
-            if self._stays(waiting, now_s):
+            if self._must_stay(waiting, now_s):
                 continue
-            place = self._place_for(waiting, places)
-            if place is not None:
-                moves.append(self._send(waiting, place, now_s))
+            neighbour = self._target_for(waiting, neighbours)
+            if neighbour is not None:
+                moves.append(self._send(waiting, neighbour, now_s))
         return moves
 
-    def _stays(self, waiting: WaitingJob, now_s: float) -> bool:
+    def _must_stay(self, waiting: WaitingJob, now_s: float) -> bool:
         job = waiting.job
         entitled = self._state.plan.free_unit(job.workspace, job.shape)
         may_borrow = self._state.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
         moved = birth_of(job.job_id) != job.home
-        patience_s = MOVED_PATIENCE_S if moved else PATIENCE_S
-        return entitled is not None or not may_borrow or waited_s < patience_s
+        min_wait_s = MOVED_MIN_WAIT_S if moved else MIN_WAIT_S
+        return entitled is not None or not may_borrow or waited_s < min_wait_s
 
-    def _place_for(
+    def _target_for(
         self,
         waiting: WaitingJob,
-        places: Sequence[Neighbour],
+        neighbours: Sequence[Neighbour],
     ) -> Neighbour | None:
         slots = waiting.job.slots
-        able = [
-            (self._left(place), place)
-            for place in places
-            if place.widest_free - self._sent_to(place) >= slots
+        eligible = [
+            (self._surplus(neighbour), neighbour)
+            for neighbour in neighbours
+            if neighbour.widest_free - self._sent_to(neighbour) >= slots
         ]
-        if not able:
+        if not eligible:
             return None
-        return max(able, key=_most_left)[1]
+        return max(eligible, key=_surplus_of)[1]
 
-    def _left(self, place: Neighbour) -> int:
+    def _surplus(self, neighbour: Neighbour) -> int:
         """Return the slots that its own queue does not ask for either."""
-        taken = place.waiting_slots + self._sent_to(place)
-        return place.free_slots - taken
+        taken = neighbour.waiting_slots + self._sent_to(neighbour)
+        return neighbour.free_slots - taken
 
-    def _sent_to(self, place: Neighbour) -> int:
+    def _sent_to(self, neighbour: Neighbour) -> int:
         return sum(
             sent.slots
             for sent in self._sent
-            if sent.data_centre == place.data_centre
+            if sent.data_centre == neighbour.data_centre
         )
 
     def _send(
         self,
         waiting: WaitingJob,
-        place: Neighbour,
+        neighbour: Neighbour,
         now_s: float,
     ) -> Move:
         job = waiting.job
-        left = self._left(place)
-        self._sent.append(_Sent(place.data_centre, job.slots, now_s))
+        surplus = self._surplus(neighbour)
+        self._sent.append(_Sent(neighbour.data_centre, job.slots, now_s))
         return Move(
             job_id=job.job_id,
-            data_centre=place.data_centre,
-            reason=f'{left} slots left there, {job.slots} needed',
+            data_centre=neighbour.data_centre,
+            reason=f'{surplus} slots left there, {job.slots} needed',
         )
 
 
-def _age(waiting: WaitingJob) -> float:
+def _waiting_since(waiting: WaitingJob) -> float:
     return waiting.since_s
 
 
-def _most_left(place: tuple[int, Neighbour]) -> int:
-    return place[0]
+def _surplus_of(candidate: tuple[int, Neighbour]) -> int:
+    return candidate[0]
 
 
 __all__ = ('Move', 'Neighbour', 'Offload')
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -10,17 +10,17 @@
 from curranthill.scheduler.victims import choose_victims
 
 #: Slots kept for each request that was in flight at the peak.
-HEADROOM: Final = 1.25
+HEADROOM_FACTOR: Final = 1.25
 
 #: How long a peak is remembered, in seconds.
-DEMAND_MEMORY_S: Final = 30.0
+DEMAND_WINDOW_S: Final = 30.0
 
 #: The most of a data centre that quick work may keep.
-MOST_SHARE: Final = 0.5
+MAX_SHARE: Final = 0.5
 
 #: How long before the reserve goes gateways are told, in seconds; longer
 #: than the time between two of their reports.
-YIELD_NOTICE_S: Final = 1.5
+RELEASE_NOTICE_S: Final = 1.5
 
 #: How long a grant of connections is good for, in seconds.
 GRANT_TERM_S: Final = 5.0
@@ -45,39 +45,39 @@
         *,
         state: SchedulerState,
         clock: Clock,
-        least: int,
+        min_slots: int,
     ) -> None:
         """Start with the least reserve wanted."""
         self._state = state
         self._clock = clock
-        self.least = least
+        self.min_slots = min_slots
         self._demands: dict[str, Demand] = {}
-        self._yields_since_s: float | None = None
+        self._yielding_since_s: float | None = None
 
-    def report(self, gateway: str, most_in_flight: int) -> None:
+    def record_demand(self, gateway: str, max_in_flight: int) -> None:
         """Take in a gateway's peak since its last report."""
         now_s = self._clock.monotonic_s()
         last = self._demands.get(gateway)
-        if last and now_s - last.at_s < DEMAND_MEMORY_S:
-            if last.peak > most_in_flight:
+        if last and now_s - last.at_s < DEMAND_WINDOW_S:
+            if last.peak > max_in_flight:
                 return
-        self._demands[gateway] = Demand(peak=most_in_flight, at_s=now_s)
+        self._demands[gateway] = Demand(peak=max_in_flight, at_s=now_s)
 
     def wanted(self) -> int:
         """Return how many slots quick work should have now."""
         now_s = self._clock.monotonic_s()
-        since_s = self._yields_since_s
-        if since_s is not None and now_s - since_s >= YIELD_NOTICE_S:
+        since_s = self._yielding_since_s
+        if since_s is not None and now_s - since_s >= RELEASE_NOTICE_S:
             return 0
         peak = sum(
             demand.peak
             for demand in self._demands.values()
-            if now_s - demand.at_s < 2 * DEMAND_MEMORY_S
+            if now_s - demand.at_s < 2 * DEMAND_WINDOW_S
         )
         workers = self._state.cluster.workers.values()
         total = sum(worker.slots for worker in workers if worker.usable)
-        wanted = max(self.least, math.ceil(peak * HEADROOM))
-        return min(wanted, int(total * MOST_SHARE))
+        wanted = max(self.min_slots, math.ceil(peak * HEADROOM_FACTOR))
+        return min(wanted, int(total * MAX_SHARE))
 
     def adjust(self) -> tuple[str, ...]:
         """Grow or shrink the reserve; return the jobs that must stop."""
@@ -93,22 +93,22 @@
             return self._grow(wanted - held)
         return ()
 
-    def give_way(self, *, wanted: bool) -> None:
+    def set_yielding(self, *, wanted: bool) -> None:
         """Give the reserve up for a gang as large as the rack, or take it up.
 
         Gateways are told at once to go elsewhere; the slots are given up
         only after they have had time to hear of it.
         """
         if not wanted:
-            self._yields_since_s = None
-        elif self._yields_since_s is None:
-            self._yields_since_s = self._clock.monotonic_s()
+            self._yielding_since_s = None
+        elif self._yielding_since_s is None:
+            self._yielding_since_s = self._clock.monotonic_s()
 
     def workers(self) -> list[WorkerState]:
         """Return the workers that gateways may send quick work to."""
-        return self._holders() if self._yields_since_s is None else []
+        return self._quick_workers() if self._yielding_since_s is None else []
 
-    def _holders(self) -> list[WorkerState]:
+    def _quick_workers(self) -> list[WorkerState]:
         return [
             worker
             for worker in self._state.cluster.workers.values()
@@ -116,26 +116,26 @@
         ]
 
     def _shrink(self, surplus: int) -> None:
-        for worker in sorted(self._holders(), key=_fewest_quick):
-            given = min(surplus, worker.quick)
-            self._state.cluster.keep_quick(worker, -given)
-            surplus -= given
+        for worker in sorted(self._quick_workers(), key=_by_fewest_quick):
+            released = min(surplus, worker.quick)
+            self._state.cluster.reserve_quick(worker, -released)
+            surplus -= released
 
     def _grow(self, missing: int) -> tuple[str, ...]:
         victims: list[str] = []
         for worker in sorted(
             self._state.cluster.workers.values(),
-            key=_best_for_quick,
+            key=_growth_order,
         ):
             if missing <= 0:
                 break
-            taken = min(missing, worker.open)
-            if taken > 0:
-                victims.extend(self._take(worker, taken))
-                missing -= taken
+            added = min(missing, worker.open)
+            if added > 0:
+                victims.extend(self._reserve_on(worker, added))
+                missing -= added
         return tuple(victims)
 
-    def _take(self, worker: WorkerState, slots: int) -> tuple[str, ...]:
+    def _reserve_on(self, worker: WorkerState, slots: int) -> tuple[str, ...]:
         """Keep slots on a worker; soft work in the way must stop."""
         member = Member(
             worker=worker.name,
@@ -151,7 +151,7 @@
             )
             for victim in victims:
                 self._state.release(victim)
-        self._state.cluster.keep_quick(worker, slots)
+        self._state.cluster.reserve_quick(worker, slots)
         return victims
 
 
@@ -178,7 +178,7 @@
         self._clock = clock
         self._pool = pool
         self._grants: dict[str, list[Grant]] = {}
-        self._opens_s = clock.monotonic_s() + GRANT_TERM_S
+        self._grants_from_s = clock.monotonic_s() + GRANT_TERM_S
 
     def grant(self, gateway: str, gateways: int, lease_left_s: float) -> Grant:
         """Return what a gateway may hold, beyond its fixed part.
@@ -188,7 +188,7 @@
             never outlives it.
         """
         now_s = self._clock.monotonic_s()
-        if now_s < self._opens_s or lease_left_s <= 0:
+        if now_s < self._grants_from_s or lease_left_s <= 0:
             return Grant(amount=0, until_s=now_s)
         holders = {
             name for name in self._grants if self._unexpired(name, now_s)
@@ -200,8 +200,8 @@
             amount=max(0, min(wanted, left)),
             until_s=now_s + min(GRANT_TERM_S, lease_left_s),
         )
-        kept = self._unexpired(gateway, now_s)
-        self._grants[gateway] = [*kept, grant]
+        unexpired = self._unexpired(gateway, now_s)
+        self._grants[gateway] = [*unexpired, grant]
         return grant
 
     def _held_by_others(self, gateway: str, now_s: float) -> int:
@@ -229,11 +229,11 @@
     return connections - gateways * fixed_share(connections, gateways)
 
 
-def _fewest_quick(worker: WorkerState) -> tuple[int, str]:
+def _by_fewest_quick(worker: WorkerState) -> tuple[int, str]:
     return (worker.quick, worker.name)
 
 
-def _best_for_quick(worker: WorkerState) -> tuple[bool, int, int, str]:
+def _growth_order(worker: WorkerState) -> tuple[bool, int, int, str]:
     """Prefer workers that serve quick work already, then the emptiest."""
     return (worker.quick == 0, worker.planned, -worker.open, worker.name)
 
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -13,10 +13,10 @@
 from curranthill.workers import RUNNING, AttemptId, LeaseReport
 
 #: Workers asked at the same time.
-PARALLEL_CALLS = 32
+MAX_PARALLEL_CALLS = 32
 
 
-class Held(NamedTuple):
+class WorkerLeases(NamedTuple):
     """What the workers hold.
 
     :param leases: worker name -> its leases by attempt.
@@ -24,7 +24,7 @@
     """
 
     leases: dict[str, dict[AttemptId, LeaseReport]]
-    silent: frozenset[str]
+    unresponsive: frozenset[str]
 
 
 class Recovered(NamedTuple):
@@ -52,9 +52,9 @@
     """
     begun_s = context.clock.monotonic_s()
     term.update_workers()
-    held = await ask_and_fence(context, workers)
+    held = await fence_workers(context, workers)
     stored_jobs = await context.store.scan_open(data_centre)
-    resumed = _adopt(term, stored_jobs, held)
+    resumed = _restore_jobs(term, stored_jobs, held)
     orphans = _release_orphans(term, resumed, held)
     recovered = Recovered(
         waiting=len(stored_jobs) - len(resumed),
@@ -66,23 +66,25 @@
     return recovered
 
 
-async def ask_and_fence(context: Context, workers: list[HostEntry]) -> Held:
+async def fence_workers(
+    context: Context, workers: list[HostEntry]
+) -> WorkerLeases:
     """Raise the epoch on each worker and learn its leases in one call."""
-    bound = asyncio.Semaphore(PARALLEL_CALLS)
-    answers = await asyncio.gather(
-        *(_fence(context, entry, bound) for entry in workers),
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_CALLS)
+    replies = await asyncio.gather(
+        *(_fence(context, entry, semaphore) for entry in workers),
     )
     leases: dict[str, dict[AttemptId, LeaseReport]] = {}
-    silent: set[str] = set()
-    for entry, answer in zip(workers, answers, strict=True):
-        if answer is None:
-            silent.add(entry.host)
+    unresponsive: set[str] = set()
+    for entry, reply in zip(workers, replies, strict=True):
+        if reply is None:
+            unresponsive.add(entry.host)
         else:
-            leases[entry.host] = {lease.attempt_id: lease for lease in answer}
-    return Held(leases=leases, silent=frozenset(silent))
+            leases[entry.host] = {lease.attempt_id: lease for lease in reply}
+    return WorkerLeases(leases=leases, unresponsive=frozenset(unresponsive))
 
 
-def member_states(stored: Stored, held: Held) -> dict[str, str]:
+def member_states(stored: Stored, held: WorkerLeases) -> dict[str, str]:
     """Return the state of each member as far as its worker said.
 
     A member on a silent worker counts as running: its watch finds out, and
@@ -90,7 +92,7 @@
     """
     states: dict[str, str] = {}
     for member in stored.job.members:
-        if member.worker in held.silent:
+        if member.worker in held.unresponsive:
             states[member.worker] = RUNNING
             continue
         leases = held.leases.get(member.worker, {})
@@ -100,7 +102,9 @@
     return states
 
 
-def _adopt(term: Term, stored_jobs: list[Stored], held: Held) -> set[AttemptId]:
+def _restore_jobs(
+    term: Term, stored_jobs: list[Stored], held: WorkerLeases
+) -> set[AttemptId]:
     """Queue what waits and go on with what was marked; return the latter."""
     resumed: set[AttemptId] = set()
     for stored in stored_jobs:
@@ -112,7 +116,9 @@
     return resumed
 
 
-def _release_orphans(term: Term, resumed: set[AttemptId], held: Held) -> int:
+def _release_orphans(
+    term: Term, resumed: set[AttemptId], held: WorkerLeases
+) -> int:
     orphans = [
         (worker, lease)
         for worker, leases in held.leases.items()
@@ -127,9 +133,9 @@
 async def _fence(
     context: Context,
     entry: HostEntry,
-    bound: asyncio.Semaphore,
+    semaphore: asyncio.Semaphore,
 ) -> tuple[LeaseReport, ...] | None:
-    async with bound:
+    async with semaphore:
         client = context.worker_at(entry.address)
         try:
             return await client.fence(context.election.token)
@@ -139,4 +145,10 @@
             return None
 
 
-__all__ = ('Held', 'Recovered', 'ask_and_fence', 'member_states', 'recover')
+__all__ = (
+    'Recovered',
+    'WorkerLeases',
+    'fence_workers',
+    'member_states',
+    'recover',
+)
--- a/src/curranthill/scheduler/reservation_windows.py
+++ b/src/curranthill/scheduler/reservation_windows.py
@@ -15,7 +15,7 @@
 WINDOW_FACTOR: Final = 2.0
 
 
-class _Turn(NamedTuple):
+class _Window(NamedTuple):
     """A time for which a worker is kept; a pause as long follows.
 
     :param since_s: its start, in monotonic seconds.
@@ -24,7 +24,7 @@
     since_s: float
     length_s: float
 
-    def pauses(self, now_s: float) -> bool:
+    def in_cooldown(self, now_s: float) -> bool:
         """Return whether the worker has been kept for long enough."""
         return now_s - self.since_s >= self.length_s
 
@@ -38,12 +38,14 @@
 
     def __init__(self) -> None:
         """Start with no worker kept."""
-        self._turns: dict[str, _Turn] = {}
+        self._windows: dict[str, _Window] = {}
 
-    def pausing(self, now_s: float) -> frozenset[str]:
+    def cooling_down(self, now_s: float) -> frozenset[str]:
         """Return the workers that may not be kept now."""
         return frozenset(
-            name for name, turn in self._turns.items() if turn.pauses(now_s)
+            name
+            for name, window in self._windows.items()
+            if window.in_cooldown(now_s)
         )
 
     def begin(
@@ -58,19 +60,19 @@
         """
         length_s = max(MIN_WINDOW_S, WINDOW_FACTOR * wait_s)
         for name in workers:
-            self._turns.setdefault(name, _Turn(now_s, length_s))
+            self._windows.setdefault(name, _Window(now_s, length_s))
 
     def end(self, workers: Iterable[str]) -> None:
         """Let workers be kept anew: their gang has started there."""
         for name in workers:
-            self._turns.pop(name, None)
+            self._windows.pop(name, None)
 
-    def forget_except(self, kept: frozenset[str], now_s: float) -> None:
+    def drop_except(self, kept: frozenset[str], now_s: float) -> None:
         """Drop the turns that are over, and of workers kept no more."""
-        for name, turn in list(self._turns.items()):
-            idle = name not in kept and not turn.pauses(now_s)
-            if idle or turn.is_over(now_s):
-                self._turns.pop(name)
+        for name, window in list(self._windows.items()):
+            unused = name not in kept and not window.in_cooldown(now_s)
+            if unused or window.is_over(now_s):
+                self._windows.pop(name)
 
 
 __all__ = ('MIN_WINDOW_S', 'WINDOW_FACTOR', 'WorkerReservationWindows')
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -6,14 +6,14 @@
 from curranthill.jobs import Job, Member
 from curranthill.scheduler.cluster import Rack, WorkerState
 from curranthill.scheduler.reservation_windows import WorkerReservationWindows
-from curranthill.scheduler.search import Barred
+from curranthill.scheduler.search import ExcludedWorkers
 from curranthill.scheduler.state import SchedulerState
 
 #: The most jobs for which workers are kept at the same time.
-MOST_KEPT = 4
+MAX_RESERVATIONS = 4
 
 #: The part of the workers that stays open beside the first reservation.
-OPEN_SHARE = 0.75
+MIN_UNRESERVED_SHARE = 0.75
 
 _NEVER = float('inf')
 
@@ -43,85 +43,96 @@
 
     def __init__(self) -> None:
         """Start with no worker kept."""
-        self._kept: dict[str, Reservation] = {}
-        self._turns = WorkerReservationWindows()
+        self._reservations: dict[str, Reservation] = {}
+        self._windows = WorkerReservationWindows()
 
     @property
     def full(self) -> bool:
         """Return whether no more jobs can be given workers."""
-        return len(self._kept) >= MOST_KEPT
+        return len(self._reservations) >= MAX_RESERVATIONS
 
     def clear(self, now_s: float) -> None:
         """Keep no worker any more."""
-        kept = [one.workers for one in self._kept.values()]
-        self._turns.forget_except(frozenset().union(*kept), now_s)
-        self._kept.clear()
+        reserved = [one.workers for one in self._reservations.values()]
+        self._windows.drop_except(frozenset().union(*reserved), now_s)
+        self._reservations.clear()
 
-    def started(self, job_id: str, members: Iterable[Member]) -> None:
+    def on_placed(self, job_id: str, members: Iterable[Member]) -> None:
         """Keep no worker any more for a job that has a place now."""
-        reservation = self._kept.pop(job_id, None)
+        reservation = self._reservations.pop(job_id, None)
         if reservation is not None:
             used = {member.worker for member in members}
-            self._turns.end(reservation.workers & used)
+            self._windows.end(reservation.workers & used)
 
     def get(self, job_id: str) -> Reservation | None:
         """Return what is kept for a job."""
-        return self._kept.get(job_id)
+        return self._reservations.get(job_id)
 
-    def keep_for(self, state: SchedulerState, job: Job, now_s: float) -> None:
+    def reserve_for(
+        self, state: SchedulerState, job: Job, now_s: float
+    ) -> None:
         """Keep the workers on which a job will fit first, if any are left."""
-        taken = self.barred(self._kept)
-        closed = _with_workers(state, taken, self._turns.pausing(now_s))
+        reserved_workers = self.reserved_workers(self._reservations)
+        excluded = _with_workers(
+            state, reserved_workers, self._windows.cooling_down(now_s)
+        )
         best: Reservation | None = None
         for name, rack in state.cluster.racks.items():
-            found = _in_rack(state, rack, job, closed.get(name))
+            found = _in_rack(state, rack, job, excluded.get(name))
             if found and (best is None or found.until_s < best.until_s):
                 best = found
         if best is None or best.until_s == _NEVER:
             return
-        kept = sum(len(workers) for workers in taken.values())
-        open_after = len(state.cluster.workers) - kept - len(best.workers)
-        if not self._kept or open_after >= OPEN_SHARE * len(
-            state.cluster.workers,
+        reserved = sum(len(workers) for workers in reserved_workers.values())
+        unreserved_after = (
+            len(state.cluster.workers) - reserved - len(best.workers)
+        )
+        if (
+            not self._reservations
+            or unreserved_after
+            >= MIN_UNRESERVED_SHARE
+            * len(
+                state.cluster.workers,
+            )
         ):
             until_s = max(now_s, best.until_s)
-            self._kept[job.job_id] = best._replace(until_s=until_s)
-            self._turns.begin(best.workers, now_s, until_s - now_s)
+            self._reservations[job.job_id] = best._replace(until_s=until_s)
+            self._windows.begin(best.workers, now_s, until_s - now_s)
 
-    def before(
+    def blocking_jobs(
         self,
         state: SchedulerState,
         job: Job,
         now_s: float,
     ) -> frozenset[str]:
         """Return the jobs whose kept workers a job may not use."""
-        if not self._kept:
+        if not self._reservations:
             return frozenset()
-        ends_s = now_s + state.run_time_s(job)
+        end_s = now_s + state.run_time_s(job)
         return frozenset(
             job_id
-            for job_id, reservation in self._kept.items()
-            if job_id != job.job_id and ends_s > reservation.until_s
+            for job_id, reservation in self._reservations.items()
+            if job_id != job.job_id and end_s > reservation.until_s
         )
 
-    def barred(self, before: Iterable[str]) -> Barred:
+    def reserved_workers(self, blocking_jobs: Iterable[str]) -> ExcludedWorkers:
         """Return the workers that are kept for some jobs, by rack."""
-        barred: dict[str, frozenset[str]] = {}
-        for job_id in before:
-            reservation = self._kept[job_id]
-            others = barred.get(reservation.rack, frozenset())
-            barred[reservation.rack] = others | reservation.workers
-        return barred
+        excluded: dict[str, frozenset[str]] = {}
+        for job_id in blocking_jobs:
+            reservation = self._reservations[job_id]
+            others = excluded.get(reservation.rack, frozenset())
+            excluded[reservation.rack] = others | reservation.workers
+        return excluded
 
 
 def _with_workers(
     state: SchedulerState,
-    barred: Barred,
+    excluded: ExcludedWorkers,
     names: Iterable[str],
-) -> Barred:
+) -> ExcludedWorkers:
     """Return barred workers, by rack, with some more of them."""
     workers = state.cluster.workers
-    more = dict(barred)
+    more = dict(excluded)
     for worker in filter(None, map(workers.get, names)):
         others = more.get(worker.rack, frozenset())
         more[worker.rack] = others | {worker.name}
@@ -132,21 +143,21 @@
     state: SchedulerState,
     rack: Rack,
     job: Job,
-    closed: frozenset[str] | None,
+    excluded: frozenset[str] | None,
 ) -> Reservation | None:
     """Return the workers of a rack on which a job would fit first."""
-    memo_key = (job.slots, job.adjacent)
-    if closed is None and memo_key in rack.memo:
-        found: Reservation | None = rack.memo[memo_key]
+    cache_key = (job.slots, job.adjacent)
+    if excluded is None and cache_key in rack.cache:
+        found: Reservation | None = rack.cache[cache_key]
         return found and found._replace(job_id=job.job_id)
-    able = [
+    eligible = [
         worker
         for worker in rack.workers
-        if worker.usable and not (closed and worker.name in closed)
+        if worker.usable and not (excluded and worker.name in excluded)
     ]
-    found = _first_fitting(state, rack, job, able)
-    if closed is None:
-        rack.memo[memo_key] = found
+    found = _first_fitting(state, rack, job, eligible)
+    if excluded is None:
+        rack.cache[cache_key] = found
     return found
 
 
@@ -154,36 +165,36 @@
     state: SchedulerState,
     rack: Rack,
     job: Job,
-    able: list[WorkerState],
+    eligible: list[WorkerState],
 ) -> Reservation | None:
-    widest = max((worker.unguaranteed for worker in able), default=0)
-    if job.slots <= widest:
+    max_on_worker = max((worker.unguaranteed for worker in eligible), default=0)
+    if job.slots <= max_on_worker:
         until_s, name = min(
-            (_has_free_at_s(state, worker, job.slots), worker.name)
-            for worker in able
+            (_free_at_s(state, worker, job.slots), worker.name)
+            for worker in eligible
             if worker.unguaranteed >= job.slots
         )
         return Reservation(job.job_id, rack.name, frozenset((name,)), until_s)
-    total = sum(worker.unguaranteed for worker in able)
+    total = sum(worker.unguaranteed for worker in eligible)
     if job.adjacent == 'worker' or total < job.slots:
         return None
-    return _whole_workers(state, rack, job, able)
+    return _whole_workers(state, rack, job, eligible)
 
 
 def _whole_workers(
     state: SchedulerState,
     rack: Rack,
     job: Job,
-    able: list[WorkerState],
+    eligible: list[WorkerState],
 ) -> Reservation | None:
     """Take the workers that are wholly free first until they are enough."""
     times = sorted(
         (
-            _has_free_at_s(state, worker, worker.unguaranteed),
+            _free_at_s(state, worker, worker.unguaranteed),
             worker.name,
             worker.unguaranteed,
         )
-        for worker in able
+        for worker in eligible
     )
     names: list[str] = []
     missing = job.slots
@@ -191,12 +202,12 @@
         names.append(name)
         missing -= capacity
         if missing <= 0:
-            kept = frozenset(names)
-            return Reservation(job.job_id, rack.name, kept, until_s)
+            reserved = frozenset(names)
+            return Reservation(job.job_id, rack.name, reserved, until_s)
     return None
 
 
-def _has_free_at_s(
+def _free_at_s(
     state: SchedulerState,
     worker: WorkerState,
     slots: int,
@@ -205,11 +216,11 @@
     free = worker.free
     if free >= slots:
         return 0
-    for end_s, freed in state.ends_on(worker):
+    for end_s, freed in state.expected_ends_on(worker):
         free += freed
         if free >= slots:
             return end_s
     return _NEVER
 
 
-__all__ = ('MOST_KEPT', 'Reservation', 'Reservations')
+__all__ = ('MAX_RESERVATIONS', 'Reservation', 'Reservations')
--- a/src/curranthill/scheduler/roster.py
+++ b/src/curranthill/scheduler/roster.py
@@ -51,17 +51,17 @@
             on_contact=self._on_contact,
         )
         self._on_change = on_change
-        self._begun = False
-        self._silent: set[str] = set()
+        self._polling = False
+        self._unresponsive: set[str] = set()
         # Each source is followed by itself: the host list lags behind what
         # a worker says, and neither takes back what an operator said.
-        self._listed_leaving: set[str] = set()
-        self._says_leaving: set[str] = set()
+        self._listed_draining: set[str] = set()
+        self._reported_draining: set[str] = set()
         self._drained: set[str] = set()
 
     def begin(self) -> None:
         """Poll all workers from now on."""
-        self._begun = True
+        self._polling = True
         for watch in self.watches.values():
             self._spawn(watch.run())
 
@@ -72,21 +72,21 @@
         for entry in entries:
             if entry.host not in cluster.workers:
                 self._add(entry)
-            _mark(self._listed_leaving, entry.host, entry.leaving)
+            _set_membership(self._listed_draining, entry.host, entry.leaving)
         for name, worker in list(cluster.workers.items()):
             if name not in listed and not worker.jobs:
                 self._remove(name)
-        self.judge()
+        self.refresh_usable()
 
     def drain(self, name: str) -> bool:
         """Place no new work on a worker; return whether it is known."""
         if name not in self._state.cluster.workers:
             return False
         self._drained.add(name)
-        self.judge()
+        self.refresh_usable()
         return True
 
-    def judge(self) -> None:
+    def refresh_usable(self) -> None:
         """Say which workers may take work, and plan promises anew."""
         changed = False
         for worker in self._state.cluster.workers.values():
@@ -103,25 +103,25 @@
             self._state.plan.repair()
             self._on_change()
 
-    def failed(self, worker: str, job_id: str) -> None:
+    def record_failure(self, worker: str, job_id: str) -> None:
         """Count a task's failure against its worker."""
-        if self.health.failed(worker, job_id):
+        if self.health.record_failure(worker, job_id):
             logger.bind(step='health', peer=worker).warning(
                 '{} is quarantined: different jobs fail on it',
                 worker,
             )
-            self.judge()
+            self.refresh_usable()
 
     def _is_usable(self, worker: WorkerState) -> bool:
         reasons = (
-            self._silent,
-            self._listed_leaving,
-            self._says_leaving,
+            self._unresponsive,
+            self._listed_draining,
+            self._reported_draining,
             self._drained,
         )
         if any(worker.name in names for names in reasons):
             return False
-        return not self.health.quarantined(worker.name)
+        return not self.health.is_quarantined(worker.name)
 
     def _add(self, entry: HostEntry) -> None:
         self._state.cluster.add(
@@ -139,7 +139,7 @@
             listener=self._listener,
         )
         self.watches[entry.host] = watch
-        if self._begun:
+        if self._polling:
             self._spawn(watch.run())
 
     def _remove(self, name: str) -> None:
@@ -150,22 +150,24 @@
         watch = self.watches.pop(name, None)
         if watch is not None:
             watch.close()
-        self._silent.discard(name)
-        self._listed_leaving.discard(name)
-        self._says_leaving.discard(name)
+        self._unresponsive.discard(name)
+        self._listed_draining.discard(name)
+        self._reported_draining.discard(name)
         self._drained.discard(name)
 
-    def _on_contact(self, worker: str, answers: bool, leaving: bool) -> None:
-        changed = _mark(self._silent, worker, not answers)
-        if answers:
-            changed |= _mark(self._says_leaving, worker, leaving)
+    def _on_contact(self, worker: str, responds: bool, draining: bool) -> None:
+        changed = _set_membership(self._unresponsive, worker, not responds)
+        if responds:
+            changed |= _set_membership(
+                self._reported_draining, worker, draining
+            )
         if changed:
-            self.judge()
+            self.refresh_usable()
 
 
-def _mark(names: set[str], name: str, is_in: bool) -> bool:
+def _set_membership(names: set[str], name: str, included: bool) -> bool:
     """Have a name in a set or not; return whether that is a change."""
-    if (name in names) == is_in:
+    if (name in names) == included:
         return False
     names.symmetric_difference_update((name,))
     return True
--- a/src/curranthill/scheduler/search.py
+++ b/src/curranthill/scheduler/search.py
@@ -5,24 +5,29 @@
 
 from curranthill.configuration import ANYWHERE, ON_WORKER, Adjacency
 from curranthill.jobs import Member
-from curranthill.scheduler.cluster import Cluster, Rack, Room, WorkerState
+from curranthill.scheduler.cluster import (
+    CapacityKind,
+    Cluster,
+    Rack,
+    WorkerState,
+)
 
 #: Workers that a search may not use, by rack.
-Barred = Mapping[str, frozenset[str]]
-NOBODY: Barred = MappingProxyType({})
+ExcludedWorkers = Mapping[str, frozenset[str]]
+NONE_EXCLUDED: ExcludedWorkers = MappingProxyType({})
 
 #: A price of using a worker, which goes before how well the shape fits.
-Price = Callable[[WorkerState], float]
+Cost = Callable[[WorkerState], float]
 
 
 def find_place(  # noqa: WPS211
     cluster: Cluster,
     slots: int,
     adjacent: Adjacency,
-    room: Room,
+    kind: CapacityKind,
     *,
-    barred: Barred = NOBODY,
-    price: Price | None = None,
+    excluded: ExcludedWorkers = NONE_EXCLUDED,
+    cost: Cost | None = None,
 ) -> tuple[Member, ...] | None:
     """Return members for a shape, or nothing if it does not fit now.
 
@@ -34,36 +39,42 @@
     :param barred: workers that are kept for other jobs.
     :param price: goes before the fit, if given.
     """
-    if not may_fit(cluster, slots, adjacent, room):
+    if not may_fit(cluster, slots, adjacent, kind):
         return None
-    racks = [rack for name, rack in cluster.racks.items() if name not in barred]
-    price = price or _free_of_charge
-    wide = [rack for rack in racks if rack.room(room).widest >= slots]
-    if wide:
-        chosen = min(_best_worker(rack, slots, room, price) for rack in wide)
+    racks = [
+        rack for name, rack in cluster.racks.items() if name not in excluded
+    ]
+    cost = cost or _no_cost
+    racks_with_worker = [
+        rack for rack in racks if rack.capacity(kind).max_on_worker >= slots
+    ]
+    if racks_with_worker:
+        chosen = min(
+            _best_worker(rack, slots, kind, cost) for rack in racks_with_worker
+        )
         return (_member(cluster.workers[chosen[-1]], slots),)
     if adjacent == ON_WORKER:
         return None
-    fitting = [rack for rack in racks if rack.room(room).total >= slots]
+    fitting = [rack for rack in racks if rack.capacity(kind).total >= slots]
     if fitting:
-        rack = min(fitting, key=_rack_order(room, price))
-        return _spread(rack.workers, slots, room, price)
-    total = sum(rack.room(room).total for rack in racks)
+        rack = min(fitting, key=_rack_sort_key(kind, cost))
+        return _spread(rack.workers, slots, kind, cost)
+    total = sum(rack.capacity(kind).total for rack in racks)
     if adjacent != ANYWHERE or total < slots:
         return None
-    everywhere = [worker for rack in racks for worker in rack.workers]
-    return _spread(everywhere, slots, room, price)
+    all_workers = [worker for rack in racks for worker in rack.workers]
+    return _spread(all_workers, slots, kind, cost)
 
 
 def may_fit(
     cluster: Cluster,
     slots: int,
     adjacent: Adjacency,
-    room: Room,
+    kind: CapacityKind,
 ) -> bool:
     """Return whether a shape fits if no rack is barred; cheap to ask."""
-    most = cluster.most(room)
-    if most.widest >= slots:
+    most = cluster.max_capacity(kind)
+    if most.max_on_worker >= slots:
         return True
     if adjacent == ON_WORKER:
         return False
@@ -86,15 +97,15 @@
         groups.append(list(cluster.workers.values()))
     for workers in groups:
         if sum(worker.free for worker in workers) >= slots:
-            return _take_in_order(workers, slots)
+            return _fill_in_order(workers, slots)
     return None
 
 
-def _without(rack: Rack, barred: frozenset[str]) -> Rack:
+def _without(rack: Rack, excluded: frozenset[str]) -> Rack:
     """Return a rack as if some of its workers were not there."""
     rest = Rack(name=rack.name)
     rest.workers = [
-        worker for worker in rack.workers if worker.name not in barred
+        worker for worker in rack.workers if worker.name not in excluded
     ]
     return rest
 
@@ -102,60 +113,60 @@
 def _best_worker(
     rack: Rack,
     slots: int,
-    room: Room,
-    price: Price,
+    kind: CapacityKind,
+    cost: Cost,
 ) -> tuple[float, int, int, str]:
     """Return the key of the rack's worker that fits best, its name last."""
-    total = rack.room(room).total
+    total = rack.capacity(kind).total
     return min(
-        (price(worker), worker.room(room), total, worker.name)
+        (cost(worker), worker.capacity(kind), total, worker.name)
         for worker in rack.workers
-        if worker.room(room) >= slots
+        if worker.capacity(kind) >= slots
     )
 
 
-def _rack_order(
-    room: Room,
-    price: Price,
+def _rack_sort_key(
+    kind: CapacityKind,
+    cost: Cost,
 ) -> Callable[[Rack], tuple[float, int, str]]:
     """Return what makes one rack better than another for a gang."""
 
-    def order(rack: Rack) -> tuple[float, int, str]:  # noqa: WPS430
-        total_price = sum(price(worker) for worker in rack.workers)
-        return (total_price, rack.room(room).total, rack.name)
+    def sort_key(rack: Rack) -> tuple[float, int, str]:  # noqa: WPS430
+        total_cost = sum(cost(worker) for worker in rack.workers)
+        return (total_cost, rack.capacity(kind).total, rack.name)
 
-    return order
+    return sort_key
 
 
 def _spread(
     workers: Iterable[WorkerState],
     slots: int,
-    room: Room,
-    price: Price,
+    kind: CapacityKind,
+    cost: Cost,
 ) -> tuple[Member, ...]:
     """Take the emptiest workers whole, the last part where it fits best.
 
     The caller has seen that there is room enough.
     """
-    rooms = sorted(
-        (price(worker), -worker.room(room), worker.name, worker)
+    candidates = sorted(
+        (cost(worker), -worker.capacity(kind), worker.name, worker)
         for worker in workers
     )
     members: list[Member] = []
-    while rooms and -rooms[0][1] < slots:
-        _, less, _, worker = rooms.pop(0)
-        if less:
-            members.append(_member(worker, -less))
-            slots += less
+    while candidates and -candidates[0][1] < slots:
+        _, negative_slots, _, worker = candidates.pop(0)
+        if negative_slots:
+            members.append(_member(worker, -negative_slots))
+            slots += negative_slots
     last = min(
-        (cost, -less, name, worker)
-        for cost, less, name, worker in rooms
-        if -less >= slots
+        (worker_cost, -negative_slots, name, worker)
+        for worker_cost, negative_slots, name, worker in candidates
+        if -negative_slots >= slots
     )[-1]
     return (*members, _member(last, slots))
 
 
-def _take_in_order(
+def _fill_in_order(
     workers: Iterable[WorkerState],
     slots: int,
 ) -> tuple[Member, ...]:
@@ -172,14 +183,14 @@
     return Member(worker=worker.name, address=worker.address, slots=slots)
 
 
-def _free_of_charge(worker: WorkerState) -> float:
+def _no_cost(worker: WorkerState) -> float:
     return 0
 
 
 __all__ = (
-    'NOBODY',
-    'Barred',
-    'Price',
+    'NONE_EXCLUDED',
+    'Cost',
+    'ExcludedWorkers',
     'find_place',
     'first_fit',
     'may_fit',
--- a/src/curranthill/scheduler/service.py
+++ b/src/curranthill/scheduler/service.py
@@ -57,7 +57,7 @@
         """Take in a gateway's demand; answer with its allotment."""
         request = await stream.recv_message()
         term = self._term()
-        term.quick.report(request.gateway, request.most_in_flight)
+        term.quick.record_demand(request.gateway, request.most_in_flight)
         await stream.send_message(self._allot(term, request.gateway))
 
     async def Explain(self, stream: Any) -> None:  # noqa: N802
--- a/src/curranthill/scheduler/state.py
+++ b/src/curranthill/scheduler/state.py
@@ -9,7 +9,7 @@
 from curranthill.jobs import Job, Member
 from curranthill.membership import Load
 from curranthill.scheduler.cluster import Allocation, Cluster, WorkerState
-from curranthill.scheduler.estimates import Estimates
+from curranthill.scheduler.estimates import RunTimeEstimates
 from curranthill.scheduler.guarantees import GuaranteePlan, GuaranteeUnit
 
 
@@ -39,7 +39,7 @@
 
     job: Job
     members: tuple[Member, ...]
-    hard: bool
+    non_preemptible: bool
     guaranteed: bool
     since_s: float
     expected_end_s: float
@@ -61,7 +61,7 @@
     reason: str
 
 
-class Form(NamedTuple):
+class FitClass(NamedTuple):
     """What two waiting jobs must share to fit or not fit together."""
 
     slots: int
@@ -69,15 +69,17 @@
     preemptible: bool
 
 
-class Queue:
+class JobQueue:
     """Waiting jobs in lines of one workspace and shape, oldest first."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._keys: dict[str, ShapeKey] = {}
-        self._lines: dict[ShapeKey, deque[WaitingJob]] = {}
-        self._by_form: dict[Form, dict[ShapeKey, deque[WaitingJob]]] = {}
-        self._by_pair: dict[tuple[str, str], set[ShapeKey]] = {}
+        self._subqueues: dict[ShapeKey, deque[WaitingJob]] = {}
+        self._by_fit_class: dict[
+            FitClass, dict[ShapeKey, deque[WaitingJob]]
+        ] = {}
+        self._by_shape: dict[tuple[str, str], set[ShapeKey]] = {}
 
     def __len__(self) -> int:
         """Return how many jobs wait."""
@@ -89,20 +91,20 @@
 
     def __iter__(self) -> Iterator[WaitingJob]:
         """Yield all waiting jobs."""
-        for line in self._lines.values():
-            yield from line
+        for subqueue in self._subqueues.values():
+            yield from subqueue
 
     def add(self, waiting: WaitingJob) -> None:
         """Let a job wait; one that has waited longer goes before."""
         key = shape_key(waiting.job)
         self._keys[waiting.job.job_id] = key
-        line = self._lines.get(key)
-        if line is None:
-            line = self._open(key)
-        if line and waiting.since_s < line[0].since_s:
-            line.appendleft(waiting)
+        subqueue = self._subqueues.get(key)
+        if subqueue is None:
+            subqueue = self._open(key)
+        if subqueue and waiting.since_s < subqueue[0].since_s:
+            subqueue.appendleft(waiting)
         else:
-            line.append(waiting)
+            subqueue.append(waiting)
 
     def remove(self, job_id: str) -> WaitingJob | None:
         """Take a job out, wherever it stands."""
@@ -110,9 +112,9 @@
         if waiting is None:
             return None
         key = self._keys.pop(job_id)
-        line = self._lines[key]
-        line.remove(waiting)
-        if not line:
+        subqueue = self._subqueues[key]
+        subqueue.remove(waiting)
+        if not subqueue:
             self._close(key)
         return waiting
 
@@ -121,52 +123,56 @@
         key = self._keys.get(job_id)
         if key is None:
             return None
-        line = self._lines[key]
-        return next(one for one in line if one.job.job_id == job_id)
+        subqueue = self._subqueues[key]
+        return next(
+            waiting for waiting in subqueue if waiting.job.job_id == job_id
+        )
 
     def head(self, key: ShapeKey) -> WaitingJob | None:
         """Return the oldest job of one line."""
-        line = self._lines.get(key)
-        return line[0] if line else None
+        subqueue = self._subqueues.get(key)
+        return subqueue[0] if subqueue else None
 
     def heads(self) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest job of each line."""
-        return [(key, line[0]) for key, line in self._lines.items()]
+        return [(key, subqueue[0]) for key, subqueue in self._subqueues.items()]
 
-    def forms(self) -> list[Form]:
+    def fit_classes(self) -> list[FitClass]:
         """Return the forms of which jobs wait."""
-        return list(self._by_form)
+        return list(self._by_fit_class)
 
-    def heads_of_form(self, form: Form) -> list[tuple[ShapeKey, WaitingJob]]:
+    def heads_of_fit_class(
+        self, fit_class: FitClass
+    ) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest job of each line of a form."""
-        lines = self._by_form.get(form, {})
-        return [(key, line[0]) for key, line in lines.items()]
+        subqueues = self._by_fit_class.get(fit_class, {})
+        return [(key, subqueue[0]) for key, subqueue in subqueues.items()]
 
-    def heads_of_pair(
+    def heads_of_shape(
         self,
         workspace: str,
         shape: str,
     ) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest jobs of a workspace and shape."""
-        keys = self._by_pair.get((workspace, shape), ())
-        return [(key, self._lines[key][0]) for key in keys]
+        keys = self._by_shape.get((workspace, shape), ())
+        return [(key, self._subqueues[key][0]) for key in keys]
 
     def _open(self, key: ShapeKey) -> deque[WaitingJob]:
-        line: deque[WaitingJob] = deque()
-        self._lines[key] = line
-        self._by_form.setdefault(form_of(key), {})[key] = line
-        self._by_pair.setdefault((key.workspace, key.shape), set()).add(key)
-        return line
+        subqueue: deque[WaitingJob] = deque()
+        self._subqueues[key] = subqueue
+        self._by_fit_class.setdefault(fit_class_of(key), {})[key] = subqueue
+        self._by_shape.setdefault((key.workspace, key.shape), set()).add(key)
+        return subqueue
 
     def _close(self, key: ShapeKey) -> None:
-        self._lines.pop(key)
-        form, pair = form_of(key), (key.workspace, key.shape)
-        self._by_form[form].pop(key)
-        if not self._by_form[form]:
-            self._by_form.pop(form)
-        self._by_pair[pair].discard(key)
-        if not self._by_pair[pair]:
-            self._by_pair.pop(pair)
+        self._subqueues.pop(key)
+        fit_class, shape = fit_class_of(key), (key.workspace, key.shape)
+        self._by_fit_class[fit_class].pop(key)
+        if not self._by_fit_class[fit_class]:
+            self._by_fit_class.pop(fit_class)
+        self._by_shape[shape].discard(key)
+        if not self._by_shape[shape]:
+            self._by_shape.pop(shape)
 
 
 class SchedulerState:
@@ -180,39 +186,45 @@
         """Start empty."""
         self.cluster = Cluster()
         self.plan = GuaranteePlan(cluster=self.cluster)
-        self.queue = Queue()
-        self.estimates = Estimates()
+        self.queue = JobQueue()
+        self.estimates = RunTimeEstimates()
         self.placed: dict[str, PlacedJob] = {}
         #: Slots that each workspace holds beyond its guarantees.
         self.borrowed: dict[str, int] = {}
         self.weights: dict[str, float] = {}
         self.may_borrow: dict[str, bool] = {}
-        self._ends: dict[str, list[tuple[float, int]]] = {}
+        self._expected_ends: dict[str, list[tuple[float, int]]] = {}
 
     def place(  # noqa: WPS211
         self,
         waiting: WaitingJob,
         members: tuple[Member, ...],
         *,
-        hard: bool,
+        non_preemptible: bool,
         now_s: float,
         reason: str,
         unit: GuaranteeUnit | None = None,
         victims: Iterable[str] = (),
     ) -> Decision:
         """Give a waiting job a place; its victims lose theirs."""
-        stopped = tuple(victims)
-        for victim in stopped:
+        preempted = tuple(victims)
+        for victim in preempted:
             self.release(victim)
         job = waiting.job
         self.queue.remove(job.job_id)
         if unit is not None:
             self.plan.use(unit, job.job_id)
-        self._hold(job, members, hard=hard, unit=unit, now_s=now_s)
+        self._allocate(
+            job,
+            members,
+            non_preemptible=non_preemptible,
+            unit=unit,
+            now_s=now_s,
+        )
         return Decision(
             job=job,
             members=members,
-            victims=stopped,
+            victims=preempted,
             guaranteed=unit is not None,
             reason=reason,
         )
@@ -225,8 +237,14 @@
         unit = self.plan.free_unit(job.workspace, job.shape)
         if unit is not None:
             self.plan.use(unit, job.job_id)
-        hard = unit is not None or not job.preemptible
-        self._hold(job, job.members, hard=hard, unit=unit, now_s=now_s)
+        non_preemptible = unit is not None or not job.preemptible
+        self._allocate(
+            job,
+            job.members,
+            non_preemptible=non_preemptible,
+            unit=unit,
+            now_s=now_s,
+        )
 
     def release(self, job_id: str) -> PlacedJob | None:
         """Take a job's place away; one without a place is no error."""
@@ -234,13 +252,13 @@
         if placed is None:
             return None
         self.cluster.release(job_id)
-        self._forget_ends(placed.members)
+        self._invalidate_expected_ends(placed.members)
         if placed.guaranteed:
-            self.plan.give_back(job_id, placed.members)
+            self.plan.return_unit(job_id, placed.members)
         else:
             self.borrowed[placed.job.workspace] -= placed.job.slots
-        if placed.hard and self.plan.at_risk:
-            self.plan.place_missing()
+        if placed.non_preemptible and self.plan.at_risk:
+            self.plan.plan_missing()
         return placed
 
     def load(self) -> Load:
@@ -248,23 +266,23 @@
         workers = self.cluster.workers.values()
         return Load(
             free_slots=sum(worker.free for worker in workers),
-            widest_free=self.cluster.most('free').total,
+            widest_free=self.cluster.max_capacity('free').total,
             waiting_slots=sum(waiting.job.slots for waiting in self.queue),
         )
 
-    def ends_on(self, worker: WorkerState) -> list[tuple[float, int]]:
+    def expected_ends_on(self, worker: WorkerState) -> list[tuple[float, int]]:
         """Return when slots of a worker are expected free, soonest first."""
-        known = self._ends.get(worker.name)
-        if known is None:
-            here = [self.placed[job_id] for job_id in worker.jobs]
-            known = sorted(
+        ends = self._expected_ends.get(worker.name)
+        if ends is None:
+            placed_here = [self.placed[job_id] for job_id in worker.jobs]
+            ends = sorted(
                 (placed.expected_end_s, member.slots)
-                for placed in here
+                for placed in placed_here
                 for member in placed.members
                 if member.worker == worker.name
             )
-            self._ends[worker.name] = known
-        return known
+            self._expected_ends[worker.name] = ends
+        return ends
 
     def run_time_s(self, job: Job) -> float:
         """Return how long a job is expected to run at the most, mostly."""
@@ -274,25 +292,25 @@
             job.run_time_s,
         )
 
-    def _forget_ends(self, members: Iterable[Member]) -> None:
+    def _invalidate_expected_ends(self, members: Iterable[Member]) -> None:
         for member in members:
-            self._ends.pop(member.worker, None)
+            self._expected_ends.pop(member.worker, None)
 
-    def _hold(
+    def _allocate(
         self,
         job: Job,
         members: tuple[Member, ...],
         *,
-        hard: bool,
+        non_preemptible: bool,
         unit: GuaranteeUnit | None,
         now_s: float,
     ) -> None:
-        self._forget_ends(members)
+        self._invalidate_expected_ends(members)
         self.cluster.allocate(
             Allocation(
                 job_id=job.job_id,
                 members=members,
-                hard=hard,
+                non_preemptible=non_preemptible,
                 guaranteed=unit is not None,
             ),
         )
@@ -302,16 +320,16 @@
         self.placed[job.job_id] = PlacedJob(
             job=job,
             members=members,
-            hard=hard,
+            non_preemptible=non_preemptible,
             guaranteed=unit is not None,
             since_s=now_s,
             expected_end_s=now_s + self.run_time_s(job),
         )
 
 
-def form_of(key: ShapeKey) -> Form:
+def fit_class_of(key: ShapeKey) -> FitClass:
     """Return the form of a line's jobs."""
-    return Form(
+    return FitClass(
         slots=key.slots,
         adjacent=key.adjacent,
         preemptible=key.preemptible,
@@ -332,11 +350,11 @@
 __all__ = (
     'SchedulerState',
     'Decision',
-    'Form',
+    'FitClass',
     'PlacedJob',
-    'Queue',
+    'JobQueue',
     'ShapeKey',
     'WaitingJob',
-    'form_of',
+    'fit_class_of',
     'shape_key',
 )
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -63,7 +63,7 @@
         self.quick = QuickReserve(
             state=self.state,
             clock=context.clock,
-            least=context.placement.quick_slots,
+            min_slots=context.placement.quick_slots,
         )
         self._offload = Offload(
             state=self.state,
@@ -91,7 +91,7 @@
         self._loader = RowLoader(
             store=context.store,
             spawn=self._spawn,
-            take=self._take_row,
+            on_row=self._process_row,
         )
 
     async def close(self) -> None:
@@ -145,7 +145,7 @@
     async def scan(self) -> None:
         """Read all open rows, for jobs of which no news arrived."""
         for stored in await self._context.store.scan_open(self._data_centre):
-            self._take_row(stored)
+            self._process_row(stored)
 
     def resume(self, stored: Stored, states: dict[str, str]) -> None:
         """Go on with an attempt that an earlier leader had marked."""
@@ -174,14 +174,14 @@
         """Give back a lease that no job of this term has."""
         self._spawn(self._release(worker, lease.attempt_id))
 
-    def _on_member(self, news: MemberUpdate) -> bool:
-        gang = self.gangs.get(news.attempt_id.job)
-        if gang is None or gang.attempt_id != news.attempt_id:
+    def _on_member(self, update: MemberUpdate) -> bool:
+        gang = self.gangs.get(update.attempt_id.job)
+        if gang is None or gang.attempt_id != update.attempt_id:
             return False
-        gang.on_news(news)
+        gang.on_update(update)
         return True
 
-    def _take_row(self, stored: Stored) -> None:
+    def _process_row(self, stored: Stored) -> None:
         job = stored.job
         gang = self.gangs.get(job.job_id)
         if gang is not None:
@@ -196,9 +196,9 @@
     async def _tick(self) -> None:
         while True:
             await self._context.clock.sleep(TICK_S)
-            self.roster.judge()
-            self.quick.give_way(
-                wanted=bool(self._neighbours()) and self._rack_is_wanted(),
+            self.roster.refresh_usable()
+            self.quick.set_yielding(
+                wanted=bool(self._neighbours()) and self._full_rack_is_wanted(),
             )
             self._preempt(self.quick.adjust(), 'for quick work')
             for move in self._offload.choose():
@@ -225,7 +225,7 @@
             return
         self._notify_moved(move.data_centre, job_id)
 
-    def _rack_is_wanted(self) -> bool:
+    def _full_rack_is_wanted(self) -> bool:
         """Return whether a job wants a rack that the reserve stands in.
 
         Such a job can only run while no slot is kept for quick work, which
@@ -238,10 +238,10 @@
             ),
             default=0,
         )
-        most_beside = widest - self.quick.least
+        max_beside_reserve = widest - self.quick.min_slots
         wanted = [key.slots for key, _ in self.state.queue.heads()]
         wanted.extend(placed.job.slots for placed in self.state.placed.values())
-        return most_beside < max(wanted, default=0) <= widest
+        return max_beside_reserve < max(wanted, default=0) <= widest
 
     async def _dispatch(self) -> None:
         while True:
@@ -328,7 +328,7 @@
             return
         self.gangs.pop(job_id, None)
         self.state.release(job_id)
-        self._judge_end(gang, end)
+        self._record_end(gang, end)
         job = end.stored.job
         logger.bind(
             job=job_id,
@@ -356,18 +356,18 @@
                 continue
             if found is None or found.job.state != ACCEPTED:
                 return
-            self._take_row(found)
+            self._process_row(found)
 
-    def _judge_end(self, gang: Gang, end: GangEnd) -> None:
+    def _record_end(self, gang: Gang, end: GangEnd) -> None:
         if end.end == 'failed':
-            self.roster.failed(end.failed_on, gang.attempt_id.job)
+            self.roster.record_failure(end.failed_on, gang.attempt_id.job)
         elif end.end == 'finished':
             for member in gang.members:
-                self.roster.health.succeeded(member.worker)
-            self._learn(end.stored.job)
+                self.roster.health.record_success(member.worker)
+            self._record_run_time(end.stored.job)
 
-    def _learn(self, job: Job) -> None:
-        self.state.estimates.learn(
+    def _record_run_time(self, job: Job) -> None:
+        self.state.estimates.record_run(
             job.workspace,
             job.kind,
             declared_s=job.run_time_s,
--- a/src/curranthill/scheduler/victims.py
+++ b/src/curranthill/scheduler/victims.py
@@ -47,7 +47,7 @@
     return sum(
         placed.lost_work_s(now_s) + placed.job.slots
         for placed in placed_here
-        if not placed.hard
+        if not placed.non_preemptible
     )
 
 
@@ -56,9 +56,13 @@
     worker: WorkerState,
     now_s: float,
 ) -> list[str]:
-    soft = [job_id for job_id in worker.jobs if not state.placed[job_id].hard]
+    preemptible = [
+        job_id
+        for job_id in worker.jobs
+        if not state.placed[job_id].non_preemptible
+    ]
     return sorted(
-        soft,
+        preemptible,
         key=lambda job_id: (
             state.placed[job_id].lost_work_s(now_s),
             state.placed[job_id].job.slots,
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -70,7 +70,7 @@
         self._listener = listener
         self._live: set[AttemptId] = set()
         self._ended: set[AttemptId] = set()
-        self._told: frozenset[AttemptId] | None = None
+        self._last_renewed: frozenset[AttemptId] | None = None
         self._closed = False
         self._last_contact_s = context.clock.monotonic_s()
 
@@ -94,19 +94,19 @@
             try:
                 report = await self._poll(renewed)
             except LastPollForgottenError:
-                self._told = None
+                self._last_renewed = None
                 continue
             except FencedError as error:
                 self._context.election.step_down(error.message)
                 return
             except WorkerError as error:
-                self._silent(error)
+                self._on_no_response(error)
                 await self._context.clock.sleep(_RETRY_S)
                 continue
             self._last_contact_s = self._context.clock.monotonic_s()
             self._listener.on_contact(self.name, True, report.leaving)
-            self._told = renewed
-            self._take(report)
+            self._last_renewed = renewed
+            self._process(report)
             if report.leaving:
                 # A leaving worker answers at once; do not spin.
                 await self._context.clock.sleep(_RETRY_S)
@@ -118,17 +118,17 @@
             self._context.election.token,
             leases.member_term_s,
             leases.poll_wait_s,
-            None if renewed == self._told else tuple(renewed),
+            None if renewed == self._last_renewed else tuple(renewed),
             tuple(self._ended),
         )
 
-    def _take(self, report: WorkerReport) -> None:
+    def _process(self, report: WorkerReport) -> None:
         reported = {lease.attempt_id: lease for lease in report.leases}
         for attempt_id in report.unknown:
             if attempt_id in self._live:
-                self._tell(attempt_id, LOST, 'The worker forgot its lease.')
+                self._report(attempt_id, LOST, 'The worker forgot its lease.')
         for attempt_id, lease in reported.items():
-            news = MemberUpdate(
+            update = MemberUpdate(
                 worker=self.name,
                 attempt_id=attempt_id,
                 state=lease.state,
@@ -138,11 +138,11 @@
             if lease.state in ENDED_STATES:
                 self._live.discard(attempt_id)
                 self._ended.add(attempt_id)
-            if not self._listener.on_member(news):
+            if not self._listener.on_member(update):
                 self._listener.on_orphan(self.name, lease)
         self._ended.intersection_update(reported)
 
-    def _silent(self, error: WorkerError) -> None:
+    def _on_no_response(self, error: WorkerError) -> None:
         silent_s = self._context.clock.monotonic_s() - self._last_contact_s
         logger.bind(step=error.step, peer=self.name).debug(
             'no answer for {:.1f} s: {}',
@@ -154,9 +154,9 @@
         # By now the worker has stopped what it held: the leases lapsed.
         self._listener.on_contact(self.name, False, False)
         for attempt_id in tuple(self._live):
-            self._tell(attempt_id, LOST, 'The worker does not answer.')
+            self._report(attempt_id, LOST, 'The worker does not answer.')
 
-    def _tell(self, attempt_id: AttemptId, state: str, reason: str) -> None:
+    def _report(self, attempt_id: AttemptId, state: str, reason: str) -> None:
         self._live.discard(attempt_id)
         self._listener.on_member(
             MemberUpdate(
--- a/tests/test_own_starvation.py
+++ b/tests/test_own_starvation.py
@@ -9,7 +9,7 @@
 
 #: How long what fits may wait for a gang that waits for overdue work, in
 #: seconds.
-MOST_WAIT_S = 2 * MIN_WINDOW_S
+MAX_WAIT_S = 2 * MIN_WINDOW_S
 
 #: How long a gang may wait once the work that it waits for has ended, in
 #: seconds: small jobs of the stream run on, and a pause may come between.
@@ -35,7 +35,7 @@
         self.state.place(
             wait_on(self.state, job, self.now_s),
             members_on((worker, job.slots)),
-            hard=True,
+            non_preemptible=True,
             now_s=self.now_s,
             reason='test',
         )
@@ -102,7 +102,7 @@
         player = wait_for_overdue(run_s=10.0)
         small = make_job('small', run_time_s=1.0)
         wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
+        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
 
     def test_each_later_job_starts_in_time_as_well(self) -> None:
         """The gang's next turns end, too."""
@@ -111,7 +111,7 @@
             job_id = f'small-{number}'
             small = make_job(job_id, run_time_s=1000.0)
             wait_on(player.state, small, player.now_s)
-            self.assertIsNotNone(player.started_s(job_id, MOST_WAIT_S))
+            self.assertIsNotNone(player.started_s(job_id, MAX_WAIT_S))
             player.state.release(job_id)
 
     def test_gangs_do_not_take_turns_on_the_same_worker(self) -> None:
@@ -123,20 +123,20 @@
             wait_on(player.state, gang, -1000.0)
         small = make_job('small', run_time_s=1000.0)
         wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
+        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
 
     def test_a_long_gang_keeps_workers_for_no_longer(self) -> None:
         """How long it will run does not count, only how long it waits."""
         player = wait_for_overdue(run_s=10.0, gang_s=20.0)
         small = make_job('small', run_time_s=1000.0)
         wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
+        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_before_long_work_starts_beside_it(self) -> None:
         """It ends before the gang is expected to start."""
         player = wait_for_overdue(run_s=9000.0)
         wait_on(player.state, make_job('small', run_time_s=1.0), 400.0)
-        self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
+        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_after_long_work_waits(self) -> None:
         """The worker is kept as long as the estimate holds."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -16,7 +16,11 @@
 from curranthill.configuration import checked
 from curranthill.load import fragmentation
 from curranthill.scheduler import SchedulerState, policies
-from curranthill.scheduler.estimates import QUANTILE, SAMPLES, Estimates
+from curranthill.scheduler.estimates import (
+    MAX_SAMPLES,
+    QUANTILE,
+    RunTimeEstimates,
+)
 from curranthill.scheduler.quick import QuickReserve
 from curranthill.scheduler.search import find_place
 from curranthill.scheduler.victims import choose_victims
@@ -109,7 +113,7 @@
         reserve = QuickReserve(
             state=self.state,
             clock=ManualClock(),
-            least=quick,
+            min_slots=quick,
         )
         reserve.adjust()
 
@@ -182,7 +186,7 @@
         """Hard, planned and quick slots fit together on each worker."""
         for worker in self.state.cluster.workers.values():
             if worker.usable:
-                kept = worker.hard + worker.planned + worker.quick
+                kept = worker.non_preemptible + worker.planned + worker.quick
                 assert kept <= worker.slots, worker
 
     @invariant()
@@ -224,9 +228,14 @@
             for part in placed.members:
                 held[part.worker] = held.get(part.worker, 0) + part.slots
         for worker in self.state.cluster.workers.values():
-            assert worker.hard + worker.soft == held.get(worker.name, 0)
+            assert worker.non_preemptible + worker.preemptible == held.get(
+                worker.name, 0
+            )
             if worker.usable:
-                assert worker.hard + worker.soft + worker.quick <= worker.slots
+                assert (
+                    worker.non_preemptible + worker.preemptible + worker.quick
+                    <= worker.slots
+                )
 
     @invariant()
     def nobody_with_a_free_guarantee_waits(self) -> None:
@@ -355,7 +364,7 @@
             wait_on(state, job)
         placed = policy.decide(state, 1)
         self.assertEqual(len(placed), 8)
-        stay = [one for one in state.placed.values() if one.hard]
+        stay = [one for one in state.placed.values() if one.non_preemptible]
         self.assertEqual(len(stay), 1)
 
 
@@ -418,11 +427,11 @@
 
     def test_estimates_follow_what_runs_took(self) -> None:
         """A kind that takes twice its declared time is expected to."""
-        estimates = Estimates()
+        estimates = RunTimeEstimates()
         self.assertEqual(estimates.run_time_s('w', 'k', 10), 10)
-        for actual in range(SAMPLES):
-            estimates.learn('w', 'k', declared_s=10, actual_s=10 + actual)
-        expected_s = 10 + int(SAMPLES * QUANTILE)
+        for actual in range(MAX_SAMPLES):
+            estimates.record_run('w', 'k', declared_s=10, actual_s=10 + actual)
+        expected_s = 10 + int(MAX_SAMPLES * QUANTILE)
         self.assertAlmostEqual(estimates.run_time_s('w', 'k', 10), expected_s)
 
     def test_fifo_first_fit_lets_the_head_block(self) -> None:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -35,7 +35,7 @@
             context=context,
             state=self.state,
             spawn=lambda work: None,
-            on_member=lambda news: True,
+            on_member=lambda update: True,
             on_orphan=lambda worker, lease: None,
             on_change=self._count,
         )
@@ -52,7 +52,7 @@
         self.state.place(
             waiting,
             members_on(('w', 1)),
-            hard=True,
+            non_preemptible=True,
             now_s=0,
             reason='test',
         )
