--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -10,7 +10,7 @@
 
 from curranthill.dispatch.journal import Journal
 from curranthill.dispatch.owner import SessionOwner
-from curranthill.placement import MARKED, ActiveJob, Run
+from curranthill.placement import ASSIGNED, ActiveJob, Run
 from curranthill.tasks import FAILED, JobState, TaskProgress
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -113,7 +113,7 @@
         if reason != LEASE_LAPSED and run.age_s < PROMPT_S:
             task.prompt_crashes += 1
         metrics.runs_lost.add(1)
-        job.note_losses(run.key)
+        job.update_suspect(run.key)
         self._judge(job, run, reason)
 
     def settle(self, run: Run, *, crashed: bool) -> None:
@@ -124,23 +124,23 @@
             return
         if not crashed:
             task.losses = max(0, task.losses - 1)
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._journal.note(job)
         elif run.age_s < PROMPT_S:
             task.prompt_crashes += 1
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._judge(job, run, 'crashed after all')
 
     def clear_if_lasting(self, run: Run) -> None:
         """Forget the losses of a task that lasts and has worked for long."""
-        if not run.lasting or run.age_s < CLEARED_AFTER_S:
+        if not run.perpetual or run.age_s < CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
         task = job.progress.task(run.key)
         if task.losses:
             task.losses = 0
             task.prompt_crashes = 0
-            job.note_losses(run.key)
+            job.update_suspect(run.key)
             self._journal.note(job)
 
     def _judge(self, job: ActiveJob, run: Run, reason: str) -> None:
@@ -175,7 +175,7 @@
     One that was never sent has not, and a worker that had said that it leaves
     was expected to go.
     """
-    return run.state != MARKED and not leaving and reason in _LOST
+    return run.state != ASSIGNED and not leaving and reason in _LOST
 
 
 def is_given_up(task: TaskProgress) -> bool:
--- a/src/curranthill/dispatch/outlooks.py
+++ b/src/curranthill/dispatch/outlooks.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from curranthill.admission import Outlook, ServiceRoom, outlook_of
+from curranthill.admission import Forecast, ServiceResources, make_forecast
 from curranthill.clock import Clock
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.work import Work
-from curranthill.placement import Room
+from curranthill.placement import WorkerCapacity
 from curranthill.tasks import Resources, Revision
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
@@ -42,15 +42,15 @@
         """Return whether another one should be made."""
         return self._clock.monotonic_s() >= self._due_s
 
-    def make(self, revision: Revision | None) -> Outlook | None:
+    def make(self, revision: Revision | None) -> Forecast | None:
         """Return what hosts should know now, if anything."""
         self._due_s = self._clock.monotonic_s() + INTERVAL_S
         if revision is None:
             return None
         self._number += 1
-        return outlook_of(
+        return make_forecast(
             self._work.jobs.values(),
-            rooms=self._rooms(),
+            resources=self._rooms(),
             guaranteed={
                 one.name: one.guaranteed_gpus for one in revision.workspaces
             },
@@ -58,7 +58,7 @@
             number=self._number,
         )
 
-    def _rooms(self) -> dict[str, ServiceRoom]:
+    def _rooms(self) -> dict[str, ServiceResources]:
         """Return the room of all workers that may take work, busy or not.
 
         One that does not answer now counts too: the wait is rather told as
@@ -69,10 +69,10 @@
             if session.listed and not session.gone:
                 by_service.setdefault(session.entry.service, []).append(session)
         return {
-            service: ServiceRoom(
+            service: ServiceResources(
                 reduce(
                     Resources.plus,
-                    (session.entry.room for session in sessions),
+                    (session.entry.capacity for session in sessions),
                 ),
                 _FreeRoom(sessions),
             )
@@ -90,10 +90,10 @@
         """Return the most that is free on one worker, part by part."""
         most = Resources()
         for session in self._sessions:
-            room = Room(
+            room = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                doubt=0.0,
+                failure_score=0.0,
             )
             most = Resources(*map(max, most, room.free))
         return most
@@ -111,11 +111,11 @@
         self._clock = clock
         self._content: Any = None
         self._epoch = 0
-        self._outlook: Outlook | None = None
+        self._outlook: Forecast | None = None
         self._since_s = 0.0
         self._missed_s = -NO_REFUSAL_S
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest outlook and its age in seconds."""
         now_s = self._clock.monotonic_s()
         if now_s - self._missed_s < NO_REFUSAL_S:
@@ -142,11 +142,11 @@
         self._missed_s = self._clock.monotonic_s()
 
 
-def _decoded(content: Any) -> Outlook | None:
+def _decoded(content: Any) -> Forecast | None:
     if content is None:
         return None
     try:
-        return msgspec.convert(content, Outlook, str_keys=True)
+        return msgspec.convert(content, Forecast, str_keys=True)
     except msgspec.ValidationError as error:
         # Perhaps of another release; the leader's row holds all the same.
         events.log('outlook_bad', error=str(error))
