--- a/src/curranthill/scheduler/cluster.py
+++ b/src/curranthill/scheduler/cluster.py
@@ -1,10 +1,10 @@
-"""The workers of one data centre and how much of each is spoken for.
+"""The workers of one data centre and the use of their slots.
 
-Three counts a worker say all that placement needs. *Hard* slots hold work
-that may not be stopped, *soft* slots hold work that may be, *planned* slots
-are where guarantees that are not in use would be restored. As long as hard,
-planned and quick slots fit together on each worker, every guarantee can be
-restored now.
+Placement needs three counts for each worker. *Non-preemptible* slots hold work
+that may not be preempted, *preemptible* slots hold work that may be, and
+*planned* slots are where unused guarantees would be restored. As long as
+non-preemptible, planned and quick slots fit together on each worker, every
+guarantee can be restored immediately.
 """
 
 from collections.abc import Hashable, Iterable, Iterator
@@ -13,17 +13,19 @@
 
 from curranthill.jobs import Member
 
-#: What a search may use: slots that are free now; slots that hard work may
-#: take without breaking a promise; or those that are both.
+#: The slots that a search may use: those that are free now; those that
+#: non-preemptible work may take without violating a guarantee (open); or those
+#: that are both.
 CapacityKind = Literal['free', 'open', 'both']
 
 
 @dataclass(kw_only=True)
 class WorkerState:
-    """One worker's slots and what holds them.
+    """One worker's slots and how they are used.
 
-    :param guaranteed: the part of the hard slots that a guarantee holds; its
-        workspace will have them back whenever it wants.
+    :param guaranteed: the part of the non-preemptible slots that is held
+        under guarantees; their workspaces may claim it back at any time.
+    :param quick: slots reserved for quick work.
     """
 
     name: str
@@ -40,13 +42,13 @@
 
     @property
     def unguaranteed(self) -> int:
-        """Return the slots that no promise covers, in use or not."""
+        """Return the slots outside guarantees and quick work, used or not."""
         committed = self.planned + self.guaranteed + self.quick
         return max(0, self.slots - committed) if self.usable else 0
 
     @property
     def free(self) -> int:
-        """Return the slots that nothing holds now."""
+        """Return the slots neither in use nor reserved for quick work."""
         if not self.usable:
             return 0
         return max(
@@ -55,7 +57,7 @@
 
     @property
     def open(self) -> int:
-        """Return the slots that hard work may take and keep."""
+        """Return the slots that non-preemptible work may take."""
         if not self.usable:
             return 0
         return max(
@@ -63,7 +65,7 @@
         )
 
     def capacity(self, kind: CapacityKind) -> int:
-        """Return the slots that a search of this sort may use."""
+        """Return the slots of this kind, which a search may use."""
         if kind == 'free':
             return self.free
         if kind == 'open':
@@ -74,7 +76,8 @@
 class Allocation(NamedTuple):
     """Slots that one job holds.
 
-    :param hard: whether the job may not be stopped for another.
+    :param non_preemptible: whether the job may not be preempted.
+    :param guaranteed: whether it uses a guarantee unit.
     """
 
     job_id: str
@@ -84,10 +87,10 @@
 
 
 class RackCapacity(NamedTuple):
-    """What a rack has of one sort of room.
+    """A rack's capacity of one kind.
 
     :param total: slots in the rack.
-    :param widest: most slots on one of its workers.
+    :param max_on_worker: the most slots on one of its workers.
     """
 
     total: int
@@ -95,23 +98,23 @@
 
 
 class Rack:
-    """A rack's workers, with sums that are kept until something changes."""
+    """A rack's workers, with sums that are cached until a worker changes."""
 
     def __init__(self, *, name: str) -> None:
-        """Start without workers."""
+        """Initialize without workers."""
         self.name = name
         self.workers: list[WorkerState] = []
-        #: What others worked out of this rack, until something changes.
+        #: Results that callers derived from this rack; cleared on each change.
         self.cache: dict[Hashable, Any] = {}
         self._capacities: dict[CapacityKind, RackCapacity] = {}
 
     def invalidate(self) -> None:
-        """Forget the sums: a worker of this rack has changed."""
+        """Clear the cached sums after a change of a worker."""
         self._capacities.clear()
         self.cache.clear()
 
     def capacity(self, kind: CapacityKind) -> RackCapacity:
-        """Return the rack's sums for one sort of room."""
+        """Return the rack's capacity of one kind."""
         known = self._capacities.get(kind)
         if known is None:
             slots = [worker.capacity(kind) for worker in self.workers]
@@ -121,14 +124,14 @@
 
 
 class Cluster:
-    """The workers of a data centre by rack, and who holds what.
+    """The workers of a data centre by rack, and the slots that jobs hold.
 
-    All changes of a worker go through here, so that the racks' sums and the
-    record of which racks have changed stay right.
+    Workers change only through this class, so that the cached sums of the
+    racks and of the cluster are invalidated.
     """
 
     def __init__(self) -> None:
-        """Start with no worker."""
+        """Initialize without workers."""
         self.workers: dict[str, WorkerState] = {}
         self.racks: dict[str, Rack] = {}
         self.allocations: dict[str, Allocation] = {}
@@ -144,7 +147,7 @@
         self.invalidate(worker)
 
     def remove(self, name: str) -> None:
-        """Forget a worker that is gone for good."""
+        """Remove a worker permanently."""
         worker = self.workers.pop(name)
         self.slots -= worker.slots
         rack = self.racks[worker.rack]
@@ -154,17 +157,17 @@
             self.racks.pop(worker.rack)
 
     def set_usable(self, worker: WorkerState, usable: bool) -> None:
-        """Say whether a worker may take work."""
+        """Set whether a worker may take work."""
         worker.usable = usable
         self.invalidate(worker)
 
     def reserve_quick(self, worker: WorkerState, slots: int) -> None:
-        """Keep so many more slots of a worker for quick work, or fewer."""
+        """Add to the quick slots of a worker; a negative number removes."""
         worker.quick += slots
         self.invalidate(worker)
 
     def allocate(self, allocation: Allocation) -> None:
-        """Let a job hold slots."""
+        """Record the slots that a job holds."""
         self.allocations[allocation.job_id] = allocation
         for worker, slots in self._member_workers(allocation.members):
             worker.jobs.add(allocation.job_id)
@@ -176,7 +179,7 @@
                 worker.preemptible += slots
 
     def release(self, job_id: str) -> Allocation | None:
-        """Take a job's slots back; a job that holds none is no error."""
+        """Release a job's slots; return nothing if it holds none."""
         allocation = self.allocations.pop(job_id, None)
         if allocation is None:
             return None
@@ -191,12 +194,12 @@
         return allocation
 
     def plan(self, members: Iterable[Member], sign: int = 1) -> None:
-        """Plan slots for a guarantee, or with sign -1 take the plan back."""
+        """Add planned slots for a guarantee; with sign -1 remove them."""
         for worker, slots in self._member_workers(members):
             worker.planned += sign * slots
 
     def max_capacity(self, kind: CapacityKind) -> RackCapacity:
-        """Return the most slots that any one rack and worker has."""
+        """Return the largest capacity of any one rack and of any one worker."""
         known = self._max_capacities.get(kind)
         if known is None:
             capacities = [rack.capacity(kind) for rack in self.racks.values()]
@@ -208,7 +211,7 @@
         return known
 
     def invalidate(self, worker: WorkerState) -> None:
-        """Note that a worker has changed."""
+        """Clear the cached sums after a change of a worker."""
         self.racks[worker.rack].invalidate()
         self._max_capacities.clear()
 
--- a/src/curranthill/scheduler/estimates.py
+++ b/src/curranthill/scheduler/estimates.py
@@ -1,15 +1,16 @@
-"""Run times learnt from what jobs of a kind took against what they declared."""
+"""Run-time estimates from actual over declared run times of each kind."""
 
 from collections import OrderedDict, deque
 from typing import Final
 
-#: Ratios kept for each workspace and kind.
+#: The most recent ratios that are kept for each workspace and kind.
 MAX_SAMPLES: Final = 64
 
-#: Pairs of workspace and kind that are remembered; the least recent go.
+#: Pairs of workspace and kind that are kept; the least recently updated one is
+#: evicted.
 MAX_KINDS: Final = 4096
 
-#: The quantile that an estimate is taken from: few run longer than it says.
+#: The quantile of the ratios used as the estimate: few runs exceed it.
 QUANTILE: Final = 0.8
 
 
@@ -17,7 +18,7 @@
     """Quantiles of actual over declared run time, in bounded memory."""
 
     def __init__(self) -> None:
-        """Start with nothing learnt: declared times are believed."""
+        """Initialize without runs: declared run times are used unchanged."""
         self._ratios: OrderedDict[tuple[str, str], deque[float]]
         self._ratios = OrderedDict()
         self._quantiles: dict[tuple[str, str], float] = {}
@@ -30,7 +31,7 @@
         declared_s: float,
         actual_s: float,
     ) -> None:
-        """Take in one finished run."""
+        """Record the declared and actual run time of a finished run."""
         if declared_s <= 0:
             return
         key = (workspace, kind)
@@ -50,7 +51,7 @@
         kind: str,
         declared_s: float,
     ) -> float:
-        """Return how long a run is expected to take at the most, mostly."""
+        """Return the run time that most runs of the kind do not exceed."""
         return declared_s * self._quantiles.get((workspace, kind), 1)
 
 
--- a/src/curranthill/scheduler/fair.py
+++ b/src/curranthill/scheduler/fair.py
@@ -1,11 +1,11 @@
-"""The real policy: guarantees first, then fair shares of what is left.
-
-A pass costs little when nothing fits. Waiting jobs stand in lines of one
-workspace and shape; lines of one form (slots, adjacency, whether the work
-may be stopped) fit or do not fit together, and whether a form fits is a
-comparison with sums that the cluster keeps. Only lines whose form fits are
-ranked. The order of all lines, which says for whom racks are kept, is looked
-at now and then.
+"""Placement by guarantee first, then by weighted fair share.
+
+A pass is cheap when nothing fits. Waiting jobs are in subqueues by workspace
+and shape; subqueues of one fit class (slots, adjacency, whether the work is
+preemptible) fit or do not fit together, and whether a class fits is a
+comparison with sums that the cluster caches. Only subqueues whose class fits
+are ranked. The order of all subqueues, which decides for which gangs workers
+are reserved, is computed only at an interval.
 """
 
 from collections.abc import Iterable
@@ -24,31 +24,32 @@
 )
 from curranthill.scheduler.victims import choose_victims, lost_work_on
 
-#: How much waiting once its own run time moves a job against usage that
-#: equals the whole cluster.
+#: The weight of ageing: a wait of its own run time moves a job forward as much
+#: as borrowing this share of the cluster moves it back (at a weight of 1).
 AGEING_WEIGHT: Final = 0.5
 
 #: A run time below this does not make a job age faster, in seconds.
 MIN_RUN_S: Final = 1.0
 
-#: How long a job waits, in run times of its own, before workers are kept
-#: for it.
+#: How long a job waits before workers are reserved for it, in run times of its
+#: own.
 RESERVE_AFTER_RUN_TIMES: Final = 4.0
 
-#: So many stops double that wait, later ones do not: how often a job is
-#: stopped has no bound where promises leave no place to stay.
+#: At most this many preemptions double that wait each: the number of them is
+#: unbounded where guarantees leave no capacity for non-preemptible placement.
 MAX_COUNTED_PREEMPTIONS: Final = 2
 
-#: How often the order of all lines is looked at, in seconds.
+#: The interval at which the order of all subqueues is computed, in seconds.
 RESERVE_INTERVAL_S: Final = 1.0
 
 
-#: Where borrowed work looks, in order: off the promises, then anywhere.
+#: Capacity for borrowed work, in order of preference: outside planned
+#: placements, then any that is free.
 _BORROWED_KINDS: Final[tuple[CapacityKind, ...]] = ('both', 'free')
 
 
 class _SearchKey(NamedTuple):
-    """What made a search fail: the next one like it fails, too."""
+    """The parameters that decide whether a search fails during one pass."""
 
     slots: int
     adjacent: str
@@ -57,13 +58,14 @@
 
 
 class FairSharePolicy:
-    """Place by promise, then by weighted fair share with ageing.
+    """Places by guarantee, then by weighted fair share with ageing.
 
-    :param preemptions: after so many, a job may not be stopped again.
+    :param preemptions: number of preemptions after which a job is placed as
+        non-preemptible if the guarantees allow it.
     """
 
     def __init__(self, *, preemptions: int) -> None:
-        """Keep the bound; no rack is kept yet."""
+        """Initialize without reservations."""
         self._max_preemptions = preemptions
         self._reservations = Reservations()
         self._reservations_updated_s = float('-inf')
@@ -83,7 +85,7 @@
         job_id: str,
         now_s: float,
     ) -> list[str]:
-        """Say what a job is entitled to and what it waits for."""
+        """Return sentences on a job's guarantees and on what it waits for."""
         waiting = state.queue.get(job_id)
         if waiting is None:
             return []
@@ -113,7 +115,7 @@
         key: ShapeKey,
         now_s: float,
     ) -> Decision | None:
-        """Give a workspace one guaranteed shape, from others if need be."""
+        """Place a subqueue's head on a guarantee unit, preempting if needed."""
         waiting = state.queue.head(key)
         unit = state.plan.free_unit(key.workspace, key.shape)
         if waiting is None or unit is None:
@@ -141,7 +143,7 @@
         job: Job,
         now_s: float,
     ) -> tuple[Member, ...] | None:
-        """Return a free place, else the one that costs others least."""
+        """Return free members, or else those that cost other jobs least."""
         place = find_place(
             state.cluster,
             job.slots,
@@ -195,7 +197,7 @@
         heads: Iterable[tuple[ShapeKey, WaitingJob]],
         now_s: float,
     ) -> list[ShapeKey]:
-        """Return lines, the one that should be served first first."""
+        """Return shape keys in the order in which to serve them."""
         total = max(1, state.cluster.slots)
         shares = {
             name: used / total / state.weights.get(name, 1)
@@ -219,7 +221,7 @@
         now_s: float,
         failed: set[_SearchKey],
     ) -> Decision | None:
-        """Place the head of one line, if it fits now."""
+        """Place the head of one subqueue, if it fits now."""
         waiting = state.queue.head(key)
         if waiting is None:
             return None
@@ -243,15 +245,18 @@
                 place,
                 non_preemptible=non_preemptible,
                 now_s=now_s,
-                reason='borrowed, to stay' if non_preemptible else 'borrowed',
+                reason='borrowed, non-preemptible'
+                if non_preemptible
+                else 'borrowed',
             )
         return None
 
     def _allocation_modes(self, job: Job) -> tuple[bool, ...]:
-        """Return whether to place a job hard or soft, in order of trial.
+        """Return whether to place a job as non-preemptible, in order of trial.
 
-        One that was stopped often is placed to stay if the promises allow
-        it; if not, it borrows again rather than wait for ever.
+        A job that was preempted often is placed as non-preemptible if the
+        guarantees allow it; otherwise it borrows as preemptible again rather
+        than wait indefinitely.
         """
         if not job.preemptible:
             return (True,)
@@ -265,7 +270,10 @@
         job: Job,
         search_key: _SearchKey,
     ) -> tuple[Member, ...] | None:
-        """Find a place off the promises, else one that they can spare."""
+        """Return free members, preferably outside planned placements.
+
+        For non-preemptible work overlapping plans are relocated.
+        """
         excluded = self._reservations.reserved_workers(search_key.blocking_jobs)
         place: tuple[Member, ...] | None = None
         for kind in _BORROWED_KINDS:
@@ -282,9 +290,12 @@
         return place if state.plan.relocate_plans(place) else None
 
     def _update_reservations(self, state: SchedulerState, now_s: float) -> None:
-        """Keep workers for those who are first in order and do not fit."""
+        """Reserve workers for gangs that have waited long enough.
+
+        The first in order get reservations, up to the maximum number.
+        """
         self._reservations.clear(now_s)
-        # A single slot fits wherever one is free: nothing is kept for it.
+        # A single slot fits wherever one is free and needs no reservation.
         gangs = [
             head
             for fit_class in state.queue.fit_classes()
@@ -303,16 +314,17 @@
 
 @policies.register('guarantees')
 def fair_share_policy(preemptions: int) -> Policy:
-    """Return the real policy."""
+    """Return the policy of guarantees and weighted fair shares."""
     return FairSharePolicy(preemptions=preemptions)
 
 
 def _reservation_delay_s(state: SchedulerState, job: Job) -> float:
-    """Return how long a job waits before workers are kept for it.
+    """Return how long a job waits before workers are reserved for it.
 
-    Draining costs others most where a gang takes most of the data centre,
-    and is lost where the gang is then stopped for a guarantee: so a large
-    part waits longer, and each of the first stops doubles the wait.
+    Draining workers costs other jobs most if the gang takes most of the data
+    centre, and is wasted if the gang is then preempted for a guarantee. A job
+    that needs a large share of the slots therefore waits longer, and each of
+    its first preemptions doubles the wait.
     """
     run_s = max(state.run_time_s(job), MIN_RUN_S)
     share = job.slots / max(1, state.cluster.slots)
@@ -323,7 +335,7 @@
 
 
 def _failure_cost(job: Job) -> Cost | None:
-    """Return a price that keeps a job off the workers that it failed on."""
+    """Return a cost that avoids the workers on which a job failed."""
     failed_on = frozenset(job.failed_on)
     if not failed_on:
         return None
@@ -356,13 +368,14 @@
         if unit.job_id:
             lines.append(f'{unit.unit_id} is in use by {unit.job_id}.')
         elif unit.at_risk:
-            lines.append(f'{unit.unit_id} is at risk: no place holds it.')
+            lines.append(f'{unit.unit_id} is at risk: no workers can hold it.')
     if not state.may_borrow.get(job.workspace, True):
         lines.append('Its workspace may not borrow.')
     free = sum(worker.free for worker in state.cluster.workers.values())
     largest = state.cluster.max_capacity('free')
     lines.append(
-        f'{free} accelerators are free, at most {largest.max_on_worker} on one worker'
+        f'{free} accelerators are free, at most'
+        f' {largest.max_on_worker} on one worker'
         f' and {largest.total} in one rack; {len(state.queue)} jobs wait.',
     )
     return lines
--- a/src/curranthill/scheduler/fifo.py
+++ b/src/curranthill/scheduler/fifo.py
@@ -1,4 +1,4 @@
-"""The baselines: first come, first served, into the first place that fits."""
+"""Baseline policies: first come, first served, with first-fit placement."""
 
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.search import first_fit
@@ -6,13 +6,13 @@
 
 
 class FifoFirstFit:
-    """Strict order of arrival; nobody is stopped for anybody.
+    """First-fit placement in order of arrival, without preemption.
 
-    :param skipping: let later jobs pass one that does not fit.
+    :param skipping: whether later jobs may pass one that does not fit.
     """
 
     def __init__(self, *, skipping: bool = False) -> None:
-        """Choose whether the head of the queue blocks the rest."""
+        """Initialize; by default the head of the queue blocks the rest."""
         self._skipping = skipping
 
     def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
@@ -46,7 +46,7 @@
         job_id: str,
         now_s: float,
     ) -> list[str]:
-        """Say how many jobs stand before this one."""
+        """Return a sentence on how many jobs arrived before this one."""
         order = sorted(state.queue, key=_arrival)
         ahead = 0
         for waiting in order:
@@ -58,7 +58,7 @@
 
 @policies.register('fifo_first_fit')
 def fifo_first_fit(preemptions: int) -> Policy:
-    """Return the baseline in which the first in line blocks the rest."""
+    """Return the baseline in which the head of the queue blocks the rest."""
     return FifoFirstFit()
 
 
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -1,8 +1,8 @@
-"""A place kept in mind for each guarantee that is not in use.
+"""Planned placements of the guarantees that are not in use.
 
-The plan costs nothing while it stands: its slots are lent to work that may
-be stopped. It is what makes "every guarantee could be restored now" a sum
-on each worker instead of a search at each decision.
+A planned placement leaves no slot idle: its slots are lent to preemptible work.
+With it, whether every guarantee can be restored immediately is a sum on each
+worker instead of a search at each decision.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,7 +19,7 @@
 
 
 class GuaranteeUnitId(NamedTuple):
-    """One guaranteed shape of one workspace."""
+    """The identity of one guaranteed shape of a workspace."""
 
     workspace: str
     shape: str
@@ -28,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class GuaranteeUnit:
-    """One guaranteed shape: planned, in use, or at risk."""
+    """One guaranteed shape: planned, in use by a job, or at risk."""
 
     unit_id: GuaranteeUnitId
     slots: int
@@ -38,19 +38,19 @@
 
     @property
     def at_risk(self) -> bool:
-        """Return whether there is no place to restore it now."""
+        """Return whether it is unused and cannot be restored now."""
         return not self.planned and not self.job_id
 
 
 class GuaranteePlan:
-    """Keep a place for each guarantee of a data centre.
+    """Plans a placement for each unused guarantee of a data centre.
 
-    :param cluster: where the plan's slots are counted.
+    :param cluster: counts the planned slots of its workers.
     """
 
     def __init__(self, *, cluster: Cluster) -> None:
-        """Start with no promise."""
-        #: Units that no place can restore now.
+        """Initialize without guarantees."""
+        #: Units that no workers can hold now.
         self.at_risk: set[GuaranteeUnitId] = set()
         self._cluster = cluster
         self._units: dict[GuaranteeUnitId, GuaranteeUnit] = {}
@@ -69,11 +69,11 @@
         document: ConfigurationDocument,
         data_centre: str,
     ) -> None:
-        """Take over the promises of a configuration."""
+        """Apply the guarantees of a configuration."""
         self.set_units(dict(_wanted_units(document, data_centre)))
 
     def set_units(self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]) -> None:
-        """Hold exactly these units; those that stay keep their places."""
+        """Set the guarantee units; those that remain keep their plans."""
         for unit_id in list(self._units):
             if unit_id not in wanted or self._resized(wanted[unit_id]):
                 self._drop(unit_id)
@@ -89,7 +89,7 @@
         return next(iter(unused.values())) if unused else None
 
     def unused_shapes(self) -> list[tuple[str, str]]:
-        """Return workspaces and shapes of which a unit is not in use."""
+        """Return the workspaces and shapes that have an unused unit."""
         return [key for key, unused in self._unused.items() if unused]
 
     def units_of(self, workspace: str, shape: str) -> list[GuaranteeUnit]:
@@ -97,14 +97,14 @@
         return [unit for unit in self if unit.unit_id[:2] == (workspace, shape)]
 
     def use(self, unit: GuaranteeUnit, job_id: str) -> None:
-        """Let a job use a unit; the plan's slots are its own from now on."""
+        """Assign a unit to a job, which replaces its planned placement."""
         self._unplan(unit)
         unit.job_id = job_id
         self._by_job[job_id] = unit.unit_id
         self._unused[unit.unit_id[:2]].pop(unit.unit_id, None)
 
     def return_unit(self, job_id: str, members: Iterable[Member]) -> None:
-        """Plan a unit where the job that used it was."""
+        """Release a job's unit and plan it where the job ran, if it fits."""
         unit = self._units.get(
             self._by_job.pop(job_id, GuaranteeUnitId('', '', 0)),
         )
@@ -119,10 +119,10 @@
             self.plan_missing()
 
     def relocate_plans(self, members: Iterable[Member]) -> bool:
-        """Move plans so that hard work may take ``members``.
+        """Relocate plans so that non-preemptible work may take ``members``.
 
-        Returns whether that could be done; if not, nothing is changed. The
-        slots count as hard for the search and are given back after it.
+        Returns whether that was possible; if not, nothing is changed. The
+        slots count as planned during the search and are released after it.
         """
         wanted = tuple(members)
         displaced = self._displaced(wanted)
@@ -142,11 +142,11 @@
         return fits
 
     def repair(self) -> None:
-        """Find places again where the plan no longer fits the workers.
+        """Plan units again whose plan no longer fits the workers.
 
-        A plan that still stands is not taken away for one that lost its
-        place. Of those, the larger shapes are planned first; what then fits
-        nowhere is at risk until capacity comes back.
+        Plans that still fit are not displaced by units that lost theirs. Of
+        the latter, larger shapes are planned first; units that then fit
+        nowhere are at risk until capacity returns.
         """
         for worker in self._cluster.workers.values():
             committed = worker.non_preemptible + worker.planned + worker.quick
@@ -157,7 +157,7 @@
         self.plan_missing()
 
     def plan_missing(self) -> None:
-        """Plan units at risk where they fit now, the larger ones first."""
+        """Plan the units at risk where they fit now, larger ones first."""
         missing = [unit for unit in self if unit.at_risk]
         unplanned = [
             unit for unit in _largest_first(missing) if not self._replan(unit)
@@ -168,14 +168,14 @@
                 logger.bind(
                     step='guarantee', workspace=unit.unit_id[0]
                 ).warning(
-                    'no place to restore {}: it is at risk',
+                    'guarantee {} is at risk: no workers can hold it',
                     unit.unit_id,
                 )
         self.at_risk = now_at_risk
         metrics.guarantees_at_risk.set(len(now_at_risk))
 
     def unplan_for_search(self, unit: GuaranteeUnit) -> tuple[Member, ...]:
-        """Take a unit's plan away for a search; return it."""
+        """Remove a unit's planned placement for a search and return it."""
         planned = unit.planned
         self._unplan(unit)
         return planned
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -1,8 +1,8 @@
-"""Jobs that wait here while another data centre has room for them now.
+"""Moves of waiting jobs to data centres that have free capacity for them.
 
-Nothing goes away that may still run here soon: a job is given away only
-after it has waited, if no guarantee of its own restores it here, and if its
-shape fits the other place as that place was last heard of.
+A job that may run here soon is not moved: it must have waited for a minimum
+time, no guarantee of its workspace may cover it here, and its shape must fit
+the other data centre according to its last known load.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,22 +12,23 @@
 from curranthill.jobs import birth_of
 from curranthill.scheduler.state import SchedulerState, WaitingJob
 
-#: How long a job waits here before another place is considered, in seconds.
+#: How long a job waits here before it may be moved, in seconds.
 MIN_WAIT_S: Final = 1.0
 
-#: The same for a job that came from elsewhere, lest it go to and fro.
+#: The same for a job that was moved here, which keeps it from moving back and
+#: forth.
 MOVED_MIN_WAIT_S: Final = 10.0
 
-#: How long a place counts as fuller by what was sent there, in seconds;
-#: longer than its next news takes.
+#: How long the slots of moved jobs count as taken at the neighbour, in seconds;
+#: longer than its next load update takes.
 SENT_RETENTION_S: Final = 3.0
 
-#: Jobs given away in one look.
+#: The maximum number of jobs that one check moves.
 MAX_MOVES: Final = 16
 
 
 class Neighbour(Protocol):
-    """What is heard of another data centre's active scheduler."""
+    """The load that another data centre's active scheduler publishes."""
 
     @property
     def data_centre(self) -> str:
@@ -43,11 +44,11 @@
 
     @property
     def waiting_slots(self) -> int:
-        """Return what its own queue asks for."""
+        """Return the slots that its own waiting jobs need."""
 
 
 class Move(NamedTuple):
-    """One job that goes to another data centre."""
+    """The move of one job to another data centre."""
 
     job_id: str
     data_centre: str
@@ -61,7 +62,7 @@
 
 
 class Offload:
-    """Choose jobs to give to neighbours.
+    """Chooses jobs to move to neighbours.
 
     :param neighbours: returns the region's other active schedulers.
     """
@@ -73,14 +74,14 @@
         clock: Clock,
         neighbours: Callable[[], Sequence[Neighbour]],
     ) -> None:
-        """Start with nothing sent."""
+        """Initialize without recent moves."""
         self._state = state
         self._clock = clock
         self._neighbours = neighbours
         self._sent: list[_Sent] = []
 
     def choose(self) -> list[Move]:
-        """Return the jobs that should go, the longest waiting first."""
+        """Return the moves to make, longest waiting jobs first."""
         now_s = self._clock.monotonic_s()
         self._sent = [
             sent for sent in self._sent if now_s - sent.at_s < SENT_RETENTION_S
@@ -124,7 +125,7 @@
         return max(eligible, key=_surplus_of)[1]
 
     def _surplus(self, neighbour: Neighbour) -> int:
-        """Return the slots that its own queue does not ask for either."""
+        """Return the free slots that its own queue does not need."""
         taken = neighbour.waiting_slots + self._sent_to(neighbour)
         return neighbour.free_slots - taken
 
--- a/src/curranthill/scheduler/policies.py
+++ b/src/curranthill/scheduler/policies.py
@@ -1,4 +1,4 @@
-"""The registry of placement policies and what a policy is."""
+"""The interface and the registry of placement policies."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,12 +8,12 @@
 
 
 class Policy(Protocol):
-    """Decide which waiting jobs get which places."""
+    """Decides which waiting jobs are placed, and on which workers."""
 
     def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
-        """Place what can be placed now, by ``state.place``, and return it.
+        """Place jobs with ``state.place`` and return the decisions.
 
-        :param now_s: monotonic seconds.
+        :param now_s: monotonic time, in seconds.
         """
 
     def explain(
@@ -22,10 +22,10 @@
         job_id: str,
         now_s: float,
     ) -> list[str]:
-        """Say in plain sentences why a job waits."""
+        """Return plain sentences on why a job waits."""
 
 
-#: Policies by the name that settings give: factory(preemptions).
+#: Factories of policies by the name in the settings: factory(preemptions).
 policies: Registry[Callable[[int], Policy]] = Registry(
     concern='placement policy',
 )
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -1,4 +1,4 @@
-"""Slots kept for quick work, and each gateway's share of connections."""
+"""Slots reserved for quick work, and the gateways' shares of connections."""
 
 import math
 from typing import Final, NamedTuple
@@ -9,20 +9,20 @@
 from curranthill.scheduler.state import SchedulerState
 from curranthill.scheduler.victims import choose_victims
 
-#: Slots kept for each request that was in flight at the peak.
+#: Slots reserved for each request that was in flight at the peak.
 HEADROOM_FACTOR: Final = 1.25
 
-#: How long a peak is remembered, in seconds.
+#: How long a demand peak is kept, in seconds.
 DEMAND_WINDOW_S: Final = 30.0
 
-#: The most of a data centre that quick work may keep.
+#: The maximum share of a data centre's slots that is reserved for quick work.
 MAX_SHARE: Final = 0.5
 
-#: How long before the reserve goes gateways are told, in seconds; longer
-#: than the time between two of their reports.
+#: How long before the release of the reserve gateways are notified, in seconds;
+#: longer than the interval of their reports.
 RELEASE_NOTICE_S: Final = 1.5
 
-#: How long a grant of connections is good for, in seconds.
+#: How long a grant of connections is valid, in seconds.
 GRANT_TERM_S: Final = 5.0
 
 
@@ -34,10 +34,10 @@
 
 
 class QuickReserve:
-    """Keep as many slots for quick work as its measured demand asks for.
+    """Reserves slots for quick work according to its measured demand.
 
-    The slots stand together on few workers, so that they cost little of what
-    gangs need whole; they grow and shrink on the same workers first.
+    The slots are concentrated on few workers, to leave whole workers to gangs;
+    the reserve grows and shrinks on the same workers first.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         clock: Clock,
         min_slots: int,
     ) -> None:
-        """Start with the least reserve wanted."""
+        """Initialize without demand, for which ``min_slots`` are reserved."""
         self._state = state
         self._clock = clock
         self.min_slots = min_slots
@@ -55,7 +55,7 @@
         self._yielding_since_s: float | None = None
 
     def record_demand(self, gateway: str, max_in_flight: int) -> None:
-        """Take in a gateway's peak since its last report."""
+        """Record a gateway's peak since its last report."""
         now_s = self._clock.monotonic_s()
         last = self._demands.get(gateway)
         if last and now_s - last.at_s < DEMAND_WINDOW_S:
@@ -64,7 +64,7 @@
         self._demands[gateway] = Demand(peak=max_in_flight, at_s=now_s)
 
     def wanted(self) -> int:
-        """Return how many slots quick work should have now."""
+        """Return how many slots should be reserved now."""
         now_s = self._clock.monotonic_s()
         since_s = self._yielding_since_s
         if since_s is not None and now_s - since_s >= RELEASE_NOTICE_S:
@@ -80,7 +80,7 @@
         return min(wanted, int(total * MAX_SHARE))
 
     def adjust(self) -> tuple[str, ...]:
-        """Grow or shrink the reserve; return the jobs that must stop."""
+        """Grow or shrink the reserve; return the jobs to preempt."""
         held = sum(
             worker.quick for worker in self._state.cluster.workers.values()
         )
@@ -94,10 +94,10 @@
         return ()
 
     def set_yielding(self, *, wanted: bool) -> None:
-        """Give the reserve up for a gang as large as the rack, or take it up.
+        """Start or stop yielding the reserve to a gang as large as a rack.
 
-        Gateways are told at once to go elsewhere; the slots are given up
-        only after they have had time to hear of it.
+        Gateways are directed elsewhere at once; the slots are released only
+        after the notice, when all gateways should have received it.
         """
         if not wanted:
             self._yielding_since_s = None
@@ -105,7 +105,7 @@
             self._yielding_since_s = self._clock.monotonic_s()
 
     def workers(self) -> list[WorkerState]:
-        """Return the workers that gateways may send quick work to."""
+        """Return the workers to which gateways may send quick work."""
         return self._quick_workers() if self._yielding_since_s is None else []
 
     def _quick_workers(self) -> list[WorkerState]:
@@ -136,7 +136,7 @@
         return tuple(victims)
 
     def _reserve_on(self, worker: WorkerState, slots: int) -> tuple[str, ...]:
-        """Keep slots on a worker; soft work in the way must stop."""
+        """Reserve slots on a worker; return the jobs preempted for them."""
         member = Member(
             worker=worker.name,
             address=worker.address,
@@ -163,29 +163,29 @@
 
 
 class ConnectionGrants:
-    """Share a worker's connections so that the sum never passes its bound.
+    """Divides a worker's connections so that the sum never exceeds its limit.
 
-    Half of the connections is split among as many gateways as a data centre
-    may have; each gateway may always use its part. The other half is granted
-    for short terms to the gateways that are there. A grant counts until it
-    lapses, whatever its gateway has heard since.
+    Half of the connections is split among the maximum number of gateways of a
+    data centre; each gateway may always use its share. The other half is
+    granted for short terms to the gateways that are present. A grant counts
+    until it expires, whatever its gateway has received since.
 
     :param pool: connections of one worker that are granted.
     """
 
     def __init__(self, *, clock: Clock, pool: int) -> None:
-        """Grant nothing for one term: an earlier leader's grants may last."""
+        """Grant nothing for one term: a previous leader's may be valid."""
         self._clock = clock
         self._pool = pool
         self._grants: dict[str, list[Grant]] = {}
         self._grants_from_s = clock.monotonic_s() + GRANT_TERM_S
 
     def grant(self, gateway: str, gateways: int, lease_left_s: float) -> Grant:
-        """Return what a gateway may hold, beyond its fixed part.
+        """Return the connections granted to a gateway beyond its fixed share.
 
-        :param gateways: how many gateways are there now.
-        :param lease_left_s: how long this scheduler surely leads; a grant
-            never outlives it.
+        :param gateways: the number of gateways that are present now.
+        :param lease_left_s: how long this scheduler is sure to lead, in
+            seconds; no grant outlives it.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._grants_from_s or lease_left_s <= 0:
@@ -225,7 +225,7 @@
 
 
 def granted_pool(connections: int, gateways: int) -> int:
-    """Return the connections that are left to grant."""
+    """Return the connections that remain to be granted."""
     return connections - gateways * fixed_share(connections, gateways)
 
 
@@ -234,7 +234,7 @@
 
 
 def _growth_order(worker: WorkerState) -> tuple[bool, int, int, str]:
-    """Prefer workers that serve quick work already, then the emptiest."""
+    """Prefer workers with quick slots, then those with the most open slots."""
     return (worker.quick == 0, worker.planned, -worker.open, worker.name)
 
 
--- a/src/curranthill/scheduler/reservation_windows.py
+++ b/src/curranthill/scheduler/reservation_windows.py
@@ -1,47 +1,48 @@
-"""For how long workers may be kept for gangs that do not get them.
+"""Time limits of the reservations of workers.
 
-Answers work that outlasts its estimate: whoever waits for it would keep
-workers from others for as long. A worker is kept for a while that the gang's
-wait asks for; then nobody keeps it for as long.
+Work may outlast its estimate, and a gang that waits for it would block the
+workers reserved for it for as long. A worker is therefore reserved only for a
+window, whose length follows from the gang's expected wait; after it comes a
+cooldown of the same length, in which it cannot be reserved.
 """
 
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-#: The shortest time for which a worker is kept, in seconds.
+#: The minimum length of a reservation window, in seconds.
 MIN_WINDOW_S: Final = 5.0
 
-#: A worker is kept for so many times the wait by estimates: some take longer.
+#: The length of a window in expected waits; some waits exceed the estimate.
 WINDOW_FACTOR: Final = 2.0
 
 
 class _Window(NamedTuple):
-    """A time for which a worker is kept; a pause as long follows.
+    """A reservation window; a cooldown of the same length follows.
 
-    :param since_s: its start, in monotonic seconds.
+    :param since_s: monotonic time of its start, in seconds.
     """
 
     since_s: float
     length_s: float
 
     def in_cooldown(self, now_s: float) -> bool:
-        """Return whether the worker has been kept for long enough."""
+        """Return whether the window has passed and the cooldown has begun."""
         return now_s - self.since_s >= self.length_s
 
     def is_over(self, now_s: float) -> bool:
-        """Return whether the pause has passed, too."""
+        """Return whether the cooldown has passed as well."""
         return now_s - self.since_s >= 2 * self.length_s
 
 
 class WorkerReservationWindows:
-    """The turns of all workers that are kept for gangs, or were of late."""
+    """Windows of workers that are, or recently were, reserved for gangs."""
 
     def __init__(self) -> None:
-        """Start with no worker kept."""
+        """Initialize without windows."""
         self._windows: dict[str, _Window] = {}
 
     def cooling_down(self, now_s: float) -> frozenset[str]:
-        """Return the workers that may not be kept now."""
+        """Return the workers in cooldown, which may not be reserved."""
         return frozenset(
             name
             for name, window in self._windows.items()
@@ -54,23 +55,23 @@
         now_s: float,
         wait_s: float,
     ) -> None:
-        """Keep workers from now on; those that are kept already go on.
+        """Begin windows of workers; windows that have begun continue.
 
-        :param wait_s: how long the gang waits for them, by estimates.
+        :param wait_s: the expected wait of the gang for them, in seconds.
         """
         length_s = max(MIN_WINDOW_S, WINDOW_FACTOR * wait_s)
         for name in workers:
             self._windows.setdefault(name, _Window(now_s, length_s))
 
     def end(self, workers: Iterable[str]) -> None:
-        """Let workers be kept anew: their gang has started there."""
+        """Drop the windows of workers on which their gang has started."""
         for name in workers:
             self._windows.pop(name, None)
 
-    def drop_except(self, kept: frozenset[str], now_s: float) -> None:
-        """Drop the turns that are over, and of workers kept no more."""
+    def drop_except(self, reserved: frozenset[str], now_s: float) -> None:
+        """Drop windows that are over, and open ones of unreserved workers."""
         for name, window in list(self._windows.items()):
-            unused = name not in kept and not window.in_cooldown(now_s)
+            unused = name not in reserved and not window.in_cooldown(now_s)
             if unused or window.is_over(now_s):
                 self._windows.pop(name)
 
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -1,4 +1,4 @@
-"""Workers kept for gangs that wait, and what may fill them meanwhile."""
+"""Reservation of workers for waiting gangs, with backfill."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,17 +9,18 @@
 from curranthill.scheduler.search import ExcludedWorkers
 from curranthill.scheduler.state import SchedulerState
 
-#: The most jobs for which workers are kept at the same time.
+#: The maximum number of jobs with reserved workers at the same time.
 MAX_RESERVATIONS = 4
 
-#: The part of the workers that stays open beside the first reservation.
+#: The minimum share of all workers that stays unreserved, except that the first
+#: reservation may exceed it.
 MIN_UNRESERVED_SHARE = 0.75
 
 _NEVER = float('inf')
 
 
 class Reservation(NamedTuple):
-    """Workers of one rack kept for a job until it is expected to fit."""
+    """Workers of one rack reserved for a job until it is expected to fit."""
 
     job_id: str
     rack: str
@@ -28,50 +29,53 @@
 
 
 class Reservations:
-    """Workers on which waiting gangs are expected to fit first.
+    """Reserved workers, on which waiting gangs are expected to fit first.
 
-    Later jobs may use a kept worker only if they are expected to end by then
-    (backfill). The rest of the rack stays open to everybody, and at least
-    three quarters of all workers do, unless the first gang needs more.
+    Other jobs may use a reserved worker only if they are expected to end
+    before the gang starts (backfill). A reservation covers workers, not the
+    rest of their rack, although :func:`find_place` skips the whole rack. At
+    least three quarters of all workers stay unreserved, unless the first gang
+    needs more.
 
-    Only slots that no promise covers are counted on: a worker that drains
-    for a gang into a guarantee's hands would never be free for it.
+    Only unguaranteed slots are counted: a guarantee could claim other slots as
+    soon as they are drained, and they would never be free for the gang.
 
-    A worker that was kept in vain for its turn is open to everybody for as
-    long: work on it, or on those kept with it, may outlast its estimate.
+    A worker that was reserved in vain for its window is open to all jobs for
+    as long (cooldown): work on it, or on the workers reserved with it, may
+    outlast its estimate.
     """
 
     def __init__(self) -> None:
-        """Start with no worker kept."""
+        """Initialize without reservations."""
         self._reservations: dict[str, Reservation] = {}
         self._windows = WorkerReservationWindows()
 
     @property
     def full(self) -> bool:
-        """Return whether no more jobs can be given workers."""
+        """Return whether the maximum number of reservations is reached."""
         return len(self._reservations) >= MAX_RESERVATIONS
 
     def clear(self, now_s: float) -> None:
-        """Keep no worker any more."""
+        """Drop all reservations; windows and cooldowns of workers continue."""
         reserved = [one.workers for one in self._reservations.values()]
         self._windows.drop_except(frozenset().union(*reserved), now_s)
         self._reservations.clear()
 
     def on_placed(self, job_id: str, members: Iterable[Member]) -> None:
-        """Keep no worker any more for a job that has a place now."""
+        """Drop the reservation of a job that has been placed."""
         reservation = self._reservations.pop(job_id, None)
         if reservation is not None:
             used = {member.worker for member in members}
             self._windows.end(reservation.workers & used)
 
     def get(self, job_id: str) -> Reservation | None:
-        """Return what is kept for a job."""
+        """Return the reservation of a job."""
         return self._reservations.get(job_id)
 
     def reserve_for(
         self, state: SchedulerState, job: Job, now_s: float
     ) -> None:
-        """Keep the workers on which a job will fit first, if any are left."""
+        """Reserve the workers on which a job will fit first, if possible."""
         reserved_workers = self.reserved_workers(self._reservations)
         excluded = _with_workers(
             state, reserved_workers, self._windows.cooling_down(now_s)
@@ -105,7 +109,7 @@
         job: Job,
         now_s: float,
     ) -> frozenset[str]:
-        """Return the jobs whose kept workers a job may not use."""
+        """Return the jobs whose reserved workers a job may not use."""
         if not self._reservations:
             return frozenset()
         end_s = now_s + state.run_time_s(job)
@@ -116,7 +120,7 @@
         )
 
     def reserved_workers(self, blocking_jobs: Iterable[str]) -> ExcludedWorkers:
-        """Return the workers that are kept for some jobs, by rack."""
+        """Return the workers that are reserved for some jobs, by rack."""
         excluded: dict[str, frozenset[str]] = {}
         for job_id in blocking_jobs:
             reservation = self._reservations[job_id]
@@ -130,7 +134,7 @@
     excluded: ExcludedWorkers,
     names: Iterable[str],
 ) -> ExcludedWorkers:
-    """Return barred workers, by rack, with some more of them."""
+    """Return excluded workers by rack, extended by more workers."""
     workers = state.cluster.workers
     more = dict(excluded)
     for worker in filter(None, map(workers.get, names)):
@@ -187,7 +191,7 @@
     job: Job,
     eligible: list[WorkerState],
 ) -> Reservation | None:
-    """Take the workers that are wholly free first until they are enough."""
+    """Reserve the workers that are entirely free first until they suffice."""
     times = sorted(
         (
             _free_at_s(state, worker, worker.unguaranteed),
@@ -212,7 +216,7 @@
     worker: WorkerState,
     slots: int,
 ) -> float:
-    """Return when a worker is expected to have so many slots free."""
+    """Return when a worker is expected to have this many free slots."""
     free = worker.free
     if free >= slots:
         return 0
--- a/src/curranthill/scheduler/search.py
+++ b/src/curranthill/scheduler/search.py
@@ -1,4 +1,4 @@
-"""Where a shape fits, and what the place leaves whole."""
+"""Search for workers on which a shape fits, with little fragmentation."""
 
 from collections.abc import Callable, Iterable, Mapping
 from types import MappingProxyType
@@ -12,11 +12,11 @@
     WorkerState,
 )
 
-#: Workers that a search may not use, by rack.
+#: Workers that are excluded from a search, by rack.
 ExcludedWorkers = Mapping[str, frozenset[str]]
 NONE_EXCLUDED: ExcludedWorkers = MappingProxyType({})
 
-#: A price of using a worker, which goes before how well the shape fits.
+#: The cost of using a worker; it is compared before how well the shape fits.
 Cost = Callable[[WorkerState], float]
 
 
@@ -31,13 +31,14 @@
 ) -> tuple[Member, ...] | None:
     """Return members for a shape, or nothing if it does not fit now.
 
-    The place is chosen for what it leaves whole: the worker with the least
-    room that is enough, in the rack with the least room; a gang larger than
-    a worker takes whole workers of the fullest rack that holds it.
+    Best fit, to limit fragmentation: the worker with the least sufficient
+    capacity, of equal ones that in the rack with the least; a gang larger
+    than a worker takes whole workers of the fullest rack that holds it.
 
-    :param room: which slots may be used.
-    :param barred: workers that are kept for other jobs.
-    :param price: goes before the fit, if given.
+    :param kind: which slots may be used.
+    :param excluded: workers reserved for other jobs; their racks are not
+        used at all.
+    :param cost: compared before the fit, if given.
     """
     if not may_fit(cluster, slots, adjacent, kind):
         return None
@@ -72,7 +73,7 @@
     adjacent: Adjacency,
     kind: CapacityKind,
 ) -> bool:
-    """Return whether a shape fits if no rack is barred; cheap to ask."""
+    """Return whether a shape may fit without exclusions, from cached sums."""
     most = cluster.max_capacity(kind)
     if most.max_on_worker >= slots:
         return True
@@ -86,7 +87,7 @@
     slots: int,
     adjacent: Adjacency,
 ) -> tuple[Member, ...] | None:
-    """Return the first members in the order of names that hold a shape."""
+    """Return the first members that hold a shape, in order of addition."""
     for worker in cluster.workers.values():
         if worker.free >= slots:
             return (_member(worker, slots),)
@@ -102,7 +103,7 @@
 
 
 def _without(rack: Rack, excluded: frozenset[str]) -> Rack:
-    """Return a rack as if some of its workers were not there."""
+    """Return a copy of a rack without the excluded workers."""
     rest = Rack(name=rack.name)
     rest.workers = [
         worker for worker in rack.workers if worker.name not in excluded
@@ -116,7 +117,7 @@
     kind: CapacityKind,
     cost: Cost,
 ) -> tuple[float, int, int, str]:
-    """Return the key of the rack's worker that fits best, its name last."""
+    """Return the sort key of the best fitting worker, its name last."""
     total = rack.capacity(kind).total
     return min(
         (cost(worker), worker.capacity(kind), total, worker.name)
@@ -129,7 +130,7 @@
     kind: CapacityKind,
     cost: Cost,
 ) -> Callable[[Rack], tuple[float, int, str]]:
-    """Return what makes one rack better than another for a gang."""
+    """Return the sort key by which a rack is chosen for a gang."""
 
     def sort_key(rack: Rack) -> tuple[float, int, str]:  # noqa: WPS430
         total_cost = sum(cost(worker) for worker in rack.workers)
@@ -144,9 +145,9 @@
     kind: CapacityKind,
     cost: Cost,
 ) -> tuple[Member, ...]:
-    """Take the emptiest workers whole, the last part where it fits best.
+    """Take the emptiest workers whole and the rest by best fit.
 
-    The caller has seen that there is room enough.
+    The caller ensures that the workers have enough capacity.
     """
     candidates = sorted(
         (cost(worker), -worker.capacity(kind), worker.name, worker)
--- a/src/curranthill/scheduler/state.py
+++ b/src/curranthill/scheduler/state.py
@@ -1,4 +1,4 @@
-"""All that a placement policy sees and changes."""
+"""The scheduling state that placement policies read and change."""
 
 from collections import deque
 from collections.abc import Iterable, Iterator
@@ -14,9 +14,9 @@
 
 
 class WaitingJob(NamedTuple):
-    """A job that waits for a place.
+    """A job that waits for placement.
 
-    :param since_s: monotonic seconds at which it began to wait.
+    :param since_s: monotonic time at which it began to wait, in seconds.
     """
 
     job: Job
@@ -24,7 +24,7 @@
 
 
 class ShapeKey(NamedTuple):
-    """What makes two waiting jobs of a workspace equal to placement."""
+    """Properties that make waiting jobs interchangeable for placement."""
 
     workspace: str
     shape: str
@@ -35,7 +35,11 @@
 
 @dataclass(kw_only=True)
 class PlacedJob:
-    """A job that holds a place."""
+    """A job that holds slots on its workers.
+
+    :param non_preemptible: whether it may not be preempted.
+    :param guaranteed: whether it uses a guarantee unit.
+    """
 
     job: Job
     members: tuple[Member, ...]
@@ -45,14 +49,14 @@
     expected_end_s: float
 
     def lost_work_s(self, now_s: float) -> float:
-        """Return the slot-seconds that stopping it now would lose."""
+        """Return the slot-seconds of work lost if it is preempted now."""
         if self.job.checkpointable:
             return 0
         return self.job.slots * (now_s - self.since_s)
 
 
 class Decision(NamedTuple):
-    """One placement, with the victims that must stop before it."""
+    """One placement and the jobs to preempt before it starts."""
 
     job: Job
     members: tuple[Member, ...]
@@ -62,7 +66,7 @@
 
 
 class FitClass(NamedTuple):
-    """What two waiting jobs must share to fit or not fit together."""
+    """Properties that decide whether a job fits, equal for all of a class."""
 
     slots: int
     adjacent: Adjacency
@@ -70,7 +74,7 @@
 
 
 class JobQueue:
-    """Waiting jobs in lines of one workspace and shape, oldest first."""
+    """Waiting jobs in one subqueue for each shape key, oldest first."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -82,7 +86,7 @@
         self._by_shape: dict[tuple[str, str], set[ShapeKey]] = {}
 
     def __len__(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of waiting jobs."""
         return len(self._keys)
 
     def __contains__(self, job_id: str) -> bool:
@@ -95,7 +99,7 @@
             yield from subqueue
 
     def add(self, waiting: WaitingJob) -> None:
-        """Let a job wait; one that has waited longer goes before."""
+        """Add a job; one that waits longer than the head becomes the head."""
         key = shape_key(waiting.job)
         self._keys[waiting.job.job_id] = key
         subqueue = self._subqueues.get(key)
@@ -107,7 +111,7 @@
             subqueue.append(waiting)
 
     def remove(self, job_id: str) -> WaitingJob | None:
-        """Take a job out, wherever it stands."""
+        """Remove a job from any position and return it."""
         waiting = self.get(job_id)
         if waiting is None:
             return None
@@ -119,7 +123,7 @@
         return waiting
 
     def get(self, job_id: str) -> WaitingJob | None:
-        """Return a waiting job."""
+        """Return a waiting job by its id."""
         key = self._keys.get(job_id)
         if key is None:
             return None
@@ -129,22 +133,22 @@
         )
 
     def head(self, key: ShapeKey) -> WaitingJob | None:
-        """Return the oldest job of one line."""
+        """Return the oldest job of one subqueue."""
         subqueue = self._subqueues.get(key)
         return subqueue[0] if subqueue else None
 
     def heads(self) -> list[tuple[ShapeKey, WaitingJob]]:
-        """Return the oldest job of each line."""
+        """Return the oldest job of each subqueue."""
         return [(key, subqueue[0]) for key, subqueue in self._subqueues.items()]
 
     def fit_classes(self) -> list[FitClass]:
-        """Return the forms of which jobs wait."""
+        """Return the fit classes that have waiting jobs."""
         return list(self._by_fit_class)
 
     def heads_of_fit_class(
         self, fit_class: FitClass
     ) -> list[tuple[ShapeKey, WaitingJob]]:
-        """Return the oldest job of each line of a form."""
+        """Return the oldest job of each subqueue of a fit class."""
         subqueues = self._by_fit_class.get(fit_class, {})
         return [(key, subqueue[0]) for key, subqueue in subqueues.items()]
 
@@ -153,7 +157,7 @@
         workspace: str,
         shape: str,
     ) -> list[tuple[ShapeKey, WaitingJob]]:
-        """Return the oldest jobs of a workspace and shape."""
+        """Return the oldest job of each subqueue of a workspace and shape."""
         keys = self._by_shape.get((workspace, shape), ())
         return [(key, self._subqueues[key][0]) for key in keys]
 
@@ -176,10 +180,10 @@
 
 
 class SchedulerState:
-    """The cluster, the promises, the queue and what is placed.
+    """The cluster, the guarantee plan, the queue and the placed jobs.
 
-    Every change goes through :meth:`place`, :meth:`adopt` and
-    :meth:`release`, so that the counts always agree.
+    Placements change only through :meth:`place`, :meth:`adopt` and
+    :meth:`release`, which keep all counts consistent.
     """
 
     def __init__(self) -> None:
@@ -206,7 +210,7 @@
         unit: GuaranteeUnit | None = None,
         victims: Iterable[str] = (),
     ) -> Decision:
-        """Give a waiting job a place; its victims lose theirs."""
+        """Place a waiting job and release the slots of its victims."""
         preempted = tuple(victims)
         for victim in preempted:
             self.release(victim)
@@ -230,9 +234,10 @@
         )
 
     def adopt(self, job: Job, now_s: float) -> None:
-        """Count a job that already holds its place.
+        """Add a job that already holds its slots.
 
-        Promises may then stand in its way; repair the plan once all are in.
+        Planned placements may then overlap with it: repair the plan after
+        all such jobs have been added.
         """
         unit = self.plan.free_unit(job.workspace, job.shape)
         if unit is not None:
@@ -247,7 +252,7 @@
         )
 
     def release(self, job_id: str) -> PlacedJob | None:
-        """Take a job's place away; one without a place is no error."""
+        """Release a job's slots; return nothing if it holds none."""
         placed = self.placed.pop(job_id, None)
         if placed is None:
             return None
@@ -262,7 +267,7 @@
         return placed
 
     def load(self) -> Load:
-        """Return how full the data centre is, for its neighbours."""
+        """Return the load of the data centre, as published to neighbours."""
         workers = self.cluster.workers.values()
         return Load(
             free_slots=sum(worker.free for worker in workers),
@@ -271,7 +276,7 @@
         )
 
     def expected_ends_on(self, worker: WorkerState) -> list[tuple[float, int]]:
-        """Return when slots of a worker are expected free, soonest first."""
+        """Return expected end times and slots on a worker, soonest first."""
         ends = self._expected_ends.get(worker.name)
         if ends is None:
             placed_here = [self.placed[job_id] for job_id in worker.jobs]
@@ -285,7 +290,7 @@
         return ends
 
     def run_time_s(self, job: Job) -> float:
-        """Return how long a job is expected to run at the most, mostly."""
+        """Return the run time that a job is expected not to exceed."""
         return self.estimates.run_time_s(
             job.workspace,
             job.kind,
@@ -328,7 +333,7 @@
 
 
 def fit_class_of(key: ShapeKey) -> FitClass:
-    """Return the form of a line's jobs."""
+    """Return the fit class of the jobs with a shape key."""
     return FitClass(
         slots=key.slots,
         adjacent=key.adjacent,
@@ -337,7 +342,7 @@
 
 
 def shape_key(job: Job) -> ShapeKey:
-    """Return what placement tells jobs of a workspace apart by."""
+    """Return the shape key of a job."""
     return ShapeKey(
         workspace=job.workspace,
         shape=job.shape,
--- a/src/curranthill/scheduler/victims.py
+++ b/src/curranthill/scheduler/victims.py
@@ -1,4 +1,4 @@
-"""Which borrowed work is stopped when a guarantee is restored."""
+"""Selection of the preemptible work to stop for guaranteed or quick work."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,11 @@
     members: Iterable[Member],
     now_s: float,
 ) -> tuple[str, ...]:
-    """Return the jobs to stop so that ``members`` become free.
+    """Return the jobs to preempt so that ``members`` become free.
 
-    On each worker the jobs that lose least are stopped until the slots are
-    enough; a gang that is stopped for one worker counts on the next ones.
+    On each worker the jobs that lose the least work are chosen until enough
+    slots are free; a gang chosen for one worker also frees its slots on the
+    next ones.
     """
     victims: list[str] = []
     for member in members:
@@ -39,9 +40,10 @@
     worker: WorkerState,
     now_s: float,
 ) -> float:
-    """Return the slot-seconds lost if all soft work of a worker stops.
+    """Return the cost of preempting all preemptible work of a worker.
 
-    A gang counts whole: all of it stops wherever it runs.
+    It is the slot-seconds lost plus the slots stopped. A gang counts in full,
+    as all of its members stop, wherever they run.
     """
     placed_here = [state.placed[job_id] for job_id in worker.jobs]
     return sum(
