--- a/src/curranthill/scheduler/__init__.py
+++ b/src/curranthill/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Queue, guarantees, gang placement, leases and recovery."""
+"""Scheduling of gangs: queue, guarantees, placement, leases and recovery."""
 
 from curranthill.scheduler.daemon import SchedulerDaemon
 from curranthill.scheduler.fair import FairSharePolicy
--- a/src/curranthill/scheduler/context.py
+++ b/src/curranthill/scheduler/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a scheduler share."""
+"""Dependencies shared by the parts of a scheduler."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Context(NamedTuple):
-    """The interfaces and settings that gangs and watches work with.
+    """Interfaces and settings used by gangs and worker watches.
 
     :param worker_at: returns the client of a worker by its address.
     """
--- a/src/curranthill/scheduler/daemon.py
+++ b/src/curranthill/scheduler/daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler's process, put together."""
+"""Assembly of the scheduler process."""
 
 from curranthill.application import Application
 from curranthill.clock import Clock
@@ -14,10 +14,10 @@
 
 
 class SchedulerDaemon:
-    """A scheduler and all that it needs, owned by one application.
+    """A scheduler and its dependencies, run by one application.
 
     :param settings: the process's settings.
-    :param clock: the machine's clock unless a test moves time.
+    :param clock: replaces the system clock in tests.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         settings: SchedulerSettings,
         clock: Clock | None = None,
     ) -> None:
-        """Make the parts and order their start and stop."""
+        """Create the node and register the start and stop functions."""
         host = settings.host
         self.app = Application(name=f'{host.name}/scheduler', clock=clock)
         self.node = Node(
--- a/src/curranthill/scheduler/election.py
+++ b/src/curranthill/scheduler/election.py
@@ -1,9 +1,10 @@
-"""Which scheduler of a data centre is active: a lease row in the table.
+"""Leader election among the schedulers of a data centre, by a lease.
 
-Two rows, so that a renewal does not change what a start mark checks: the
-leader row changes only when another scheduler takes over, the heartbeat row
-with each renewal. Nobody compares clocks: a standby counts the lease as
-lapsed when it has seen the same heartbeat for longer than the term.
+The lease has two rows in the table, so that a renewal does not change the row
+that a start record checks: the leader row changes only when another scheduler
+takes over, the heartbeat row with each renewal. Clocks are not compared: a
+standby considers the lease expired when it has seen the same heartbeat for
+longer than the term and its margin.
 """
 
 import random
@@ -32,17 +33,17 @@
 
 
 class Role(Enum):
-    """What a scheduler is at the moment."""
+    """The current role of a scheduler."""
 
     standby = 'standby'
     active = 'active'
 
 
 class Election:
-    """One scheduler's part in its data centre's election.
+    """One scheduler's participation in its data centre's election.
 
     :param holder: this scheduler's name.
-    :param data_centre: the data centre that is led.
+    :param data_centre: the data centre to lead.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         holder: str,
         data_centre: str,
     ) -> None:
-        """Start as a standby."""
+        """Initialize as a standby."""
         self.role = Role.standby
         self.token = Token(epoch=0, holder=holder)
         self._clock = clock
@@ -72,34 +73,34 @@
 
     @property
     def leading(self) -> bool:
-        """Return whether this scheduler believes that it leads."""
+        """Return whether this scheduler considers itself the leader."""
         return self.role is Role.active
 
     def lease_left_s(self) -> float:
-        """Return how long the lease is good for, its margin taken off."""
+        """Return how long the lease is valid, less its margin, in seconds."""
         if not self.leading:
             return 0
         margin_s = self._settings.margin_s
         return self._valid_until_s - margin_s - self._clock.monotonic_s()
 
     def require(self, step: str) -> None:
-        """Let an effect pass only while the lease holds, margin included.
+        """Require a valid lease, with its margin, before an effect.
 
-        :raises LeaseLapsedError: if it does not.
+        :raises LeaseLapsedError: if it is not valid.
         """
         if self.lease_left_s() <= 0:
             raise LeaseLapsedError(
-                'The scheduler may not lead any more.',
+                'The lease of the scheduler has expired.',
                 step=step,
                 peer=self.token.holder,
             )
 
     def check(self) -> Check:
-        """Return the row that a start mark must find unchanged."""
+        """Return the leader row that a start record must find unchanged."""
         return Check(self._leader_key, self._leader_version)
 
     def step_down(self, reason: str) -> None:
-        """Become a standby; what was under way is left to the next leader."""
+        """Become a standby; the next leader takes over running attempts."""
         if self.role is Role.standby:
             return
         self.role = Role.standby
@@ -112,10 +113,10 @@
         )
 
     async def advance(self, at_least_epoch: int = 0) -> None:
-        """Renew the lease, or take it over if it has lapsed.
+        """Renew the lease, or take it over if it has expired.
 
         :param at_least_epoch: an epoch that workers have seen; a new one is
-            above it.
+            higher.
         """
         try:
             if self.role is Role.active:
@@ -124,24 +125,26 @@
                 await self._observe(at_least_epoch)
         except StorageError as error:
             logger.bind(step=error.step, peer=error.peer).debug(
-                'the leader row cannot be had: {}',
+                'cannot read or write the leader row: {}',
                 error.message,
             )
 
     def interval_s(self) -> float:
-        """Return the time until the next advance, with some jitter."""
+        """Return the delay until the next advance, with jitter, in seconds."""
         jitter = random.uniform(0.8, 1.0)  # noqa: S311
         return self._settings.leader_renew_s * jitter
 
     async def resign(self) -> None:
-        """Give the lease up, so that a standby need not wait for its end."""
+        """Release the lease, so that a standby need not wait for its expiry."""
         if not self.leading:
             return
-        self.step_down('it stops')
+        self.step_down('its process stops')
         try:
             await self._write_heartbeat(released=True)
         except StorageError as error:
-            logger.bind(step=error.step).debug('resigned unheard')
+            logger.bind(step=error.step).debug(
+                'cannot write the release of the lease'
+            )
 
     async def _renew(self) -> None:
         begun_s = self._clock.monotonic_s()
@@ -151,7 +154,7 @@
             self.step_down('another scheduler took over')
             return
         except (NotSentError, ReplyLostError):
-            # The incumbent stays: workers fence it if another one is higher.
+            # The leader stays: workers fence it if there is a higher epoch.
             raise
         self._valid_until_s = begun_s + self._settings.leader_term_s
 
@@ -173,7 +176,7 @@
             row = await self._table.read(key)
             if row is None or not self._is_own(row):
                 raise
-            # A renewal whose reply was lost has landed since.
+            # A renewal whose reply was lost has been written since.
             self._heartbeat_version = row.version
             return
         self._heartbeat_version = versions[key]
--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -1,4 +1,4 @@
-"""What an ended attempt leaves behind: its result and its job's row."""
+"""Finalization of an attempt: its result is stored, then its job's row."""
 
 import random
 from typing import Final
@@ -15,7 +15,7 @@
 from curranthill.scheduler.context import Context
 from curranthill.workers import AttemptId, Worker
 
-#: Waits between tries while the platform is away, in seconds.
+#: Delays between retries during an outage of the platform, in seconds.
 _MIN_WAIT_S: Final = 0.1
 _MAX_WAIT_S: Final = 5.0
 
@@ -23,23 +23,23 @@
 
 
 class BackOff:
-    """Waits that double, each cut at random so that callers spread."""
+    """Exponential delays, with jitter so that callers do not retry in step."""
 
     def __init__(self) -> None:
-        """Start with the shortest wait."""
+        """Initialize with the minimum delay."""
         self._wait_s = _MIN_WAIT_S
 
     def next_s(self) -> float:
-        """Return the next wait."""
+        """Return the next delay, in seconds."""
         wait_s = self._wait_s
         self._wait_s = min(_MAX_WAIT_S, 2 * wait_s)
         return random.uniform(wait_s / 2, wait_s)  # noqa: S311
 
 
 class Finalization:
-    """Write the end of one attempt, however long the platform is away.
+    """Writes the end of one attempt, however long an outage lasts.
 
-    :param stored: the job's row with the attempt's start mark.
+    :param stored: the job's row with the attempt's start record.
     """
 
     def __init__(
@@ -49,16 +49,16 @@
         stored: Stored,
         attempt_id: AttemptId,
     ) -> None:
-        """Keep the row."""
+        """Initialize with the row to be finalized."""
         self._context = context
         self._stored = stored
         self._attempt_id = attempt_id
 
     async def store_result(self, worker: Worker) -> int | None:
-        """Move the result from its worker to the object store.
+        """Copy the result from its worker to the object store.
 
         Returns its length in bytes, or nothing if the worker lost it. Until
-        the store takes it, the worker and this process both hold it.
+        it is stored, the worker and this process both hold it.
         """
         body = await self._fetch(worker)
         job, attempt = self._attempt_id
@@ -75,10 +75,10 @@
                     body,
                 )
             except ConflictError:
-                # Another holder kept this attempt's result first.
+                # Another scheduler has stored this attempt's result first.
                 return len(body)
             except StorageError as error:
-                self._log('its result waits for the object store', error)
+                self._log('cannot store the result, retrying', error)
                 await self._context.clock.sleep(back_off.next_s())
                 self._require_leading()
                 continue
@@ -104,7 +104,7 @@
         checkpoint: str,
         started: bool,
     ) -> Stored:
-        """Write what becomes of a job whose attempt did not finish."""
+        """Write the state of a job whose attempt did not finish."""
         job = self._stored.job
         if end == 'failed':
             job = self._after_failure(job, reason, failed_on)
@@ -163,12 +163,12 @@
             try:
                 return await worker.fetch_result(self._attempt_id)
             except WorkerError as error:
-                self._log('its result could not be fetched', error)
+                self._log('cannot fetch the result', error)
                 await self._context.clock.sleep(back_off.next_s())
         return None
 
     async def _write(self, job: Job) -> Stored:
-        """Write the row until it is written or somebody else decided."""
+        """Retry until the row is written or another writer decided the job."""
         back_off = BackOff()
         while True:
             try:
@@ -185,7 +185,7 @@
                 job = job._replace(cancel_requested=found.job.cancel_requested)
                 job = self._apply_cancel(job)
             except StorageError as error:
-                self._log('its end waits for the table', error)
+                self._log('cannot write the final state, retrying', error)
                 await self._context.clock.sleep(back_off.next_s())
             self._require_leading()
 
@@ -198,7 +198,7 @@
                 self._require_leading()
 
     def _is_own(self, found: Stored) -> bool:
-        """Return whether the row still stands at this attempt's mark."""
+        """Return whether the row still holds this attempt's start record."""
         return (
             found.job.state not in ENDED
             and found.job.state != ACCEPTED
@@ -206,7 +206,7 @@
         )
 
     def _apply_cancel(self, job: Job) -> Job:
-        """Let a cancel that came meanwhile win over another run."""
+        """Prefer a cancellation requested meanwhile over another run."""
         if job.cancel_requested and job.state == ACCEPTED:
             return self._ended(job, 'cancel', 'Cancelled while it ran.')
         return job
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -1,8 +1,9 @@
-"""One attempt of one job, from its reservation to its settled end.
+"""One attempt of a job, from its reservation to its final state.
 
-The order is what makes it safe: every member is reserved before the start
-mark, the mark is one transaction over the job's row and the leader's row,
-and no member is started before the mark is known to be written.
+Safety rests on the order of the steps: every member is reserved before the
+start record is written, the start record is one transaction over the job's row
+and the leader row, and no member is started before the start record is known to
+be written.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
     AttemptId,
 )
 
-#: How an attempt ended, or why it was given back unstarted.
+#: How an attempt ended, or why it was released without a start.
 End = Literal[
     'finished',
     'failed',
@@ -56,7 +57,7 @@
 class GangEnd(NamedTuple):
     """The end of one attempt.
 
-    :param stored: the job's row as last written, if this process wrote it.
+    :param stored: the job's row as this process last read or wrote it.
     :param failed_on: the worker on which a member failed.
     """
 
@@ -67,13 +68,14 @@
 
 
 class Gang:
-    """Run one attempt.
+    """Runs one attempt of a job.
 
     :param stored: the job's row as it was read.
     :param members: the workers, with slots.
-    :param attempt: the attempt's number, above all earlier ones.
+    :param attempt: the attempt's number, above all previous ones.
     :param watches: the watch of each worker by name.
-    :param wait_for: what must have stopped before this may reserve.
+    :param wait_for: set when the preempted attempts have stopped; awaited
+        before the members are reserved.
     """
 
     def __init__(
@@ -86,7 +88,7 @@
         watches: dict[str, WorkerWatch],
         wait_for: Iterable[asyncio.Event] = (),
     ) -> None:
-        """Keep the parts; nothing is reserved yet."""
+        """Initialize without reserved members."""
         self.stored = stored
         self.attempt_id = AttemptId(job=stored.job.job_id, attempt=attempt)
         self.stopped = asyncio.Event()
@@ -111,24 +113,24 @@
         return self._members.members
 
     def on_update(self, update: MemberUpdate) -> None:
-        """Take in what a watch learnt of one member."""
+        """Apply the state of a member as learned by a watch."""
         if self._states.get(update.worker) != update.state:
             self._states[update.worker] = update.state
             self._reasons[update.worker] = update.reason
             self._changed.set()
 
     def cancel(self) -> None:
-        """Stop the attempt as soon as may be; the caller gave the job up."""
+        """Request a stop of the attempt: its job has been cancelled."""
         self._stop_request = 'cancel'
         self._changed.set()
 
     def preempt(self) -> None:
-        """Checkpoint and stop the attempt; the job will wait again."""
+        """Request a checkpoint and a stop; the job is queued again."""
         self._stop_request = self._stop_request or 'preempt'
         self._changed.set()
 
     async def run(self) -> GangEnd:
-        """Reserve, mark, start, wait and settle."""
+        """Reserve the members, record the start, start, wait and finalize."""
         try:
             return await self._run_new()
         except (FencedError, LeaseLapsedError) as error:
@@ -137,9 +139,9 @@
             self.stopped.set()
 
     async def resume(self, states: dict[str, str]) -> GangEnd:
-        """Go on with an attempt that another scheduler had marked.
+        """Resume an attempt whose start another scheduler recorded.
 
-        :param states: what its workers said when they were fenced.
+        :param states: the states that its workers reported when fenced.
         """
         try:
             return await self._run_adopted(states)
@@ -158,7 +160,7 @@
             return self._not_started(f'Refused by {refused}.')
         if not await self._record_start():
             await self._members.release()
-            return self._not_started('The start mark was not written.')
+            return self._not_started('The start record was not written.')
         return await self._start_and_finalize()
 
     async def _run_adopted(self, states: dict[str, str]) -> GangEnd:
@@ -167,7 +169,7 @@
             if self._states[member.worker] in {RESERVED, RUNNING}:
                 self._members.watch(member.worker)
         if self._must_stop() and await self._result_is_stored():
-            # The last leader kept the result and died before the row.
+            # The previous leader stored the result but did not write the row.
             self._states.update(dict.fromkeys(self._states, FINISHED))
         return await self._start_and_finalize()
 
@@ -200,10 +202,10 @@
         return await self._finalize(end, checkpoint=checkpoint, started=started)
 
     async def _record_start(self) -> bool:
-        """Write the start mark; return whether it is known to be written.
+        """Write the start record; return whether it is known to be written.
 
-        While the reply is lost and the table stays silent nothing is
-        started and nothing is given back: the members stay reserved.
+        While the reply is lost and the table does not respond, nothing is
+        started and nothing is released: the members stay reserved.
         """
         while True:
             await self._members.wait_for_lease('mark')
@@ -234,7 +236,7 @@
         )
 
     async def _start_is_recorded(self) -> bool:
-        """Look whether the row holds this attempt's own mark."""
+        """Return whether the row holds this attempt's own start record."""
         found: Stored | None = None
         while found is None:
             await self._members.wait_for_lease('mark')
@@ -280,7 +282,7 @@
         return 'preempted' if self._stop_request else 'lost'
 
     async def _finalize_result(self) -> GangEnd:
-        """Keep the result, write the row, then let the workers forget."""
+        """Store the result, write the row, then release the members."""
         finalization = self._finalization()
         first = self._members.client(self.members[0])
         result_bytes = await finalization.store_result(first)
@@ -334,7 +336,7 @@
         return GangEnd(end=end, stored=self.stored, reason=reason)
 
     def _abandon(self, error: CurranthillError) -> GangEnd:
-        """Leave all as it is: another scheduler decides from here."""
+        """Change nothing further: another scheduler takes over the attempt."""
         logger.bind(
             job=self.attempt_id.job,
             attempt=self.attempt_id.attempt,
@@ -347,8 +349,8 @@
 def next_attempt(job: Job, epoch: int, last: int) -> int:
     """Return an attempt number above all that were used for a job.
 
-    A new leader does not know which numbers an earlier one tried without a
-    mark, so each epoch has a range of its own.
+    A new leader does not know which numbers a previous one used without a
+    start record, so each epoch has a range of its own.
     """
     return max(job.attempt, last, epoch << 20) + 1
 
--- a/src/curranthill/scheduler/health.py
+++ b/src/curranthill/scheduler/health.py
@@ -1,23 +1,24 @@
-"""Workers on which different jobs fail are quarantined, then probed."""
+"""Quarantine, then probation, of workers on which different jobs fail."""
 
 from curranthill.clock import Clock
 from curranthill.settings import PlacementSettings
 
 
 class WorkerHealth:
-    """Judge workers by the different jobs that failed on them in a row."""
+    """Counts the different jobs that failed on each worker in a row."""
 
     def __init__(self, *, clock: Clock, settings: PlacementSettings) -> None:
-        """Start with every worker trusted."""
+        """Initialize with no failure recorded."""
         self._clock = clock
         self._settings = settings
         self._failed_jobs: dict[str, set[str]] = {}
         self._quarantined_until_s: dict[str, float] = {}
 
     def record_failure(self, worker: str, job_id: str) -> bool:
-        """Count a failure; return whether the worker is now quarantined.
+        """Record a failure; return whether the worker is now quarantined.
 
-        A worker that was let back in is on probation: one failure is enough.
+        A worker whose quarantine has ended is on probation: a single failure
+        quarantines it again.
         """
         jobs = self._failed_jobs.setdefault(worker, set())
         jobs.add(job_id)
@@ -31,13 +32,13 @@
         return True
 
     def record_success(self, worker: str) -> None:
-        """Trust a worker again."""
+        """Clear a worker's failures and, after a quarantine, its probation."""
         self._failed_jobs.pop(worker, None)
         if not self.is_quarantined(worker):
             self._quarantined_until_s.pop(worker, None)
 
     def is_quarantined(self, worker: str) -> bool:
-        """Return whether a worker gets no work now."""
+        """Return whether a worker is quarantined and gets no new work."""
         until_s = self._quarantined_until_s.get(worker, 0)
         return self._clock.monotonic_s() < until_s
 
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -1,4 +1,4 @@
-"""Stand for election, and run one term after another."""
+"""Leadership of a data centre: the election and the terms of the leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from curranthill.storage import HostDirectory
 from curranthill.telemetry import metrics
 
-#: How often neighbours are told how full a data centre is, in seconds.
+#: The interval at which the load is published to neighbours, in seconds.
 LOAD_INTERVAL_S = 1.0
 
 
 class Leader:
     """One scheduler's leadership of its data centre.
 
-    :param view: told of the epoch, so that peers find the active scheduler.
+    :param view: publishes the epoch, so that peers find the active scheduler.
     :param notify_moved: notifies a data centre's scheduler of a job that was
         moved to it.
     """
@@ -39,7 +39,7 @@
         view: View,
         notify_moved: Callable[[str, str], None],
     ) -> None:
-        """Start as a standby."""
+        """Initialize as a standby, listening for changes."""
         self._notify_moved = notify_moved
         self.term: Term | None = None
         self.recovered: Recovered | None = None
@@ -55,13 +55,13 @@
         configuration.listen(self._on_configuration)
 
     async def start(self) -> None:
-        """Stand for election from now on."""
+        """Start the election, the scan of open jobs and the load updates."""
         self._app.spawn(self._run(), name='election')
         self._app.spawn(self._scan(), name='scan of open jobs')
         self._app.spawn(self._publish_load(), name='load')
 
     async def stop(self) -> None:
-        """End the term and give the lease up; members run on."""
+        """End the term and release the lease; gang members keep running."""
         await self._end_term()
         await self._context.election.resign()
 
@@ -98,7 +98,7 @@
             except StorageError as error:
                 await term.close()
                 logger.bind(step=error.step, peer=error.peer).warning(
-                    'the open jobs cannot be read yet: {}',
+                    'cannot read the open jobs, retrying: {}',
                     error.message,
                 )
                 await self._app.clock.sleep(1)
@@ -145,7 +145,7 @@
         ]
 
     async def _publish_load(self) -> None:
-        """Tell neighbours now and then how full this data centre is."""
+        """Publish the load of this data centre at an interval."""
         while True:
             await self._app.clock.sleep(LOAD_INTERVAL_S)
             if self.term is not None:
@@ -160,7 +160,7 @@
             self.term.configure()
 
     async def _scan(self) -> None:
-        """Look for jobs whose notification was lost, and delete old ones."""
+        """Read jobs whose notification was lost, and delete expired ones."""
         interval_s = self._context.placement.scan_interval_s
         while True:
             await self._app.clock.sleep(interval_s)
@@ -171,7 +171,7 @@
                 await self._context.store.delete_expired(100)
             except StorageError as error:
                 logger.bind(step=error.step).debug(
-                    'the scan is put off: {}',
+                    'cannot scan the open jobs, retrying later: {}',
                     error.message,
                 )
 
--- a/src/curranthill/scheduler/loader.py
+++ b/src/curranthill/scheduler/loader.py
@@ -1,4 +1,4 @@
-"""Read the rows of jobs that somebody says have changed."""
+"""Reads of the rows of jobs that are reported as changed."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -9,18 +9,18 @@
 from curranthill.errors import StorageError
 from curranthill.jobs import JobStore, Stored
 
-#: Rows read at the same time when many jobs have changed.
+#: The number of rows that are read concurrently.
 MAX_PARALLEL_READS: Final = 16
 
 
 class RowLoader:
-    """Take news at once and read the rows side by side.
+    """Accepts notifications at once and reads the rows concurrently.
 
-    Whoever brings the news is not kept waiting: reading a burst of rows can
-    take longer than its call may.
+    The notifying call does not wait for the reads: a burst of rows can take
+    longer than its timeout.
 
-    :param spawn: runs a task that ends with the term.
-    :param take: told of each row that was read.
+    :param spawn: starts a task that ends with the term.
+    :param on_row: called with each row that was read.
     """
 
     def __init__(
@@ -30,14 +30,14 @@
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         on_row: Callable[[Stored], None],
     ) -> None:
-        """Start with no news."""
+        """Initialize without pending reads."""
         self._store = store
         self._spawn = spawn
         self._on_row = on_row
         self._pending: dict[str, None] = {}
 
     def notify(self, job_ids: Iterable[str]) -> None:
-        """Read some jobs' rows, soon; a job named twice is read once."""
+        """Schedule reads of jobs' rows; a job listed twice is read once."""
         loading = bool(self._pending)
         self._pending.update(dict.fromkeys(job_ids))
         if not loading and self._pending:
@@ -55,7 +55,7 @@
             stored = await self._store.load(job_id)
         except StorageError as error:
             logger.bind(job=job_id, step=error.step).debug(
-                'the row of a job cannot be read: {}',
+                'cannot read the row of a job: {}',
                 error.message,
             )
             return
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -1,4 +1,4 @@
-"""The calls that one attempt makes to the workers of its members."""
+"""Calls to the workers of the members of one attempt."""
 
 import asyncio
 from collections.abc import Iterable
@@ -28,10 +28,10 @@
 
 
 class GangMembers:
-    """Reserve, start, stop and release the members of one attempt.
+    """Reserves, starts, stops and releases the members of one attempt.
 
     :param members: the workers with their slots.
-    :param states: what is known of each member, by worker; changed here.
+    :param states: the known state of each member by worker; updated here.
     :param watches: the watch of each worker by name.
     """
 
@@ -44,8 +44,8 @@
         states: dict[str, str],
         watches: dict[str, WorkerWatch],
     ) -> None:
-        """Keep the members in the order in which they are reserved."""
-        # A fixed order keeps two gangs from holding each other up.
+        """Initialize with the members in their order of reservation."""
+        # A fixed order prevents two gangs from deadlocking.
         self.members = tuple(sorted(members))
         self._context = context
         self._attempt_id = attempt_id
@@ -54,7 +54,7 @@
         self._any_started = False
 
     async def reserve(self) -> tuple[str, ...]:
-        """Reserve all members; return the workers that refused."""
+        """Reserve all members; return the worker that rejected, if any."""
         for member in self.members:
             await self.wait_for_lease('reserve')
             if not await self._reserve(member):
@@ -62,13 +62,13 @@
         return ()
 
     def watch(self, worker: str) -> None:
-        """Let a worker's watch renew the member's lease."""
+        """Have the worker's watch renew the member's lease."""
         watch = self._watches.get(worker)
         if watch is not None:
             watch.add(self._attempt_id)
 
     async def start(self, job: Job) -> bool:
-        """Start all members; return whether each one took the call."""
+        """Start all members; return whether all workers accepted."""
         results = await asyncio.gather(
             *(
                 self._start(rank, member, job)
@@ -82,11 +82,11 @@
         for error in failed:
             if isinstance(error, (FencedError, LeaseLapsedError)):
                 raise error
-            self._log('did not start a member', error)
+            self._log('failed to start a member', error)
         return not failed
 
     async def checkpoint(self) -> str:
-        """Stop all members; return the checkpoint if all gave one."""
+        """Stop all members; return the least checkpoint if all returned one."""
         checkpoints = await asyncio.gather(
             *(self._checkpoint(member) for member in self.members),
         )
@@ -95,21 +95,21 @@
     async def release(self) -> bool:
         """Release all members; return whether any may ever have started.
 
-        A worker that does not answer stops its member by itself once the
-        lease lapses, which nothing renews any more.
+        A worker that does not respond stops its member when the lease
+        expires, which is not renewed any more.
         """
-        answers = await asyncio.gather(
+        may_have_started = await asyncio.gather(
             *(self._release(member) for member in self.members),
         )
-        # A worker that has crashed since answers that it knows of no start:
-        # taken at its word, work that must run once would run again.
-        return self._any_started or any(answers)
+        # A worker that has crashed since reports no start: relying on the
+        # report alone, work that must run at most once would run again.
+        return self._any_started or any(may_have_started)
 
     async def wait_for_lease(self, step: str) -> None:
-        """Wait until the leader's lease holds, margin included.
+        """Wait until the leader's lease is valid, margin included.
 
-        While the table is away the incumbent waits; once another scheduler
-        leads it gives up.
+        During an outage of the table the leader waits; once another scheduler
+        leads, it stops waiting.
 
         :raises LeaseLapsedError: if this process no longer leads.
         """
@@ -136,7 +136,7 @@
         except FencedError:
             raise
         except WorkerError as error:
-            self._log('was refused a reservation', error)
+            self._log('had a reservation rejected', error)
             return False
         self._states[member.worker] = RESERVED
         self.watch(member.worker)
@@ -182,7 +182,10 @@
             return ''
 
     async def _release(self, member: Member) -> bool:
-        """Release one member; True unless it provably never started."""
+        """Release one member; return whether it may ever have started.
+
+        Without a response from its worker it counts as started.
+        """
         watch = self._watches.get(member.worker)
         if watch is not None:
             watch.discard(self._attempt_id)
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -1,4 +1,4 @@
-"""What a new leader does first: fence, ask, read, adopt, release."""
+"""Takeover by a new leader: fence workers, read rows, adopt attempts."""
 
 import asyncio
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 from curranthill.storage import HostEntry
 from curranthill.workers import RUNNING, AttemptId, LeaseReport
 
-#: Workers asked at the same time.
+#: The number of workers that are fenced concurrently.
 MAX_PARALLEL_CALLS = 32
 
 
 class WorkerLeases(NamedTuple):
-    """What the workers hold.
+    """The leases that workers hold.
 
     :param leases: worker name -> its leases by attempt.
-    :param silent: workers that did not answer; they are told nothing yet.
+    :param unresponsive: workers that did not respond and are not fenced yet.
     """
 
     leases: dict[str, dict[AttemptId, LeaseReport]]
@@ -28,7 +28,7 @@
 
 
 class Recovered(NamedTuple):
-    """What a takeover found, for its log line and its measurement."""
+    """The result of a takeover, for its log line and its measurement."""
 
     waiting: int
     resumed: int
@@ -44,8 +44,8 @@
 ) -> Recovered:
     """Fill a new term's state from the workers and the table.
 
-    The workers are fenced before the rows are read, so that whatever an
-    older leader marks later it can no longer start.
+    The workers are fenced before the rows are read, so that a previous leader
+    cannot start what it records later.
 
     :raises FencedError: if a worker has seen a higher epoch.
     :raises StorageError: if the table cannot be read.
@@ -69,7 +69,7 @@
 async def fence_workers(
     context: Context, workers: list[HostEntry]
 ) -> WorkerLeases:
-    """Raise the epoch on each worker and learn its leases in one call."""
+    """Increment the epoch on each worker and get its leases in one call."""
     semaphore = asyncio.Semaphore(MAX_PARALLEL_CALLS)
     replies = await asyncio.gather(
         *(_fence(context, entry, semaphore) for entry in workers),
@@ -85,10 +85,10 @@
 
 
 def member_states(stored: Stored, held: WorkerLeases) -> dict[str, str]:
-    """Return the state of each member as far as its worker said.
+    """Return the state of each member as far as its worker reported it.
 
-    A member on a silent worker counts as running: its watch finds out, and
-    the worker is fenced as soon as it answers.
+    A member on an unresponsive worker counts as running: the watch determines
+    its state, and the worker is fenced as soon as it responds.
     """
     states: dict[str, str] = {}
     for member in stored.job.members:
@@ -105,7 +105,7 @@
 def _restore_jobs(
     term: Term, stored_jobs: list[Stored], held: WorkerLeases
 ) -> set[AttemptId]:
-    """Queue what waits and go on with what was marked; return the latter."""
+    """Queue accepted jobs and resume started attempts; return the latter."""
     resumed: set[AttemptId] = set()
     for stored in stored_jobs:
         if stored.job.state == ACCEPTED:
--- a/src/curranthill/scheduler/roster.py
+++ b/src/curranthill/scheduler/roster.py
@@ -1,4 +1,4 @@
-"""The workers of a term: which there are, which may take work, who watches."""
+"""The workers of a term: which exist and are usable, and their watches."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,17 +13,17 @@
 from curranthill.storage import HostEntry
 from curranthill.workers import LeaseReport
 
-#: Runs a task that ends with the term.
+#: Starts a task that ends with the term.
 Spawn = Callable[[Any], None]
 
 
 class Roster:
-    """Keep the cluster's workers as the host list and the watches say.
+    """Keeps the cluster's workers in line with the host list and the watches.
 
-    :param spawn: runs a watch's task.
-    :param on_member: told of each member's state.
-    :param on_orphan: told of a lease that no gang has.
-    :param on_change: told when workers became usable or unusable.
+    :param spawn: starts a watch's task.
+    :param on_member: called with each member's state.
+    :param on_orphan: called with a lease that no gang has.
+    :param on_change: called when workers became usable or unusable.
     """
 
     def __init__(  # noqa: WPS211
@@ -36,7 +36,7 @@
         on_orphan: Callable[[str, LeaseReport], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Start without workers; watches run from :meth:`begin` on."""
+        """Initialize without workers; watches run from :meth:`begin` on."""
         self.watches: dict[str, WorkerWatch] = {}
         self.health = WorkerHealth(
             clock=context.clock,
@@ -53,20 +53,20 @@
         self._on_change = on_change
         self._polling = False
         self._unresponsive: set[str] = set()
-        # Each source is followed by itself: the host list lags behind what
-        # a worker says, and neither takes back what an operator said.
+        # Each source is tracked separately: the host list lags behind what a
+        # worker reports, and neither revokes the drain by an operator.
         self._listed_draining: set[str] = set()
         self._reported_draining: set[str] = set()
         self._drained: set[str] = set()
 
     def begin(self) -> None:
-        """Poll all workers from now on."""
+        """Start polling all workers."""
         self._polling = True
         for watch in self.watches.values():
             self._spawn(watch.run())
 
     def update(self, entries: list[HostEntry]) -> None:
-        """Take in the host list: new workers, leaving ones, gone ones."""
+        """Apply the host list: new, draining and removed workers."""
         cluster = self._state.cluster
         listed = {entry.host: entry for entry in entries}
         for entry in entries:
@@ -79,7 +79,7 @@
         self.refresh_usable()
 
     def drain(self, name: str) -> bool:
-        """Place no new work on a worker; return whether it is known."""
+        """Stop placing new work on a worker; return whether it is known."""
         if name not in self._state.cluster.workers:
             return False
         self._drained.add(name)
@@ -87,7 +87,7 @@
         return True
 
     def refresh_usable(self) -> None:
-        """Say which workers may take work, and plan promises anew."""
+        """Update which workers are usable, and repair the guarantee plan."""
         changed = False
         for worker in self._state.cluster.workers.values():
             usable = self._is_usable(worker)
@@ -104,7 +104,7 @@
             self._on_change()
 
     def record_failure(self, worker: str, job_id: str) -> None:
-        """Count a task's failure against its worker."""
+        """Record a task's failure on its worker."""
         if self.health.record_failure(worker, job_id):
             logger.bind(step='health', peer=worker).warning(
                 '{} is quarantined: different jobs fail on it',
@@ -166,7 +166,7 @@
 
 
 def _set_membership(names: set[str], name: str, included: bool) -> bool:
-    """Have a name in a set or not; return whether that is a change."""
+    """Add or remove a name in a set; return whether the set changed."""
     if (name in names) == included:
         return False
     names.symmetric_difference_update((name,))
--- a/src/curranthill/scheduler/service.py
+++ b/src/curranthill/scheduler/service.py
@@ -1,4 +1,4 @@
-"""What a scheduler answers to gateways and operators."""
+"""The RPC service of a scheduler for gateways and operators."""
 
 from typing import Any
 
@@ -19,12 +19,12 @@
 
 
 class SchedulerService(SchedulerBase):
-    """Serve the inner protocol of a scheduler.
+    """Serves the inner protocol of a scheduler.
 
-    A standby answers every call with "unavailable", so that a caller looks
-    for the active one again.
+    A standby responds to every call with "unavailable", so that the caller
+    looks up the active scheduler again.
 
-    :param gateways: the most gateways that a data centre may have.
+    :param gateways: the maximum number of gateways of a data centre.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         view: View,
         gateways: int,
     ) -> None:
-        """Keep the parts."""
+        """Initialize without grants."""
         self._leader = leader
         self._context = context
         self._configuration = configuration
@@ -46,7 +46,7 @@
         self._granting: Term | None = None
 
     async def Notify(self, stream: Any) -> None:  # noqa: N802
-        """Read the rows of some jobs now."""
+        """Schedule reads of the rows of changed jobs."""
         request = await stream.recv_message()
         term = self._term()
         term.notify(request.job_ids)
@@ -54,14 +54,14 @@
         await stream.send_message(inner_pb2.NotifyReply(epoch=epoch))
 
     async def Report(self, stream: Any) -> None:  # noqa: N802
-        """Take in a gateway's demand; answer with its allotment."""
+        """Record a gateway's demand and respond with its allotment."""
         request = await stream.recv_message()
         term = self._term()
         term.quick.record_demand(request.gateway, request.most_in_flight)
         await stream.send_message(self._allot(term, request.gateway))
 
     async def Explain(self, stream: Any) -> None:  # noqa: N802
-        """Say where a job stands."""
+        """Respond with an explanation of a job's state."""
         request = await stream.recv_message()
         lines = self._term().explain(request.job_id)
         await stream.send_message(
@@ -69,7 +69,7 @@
         )
 
     async def Drain(self, stream: Any) -> None:  # noqa: N802
-        """Place no new work on a worker."""
+        """Stop placing new work on a worker."""
         request = await stream.recv_message()
         accepted = self._term().roster.drain(request.host)
         await stream.send_message(inner_pb2.DrainReply(accepted=accepted))
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -1,7 +1,7 @@
-"""One term of leadership: what a scheduler does from takeover to its end.
+"""One term of leadership, from the takeover to its end.
 
-Everything here is soft state. A term begins by reading the open jobs and by
-asking the workers what they hold; when it ends, all of it is thrown away.
+All of its state is soft: a term begins by reading the open jobs from the table
+and the leases from the workers; when it ends, the state is discarded.
 """
 
 import asyncio
@@ -27,19 +27,20 @@
 from curranthill.telemetry import metrics
 from curranthill.workers import AttemptId, LeaseReport
 
-#: How often the queue is looked at when nothing happens, in seconds.
+#: The interval of placement passes when no event triggers one, in seconds.
 TICK_S: Final = 0.5
 
-#: The longest wait of a job whose reservation was refused, in seconds.
+#: The maximum delay until a job that was not started is queued again, in
+#: seconds.
 _RETRY_S: Final = 0.5
 
 
 class Term:
-    """Place, run and settle jobs while this scheduler leads.
+    """Places, runs and finalizes jobs while this scheduler leads.
 
     :param context: interfaces and settings.
-    :param policy: who gets which place.
-    :param data_centre: the data centre that is led.
+    :param policy: decides which jobs are placed, and where.
+    :param data_centre: the data centre to lead.
     :param neighbours: returns the region's other active schedulers.
     :param notify_moved: notifies a data centre's scheduler of a job that was
         moved to it.
@@ -95,14 +96,14 @@
         )
 
     async def close(self) -> None:
-        """Drop everything; running members go on under their leases."""
+        """Cancel all tasks; running members continue under their leases."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def begin(self) -> None:
-        """Place jobs from now on; recovery has filled the state."""
+        """Start placing jobs, once recovery has filled the state."""
         self.configure()
         self.state.plan.repair()
         self.roster.begin()
@@ -110,11 +111,11 @@
         self._spawn(self._tick())
 
     def update_workers(self) -> None:
-        """Take in the host list as it is now."""
+        """Apply the current host list."""
         self.roster.update(self._directory.workers(self._data_centre))
 
     def configure(self) -> None:
-        """Take over the weights and promises of the revision in force."""
+        """Apply the weights and guarantees of the revision in force."""
         document = self._configuration.document
         self.state.weights = {
             name: workspace.weight
@@ -128,7 +129,7 @@
         self._wake.set()
 
     def submit(self, stored: Stored) -> None:
-        """Let an accepted job wait for its place."""
+        """Queue an accepted job."""
         job = stored.job
         if job.job_id in self.gangs or job.job_id in self.state.queue:
             return
@@ -139,16 +140,16 @@
         self._wake.set()
 
     def notify(self, job_ids: Iterable[str]) -> None:
-        """Read jobs that somebody says have changed, soon."""
+        """Schedule reads of the rows of jobs that are reported as changed."""
         self._loader.notify(job_ids)
 
     async def scan(self) -> None:
-        """Read all open rows, for jobs of which no news arrived."""
+        """Read all open rows, for jobs whose notification was lost."""
         for stored in await self._context.store.scan_open(self._data_centre):
             self._process_row(stored)
 
     def resume(self, stored: Stored, states: dict[str, str]) -> None:
-        """Go on with an attempt that an earlier leader had marked."""
+        """Resume an attempt whose start a previous leader recorded."""
         job = stored.job
         self.state.adopt(job, self._context.clock.monotonic_s())
         gang = self._gang(stored, job.members, job.attempt)
@@ -157,7 +158,7 @@
         self._spawn(self._finish(gang, gang.resume(states)))
 
     def explain(self, job_id: str) -> list[str]:
-        """Say in plain sentences where a job stands."""
+        """Return plain sentences on the state of a job."""
         gang = self.gangs.get(job_id)
         if gang is not None:
             places = ', '.join(
@@ -171,7 +172,7 @@
         )
 
     def release_orphan(self, worker: str, lease: LeaseReport) -> None:
-        """Give back a lease that no job of this term has."""
+        """Release a lease that belongs to no job of this term."""
         self._spawn(self._release(worker, lease.attempt_id))
 
     def _on_member(self, update: MemberUpdate) -> bool:
@@ -206,30 +207,30 @@
             self._wake.set()
 
     async def _move(self, move: Move) -> None:
-        """Give a waiting job to a data centre that has room for it now."""
+        """Move a waiting job to a data centre with free capacity for it."""
         job_id = move.job_id
         waiting = self.state.queue.remove(job_id)
         stored = self._known.pop(job_id, None)
         if waiting is None or stored is None:
             return
         logger.bind(job=job_id, step='offload', peer=move.data_centre).info(
-            'goes to {}, which has room: {}',
+            'moves to {}, which has free capacity: {}',
             move.data_centre,
             move.reason,
         )
         try:
             await self._context.store.move(stored, move.data_centre)
         except StorageError:
-            # Whether it moved or not, its row tells.
+            # The move may have been written or not: read the row again.
             await self._submit_later(stored)
             return
         self._notify_moved(move.data_centre, job_id)
 
     def _full_rack_is_wanted(self) -> bool:
-        """Return whether a job wants a rack that the reserve stands in.
+        """Return whether a job needs a full rack, quick reserve included.
 
-        Such a job can only run while no slot is kept for quick work, which
-        goes to the region's other data centres meanwhile.
+        Such a job can only run while no slot is reserved for quick work, which
+        the region's other data centres serve meanwhile.
         """
         widest = max(
             (
@@ -248,7 +249,7 @@
             await self._wake.wait()
             self._wake.clear()
             if self._context.election.lease_left_s() <= 0:
-                # Without the table nothing can be marked: place nothing.
+                # Without the table no start can be recorded: place nothing.
                 await self._context.clock.sleep(TICK_S)
                 self._wake.set()
                 continue
@@ -269,11 +270,11 @@
             step='place',
             peer=','.join(member.worker for member in decision.members),
         ).info(
-            'placed {} accelerators ({}): {}; stops {}',
+            'placed {} accelerators ({}): {}; preempts {}',
             job.slots,
             decision.reason,
             [(member.worker, member.slots) for member in decision.members],
-            list(decision.victims) or 'nobody',
+            list(decision.victims) or 'none',
         )
         waits = self._preempt(decision.victims, f'for {job.job_id}')
         attempt = next_attempt(
@@ -293,7 +294,7 @@
         for victim in victims:
             metrics.preemptions.add(1)
             gang = self.gangs[victim]
-            logger.bind(job=victim, step='preempt').info('stops {}', reason)
+            logger.bind(job=victim, step='preempt').info('preempted {}', reason)
             gang.preempt()
             waits.append(gang.stopped)
         return waits
@@ -345,7 +346,7 @@
             self.submit(end.stored)
 
     async def _submit_later(self, stored: Stored) -> None:
-        """Let a job wait again after a moment, its row read afresh."""
+        """Queue a job again after a delay, with its row read again."""
         job_id = stored.job.job_id
         while job_id not in self.state.queue and job_id not in self.gangs:
             delay_s = random.uniform(_RETRY_S / 2, _RETRY_S)  # noqa: S311
@@ -383,7 +384,7 @@
             await client.release(self._context.election.token, attempt_id)
         except WorkerError as error:
             logger.bind(job=attempt_id.job, step=error.step, peer=worker).debug(
-                'an orphan stays until its lease lapses: {}',
+                'an orphaned lease remains until it expires: {}',
                 error.message,
             )
 
@@ -395,7 +396,7 @@
     def _forget(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.opt(exception=task.exception()).error('a task ended')
+            logger.opt(exception=task.exception()).error('a task failed')
 
 
 __all__ = ('TICK_S', 'Term')
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -1,4 +1,4 @@
-"""One task for each worker: it renews leases and takes in what ended."""
+"""The polling task of each worker: it renews leases and collects states."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -18,15 +18,15 @@
     WorkerReport,
 )
 
-#: The state of a member whose worker is gone or knows nothing of it.
+#: The state of a member whose worker is unresponsive or lacks its lease.
 LOST: Final = 'lost'
 
-#: Waits between polls of a worker that does not answer, in seconds.
+#: The delay between polls of an unresponsive or draining worker, in seconds.
 _RETRY_S: Final = 0.5
 
 
 class MemberUpdate(NamedTuple):
-    """What a watch learnt of one member."""
+    """The state of one gang member as learned by a watch."""
 
     worker: str
     attempt_id: AttemptId
@@ -36,11 +36,14 @@
 
 
 class WatchListener(NamedTuple):
-    """Who is told of what a watch learns.
-
-    :param on_member: a member's state; True if somebody wants to know.
-    :param on_orphan: a lease that no gang of this scheduler has.
-    :param on_contact: whether the worker answers, and whether it leaves.
+    """Callbacks of a watch.
+
+    :param on_member: called with a member's state; returns whether a gang of
+        this scheduler has the member.
+    :param on_orphan: called with a worker and a lease that no gang of this
+        scheduler has.
+    :param on_contact: called with a worker, whether it responds and whether it
+        is draining.
     """
 
     on_member: Callable[[MemberUpdate], bool]
@@ -49,10 +52,10 @@
 
 
 class WorkerWatch:
-    """Poll one worker, straight down, for as long as this process leads.
+    """Polls one worker for as long as this process leads.
 
     :param name: the worker's name.
-    :param address: where it answers.
+    :param address: the address of its API.
     """
 
     def __init__(
@@ -63,7 +66,7 @@
         context: Context,
         listener: WatchListener,
     ) -> None:
-        """Start with no attempt to renew."""
+        """Initialize without leases to renew."""
         self.name = name
         self._client = context.worker_at(address)
         self._context = context
@@ -75,16 +78,16 @@
         self._last_contact_s = context.clock.monotonic_s()
 
     def add(self, attempt_id: AttemptId) -> None:
-        """Renew an attempt's lease from now on."""
+        """Start renewing an attempt's lease."""
         self._live.add(attempt_id)
 
     def discard(self, attempt_id: AttemptId) -> None:
-        """Renew an attempt's lease no longer."""
+        """Stop renewing an attempt's lease."""
         self._live.discard(attempt_id)
         self._ended.discard(attempt_id)
 
     def close(self) -> None:
-        """Stop polling: the worker is gone for good."""
+        """Stop polling: the worker has been removed."""
         self._closed = True
 
     async def run(self) -> None:
@@ -108,11 +111,11 @@
             self._last_renewed = renewed
             self._process(report)
             if report.leaving:
-                # A leaving worker answers at once; do not spin.
+                # A draining worker responds at once: avoid a busy loop.
                 await self._context.clock.sleep(_RETRY_S)
 
     async def _poll(self, renewed: frozenset[AttemptId]) -> WorkerReport:
-        """Poll, naming the attempts only if they are not those of last time."""
+        """Poll; list the attempts only if they changed since the last poll."""
         leases = self._context.leases
         return await self._client.poll(
             self._context.election.token,
@@ -126,7 +129,9 @@
         reported = {lease.attempt_id: lease for lease in report.leases}
         for attempt_id in report.unknown:
             if attempt_id in self._live:
-                self._report(attempt_id, LOST, 'The worker forgot its lease.')
+                self._report(
+                    attempt_id, LOST, 'The worker does not have its lease.'
+                )
         for attempt_id, lease in reported.items():
             update = MemberUpdate(
                 worker=self.name,
@@ -145,16 +150,16 @@
     def _on_no_response(self, error: WorkerError) -> None:
         silent_s = self._context.clock.monotonic_s() - self._last_contact_s
         logger.bind(step=error.step, peer=self.name).debug(
-            'no answer for {:.1f} s: {}',
+            'no response for {:.1f} s: {}',
             silent_s,
             error.message,
         )
         if silent_s < self._context.leases.member_term_s:
             return
-        # By now the worker has stopped what it held: the leases lapsed.
+        # The worker has stopped its members by now, as their leases expired.
         self._listener.on_contact(self.name, False, False)
         for attempt_id in tuple(self._live):
-            self._report(attempt_id, LOST, 'The worker does not answer.')
+            self._report(attempt_id, LOST, 'The worker does not respond.')
 
     def _report(self, attempt_id: AttemptId, state: str, reason: str) -> None:
         self._live.discard(attempt_id)
