--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -1,25 +1,26 @@
-"""Workers kept for gangs that wait, and what may fill them meanwhile."""
+"""Reservation of workers for waiting gangs, with backfill."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import Rack, WorkerState
-from curranthill.scheduler.search import Barred
-from curranthill.scheduler.turns import WorkerTurns
+from curranthill.scheduler.reservation_windows import WorkerReservationWindows
+from curranthill.scheduler.search import ExcludedWorkers
+from curranthill.scheduler.state import SchedulerState
 
-#: The most jobs for which workers are kept at the same time.
-MOST_KEPT = 4
+#: The maximum number of jobs with reserved workers at the same time.
+MAX_RESERVATIONS = 4
 
-#: The part of the workers that stays open beside the first reservation.
-OPEN_SHARE = 0.75
+#: The minimum share of all workers that stays unreserved, except that the first
+#: reservation may exceed it.
+MIN_UNRESERVED_SHARE = 0.75
 
 _NEVER = float('inf')
 
 
 class Reservation(NamedTuple):
-    """Workers of one rack kept for a job until it is expected to fit."""
+    """Workers of one rack reserved for a job until it is expected to fit."""
 
     job_id: str
     rack: str
@@ -28,91 +29,114 @@
 
 
 class Reservations:
-    """Workers on which waiting gangs are expected to fit first.
+    """Reserved workers, on which waiting gangs are expected to fit first.
 
-    Later jobs may use a kept worker only if they are expected to end by then
-    (backfill). The rest of the rack stays open to everybody, and at least
-    three quarters of all workers do, unless the first gang needs more.
+    Other jobs may use a reserved worker only if they are expected to end
+    before the gang starts (backfill). A reservation covers workers, not the
+    rest of their rack, although :func:`find_place` skips the whole rack. At
+    least three quarters of all workers stay unreserved, unless the first gang
+    needs more.
 
-    Only slots that no promise covers are counted on: a worker that drains
-    for a gang into a guarantee's hands would never be free for it.
+    Only unguaranteed slots are counted: a guarantee could claim other slots as
+    soon as they are drained, and they would never be free for the gang.
 
-    A worker that was kept in vain for its turn is open to everybody for as
-    long: work on it, or on those kept with it, may outlast its estimate.
+    A worker that was reserved in vain for its window is open to all jobs for
+    as long (cooldown): work on it, or on the workers reserved with it, may
+    outlast its estimate.
     """
 
     def __init__(self) -> None:
-        """Start with no worker kept."""
-        self._kept: dict[str, Reservation] = {}
-        self._turns = WorkerTurns()
+        """Initialize without reservations."""
+        self._reservations: dict[str, Reservation] = {}
+        self._windows = WorkerReservationWindows()
 
     @property
     def full(self) -> bool:
-        """Return whether no more jobs can be given workers."""
-        return len(self._kept) >= MOST_KEPT
+        """Return whether the maximum number of reservations is reached."""
+        return len(self._reservations) >= MAX_RESERVATIONS
 
     def clear(self, now_s: float) -> None:
-        """Keep no worker any more."""
-        kept = [one.workers for one in self._kept.values()]
-        self._turns.forget_except(frozenset().union(*kept), now_s)
-        self._kept.clear()
-
-    def started(self, job_id: str, members: Iterable[Member]) -> None:
-        """Keep no worker any more for a job that has a place now."""
-        reservation = self._kept.pop(job_id, None)
+        """Drop all reservations; windows and cooldowns of workers continue."""
+        reserved = [one.workers for one in self._reservations.values()]
+        self._windows.drop_except(frozenset().union(*reserved), now_s)
+        self._reservations.clear()
+
+    def on_placed(self, job_id: str, members: Iterable[Member]) -> None:
+        """Drop the reservation of a job that has been placed."""
+        reservation = self._reservations.pop(job_id, None)
         if reservation is not None:
             used = {member.worker for member in members}
-            self._turns.end(reservation.workers & used)
+            self._windows.end(reservation.workers & used)
 
     def get(self, job_id: str) -> Reservation | None:
-        """Return what is kept for a job."""
-        return self._kept.get(job_id)
-
-    def keep_for(self, board: Board, job: Job, now_s: float) -> None:
-        """Keep the workers on which a job will fit first, if any are left."""
-        taken = self.barred(self._kept)
-        closed = _with_workers(board, taken, self._turns.pausing(now_s))
+        """Return the reservation of a job."""
+        return self._reservations.get(job_id)
+
+    def reserve_for(
+        self, state: SchedulerState, job: Job, now_s: float
+    ) -> None:
+        """Reserve the workers on which a job will fit first, if possible."""
+        reserved_workers = self.reserved_workers(self._reservations)
+        excluded = _with_workers(
+            state, reserved_workers, self._windows.cooling_down(now_s)
+        )
         best: Reservation | None = None
-        for name, rack in board.cluster.racks.items():
-            found = _in_rack(board, rack, job, closed.get(name))
+        for name, rack in state.cluster.racks.items():
+            found = _in_rack(state, rack, job, excluded.get(name))
             if found and (best is None or found.until_s < best.until_s):
                 best = found
         if best is None or best.until_s == _NEVER:
             return
-        kept = sum(len(workers) for workers in taken.values())
-        open_after = len(board.cluster.workers) - kept - len(best.workers)
-        if not self._kept or open_after >= OPEN_SHARE * len(
-            board.cluster.workers,
+        reserved = sum(len(workers) for workers in reserved_workers.values())
+        unreserved_after = (
+            len(state.cluster.workers) - reserved - len(best.workers)
+        )
+        if (
+            not self._reservations
+            or unreserved_after
+            >= MIN_UNRESERVED_SHARE
+            * len(
+                state.cluster.workers,
+            )
         ):
             until_s = max(now_s, best.until_s)
-            self._kept[job.job_id] = best._replace(until_s=until_s)
-            self._turns.begin(best.workers, now_s, until_s - now_s)
-
-    def before(self, board: Board, job: Job, now_s: float) -> frozenset[str]:
-        """Return the jobs whose kept workers a job may not use."""
-        if not self._kept:
+            self._reservations[job.job_id] = best._replace(until_s=until_s)
+            self._windows.begin(best.workers, now_s, until_s - now_s)
+
+    def blocking_jobs(
+        self,
+        state: SchedulerState,
+        job: Job,
+        now_s: float,
+    ) -> frozenset[str]:
+        """Return the jobs whose reserved workers a job may not use."""
+        if not self._reservations:
             return frozenset()
-        ends_s = now_s + board.run_time_s(job)
+        end_s = now_s + state.run_time_s(job)
         return frozenset(
             job_id
-            for job_id, reservation in self._kept.items()
-            if job_id != job.job_id and ends_s > reservation.until_s
+            for job_id, reservation in self._reservations.items()
+            if job_id != job.job_id and end_s > reservation.until_s
         )
 
-    def barred(self, before: Iterable[str]) -> Barred:
-        """Return the workers that are kept for some jobs, by rack."""
-        barred: dict[str, frozenset[str]] = {}
-        for job_id in before:
-            reservation = self._kept[job_id]
-            others = barred.get(reservation.rack, frozenset())
-            barred[reservation.rack] = others | reservation.workers
-        return barred
-
-
-def _with_workers(board: Board, barred: Barred, names: Iterable[str]) -> Barred:
-    """Return barred workers, by rack, with some more of them."""
-    workers = board.cluster.workers
-    more = dict(barred)
+    def reserved_workers(self, blocking_jobs: Iterable[str]) -> ExcludedWorkers:
+        """Return the workers that are reserved for some jobs, by rack."""
+        excluded: dict[str, frozenset[str]] = {}
+        for job_id in blocking_jobs:
+            reservation = self._reservations[job_id]
+            others = excluded.get(reservation.rack, frozenset())
+            excluded[reservation.rack] = others | reservation.workers
+        return excluded
+
+
+def _with_workers(
+    state: SchedulerState,
+    excluded: ExcludedWorkers,
+    names: Iterable[str],
+) -> ExcludedWorkers:
+    """Return excluded workers by rack, extended by more workers."""
+    workers = state.cluster.workers
+    more = dict(excluded)
     for worker in filter(None, map(workers.get, names)):
         others = more.get(worker.rack, frozenset())
         more[worker.rack] = others | {worker.name}
@@ -120,61 +144,61 @@
 
 
 def _in_rack(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
-    closed: frozenset[str] | None,
+    excluded: frozenset[str] | None,
 ) -> Reservation | None:
     """Return the workers of a rack on which a job would fit first."""
-    memo_key = (job.slots, job.adjacent)
-    if closed is None and memo_key in rack.memo:
-        found: Reservation | None = rack.memo[memo_key]
+    cache_key = (job.slots, job.adjacent)
+    if excluded is None and cache_key in rack.cache:
+        found: Reservation | None = rack.cache[cache_key]
         return found and found._replace(job_id=job.job_id)
-    able = [
+    eligible = [
         worker
         for worker in rack.workers
-        if worker.usable and not (closed and worker.name in closed)
+        if worker.usable and not (excluded and worker.name in excluded)
     ]
-    found = _first_fitting(board, rack, job, able)
-    if closed is None:
-        rack.memo[memo_key] = found
+    found = _first_fitting(state, rack, job, eligible)
+    if excluded is None:
+        rack.cache[cache_key] = found
     return found
 
 
 def _first_fitting(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
-    able: list[WorkerState],
+    eligible: list[WorkerState],
 ) -> Reservation | None:
-    widest = max((worker.unpromised for worker in able), default=0)
-    if job.slots <= widest:
+    max_on_worker = max((worker.unguaranteed for worker in eligible), default=0)
+    if job.slots <= max_on_worker:
         until_s, name = min(
-            (_has_free_at_s(board, worker, job.slots), worker.name)
-            for worker in able
-            if worker.unpromised >= job.slots
+            (_free_at_s(state, worker, job.slots), worker.name)
+            for worker in eligible
+            if worker.unguaranteed >= job.slots
         )
         return Reservation(job.job_id, rack.name, frozenset((name,)), until_s)
-    total = sum(worker.unpromised for worker in able)
+    total = sum(worker.unguaranteed for worker in eligible)
     if job.adjacent == 'worker' or total < job.slots:
         return None
-    return _whole_workers(board, rack, job, able)
+    return _whole_workers(state, rack, job, eligible)
 
 
 def _whole_workers(
-    board: Board,
+    state: SchedulerState,
     rack: Rack,
     job: Job,
-    able: list[WorkerState],
+    eligible: list[WorkerState],
 ) -> Reservation | None:
-    """Take the workers that are wholly free first until they are enough."""
+    """Reserve the workers that are entirely free first until they suffice."""
     times = sorted(
         (
-            _has_free_at_s(board, worker, worker.unpromised),
+            _free_at_s(state, worker, worker.unguaranteed),
             worker.name,
-            worker.unpromised,
+            worker.unguaranteed,
         )
-        for worker in able
+        for worker in eligible
     )
     names: list[str] = []
     missing = job.slots
@@ -182,21 +206,25 @@
         names.append(name)
         missing -= capacity
         if missing <= 0:
-            kept = frozenset(names)
-            return Reservation(job.job_id, rack.name, kept, until_s)
+            reserved = frozenset(names)
+            return Reservation(job.job_id, rack.name, reserved, until_s)
     return None
 
 
-def _has_free_at_s(board: Board, worker: WorkerState, slots: int) -> float:
-    """Return when a worker is expected to have so many slots free."""
+def _free_at_s(
+    state: SchedulerState,
+    worker: WorkerState,
+    slots: int,
+) -> float:
+    """Return when a worker is expected to have this many free slots."""
     free = worker.free
     if free >= slots:
         return 0
-    for end_s, freed in board.ends_on(worker):
+    for end_s, freed in state.expected_ends_on(worker):
         free += freed
         if free >= slots:
             return end_s
     return _NEVER
 
 
-__all__ = ('MOST_KEPT', 'Reservation', 'Reservations')
+__all__ = ('MAX_RESERVATIONS', 'Reservation', 'Reservations')
