--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -15,19 +15,19 @@
 from curranthill.storage.records import Check, Transaction, Write
 from curranthill.telemetry.metrics import metrics
 
-#: How often a lost reply is looked into before the caller is told so.
+#: Number of attempts to resolve a lost reply before the caller gets the error.
 READ_BACK_ATTEMPTS = 4
 
-#: The first wait between two looks, in seconds; it doubles each time.
+#: Delay before the first read-back, in seconds; it doubles each time.
 READ_BACK_DELAY_S = 0.05
 
 
 class Committer:
-    """Write transactions so that each is known to have applied once.
+    """Commits transactions exactly once, also if a reply is lost.
 
     :param table: the platform's table.
-    :param clock: the clock of the waits between two looks.
-    :param rate_limiter: bounds the writes; without one they pass at once.
+    :param clock: the clock of the delays between read-backs.
+    :param rate_limiter: limits the writes; without one they are not delayed.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         clock: Clock,
         rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
-        """Keep the table and the clock."""
+        """Initialize without any write under way."""
         self._rate_limiter = rate_limiter
         self._table = table
         self._clock = clock
@@ -49,13 +49,13 @@
     ) -> dict[str, int]:
         """Apply the writes and return the new versions by key.
 
-        A repeat carries the same operation id and the same expected
-        versions, so the first try landing late makes the repeat conflict
-        with its own id, which counts as done.
+        A retry carries the same operation id and the same expected versions.
+        If the first attempt is applied late, the retry conflicts with a row
+        that carries its own id, which counts as success.
 
         :raises ConflictError: if another writer was first.
         :raises NotSentError: if nothing was written.
-        :raises ReplyLostError: if the effect could not be learnt.
+        :raises ReplyLostError: if the effect could not be determined.
         """
         transaction = Transaction(
             operation_id=uuid.uuid4().hex,
@@ -92,14 +92,14 @@
         self,
         transaction: Transaction,
     ) -> dict[str, int] | None:
-        """Return the versions if applied; else repeat the same intent."""
+        """Return the new versions; retry the transaction if not applied."""
         versions = await self._applied(transaction)
         if versions is not None:
             return versions
         try:
             return await self._table.transact(transaction)
         except ConflictError:
-            # The first try may have landed between the look and the repeat.
+            # The first attempt may be applied between read-back and retry.
             versions = await self._applied(transaction)
             if versions is None:
                 raise
@@ -108,8 +108,8 @@
     async def _applied(self, transaction: Transaction) -> dict[str, int] | None:
         """Return the new versions if this transaction has been applied.
 
-        A row written again since would hide the id, so each write of a
-        transaction names at least one row that only its holder rewrites.
+        A row that was rewritten since no longer shows the operation id, so
+        each transaction writes at least one row that only its owner rewrites.
         """
         versions: dict[str, int] = {}
         for write in transaction.writes:
--- a/src/curranthill/storage/directory.py
+++ b/src/curranthill/storage/directory.py
@@ -1,4 +1,4 @@
-"""The platform's host list as a process last read it."""
+"""Caches the platform's host list."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,10 @@
 
 
 class HostDirectory:
-    """Keep the last host list; it stays in force while the platform is away.
+    """Caches the last host list, also while the platform is unavailable.
 
     :param interval_s: the time between two reads.
-    :param data_centre: whose hosts are read; all if empty.
+    :param data_centre: the data centre whose hosts are read; all if empty.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         interval_s: float,
         data_centre: str = '',
     ) -> None:
-        """Start with an empty list."""
+        """Initialize with an empty list."""
         self.entries: dict[str, HostEntry] = {}
         self._app = app
         self._host_list = host_list
@@ -35,11 +35,11 @@
         self._listeners: list[Listener] = []
 
     def listen(self, listener: Listener) -> None:
-        """Call ``listener`` after each list that differs from the last."""
+        """Call ``listener`` whenever the list has changed."""
         self._listeners.append(listener)
 
     def workers(self, data_centre: str) -> list[HostEntry]:
-        """Return the workers of a data centre, the leaving ones included."""
+        """Return the workers of a data centre, including draining ones."""
         return [
             entry
             for entry in self.entries.values()
@@ -47,17 +47,17 @@
         ]
 
     async def start(self) -> None:
-        """Read the list once, then now and then."""
+        """Read the list once, then periodically."""
         await self.refresh()
         self._app.spawn(self._poll(), name='host list')
 
     async def refresh(self) -> None:
-        """Read the list; if the platform is away the last one stays."""
+        """Read the list; keep the last one if the platform is unavailable."""
         try:
             entries = await self._host_list.hosts(self._data_centre)
         except StorageError as error:
             logger.bind(step=error.step, peer=error.peer).debug(
-                'the host list cannot be read: {}',
+                'cannot read the host list: {}',
                 error.message,
             )
             return
--- a/src/curranthill/storage/follower.py
+++ b/src/curranthill/storage/follower.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store: all rows first, then what changes."""
+"""Follows a table of the store: a snapshot first, then its change feed."""
 
 from collections.abc import Callable
 from typing import Final, Protocol
@@ -12,21 +12,21 @@
 )
 from curranthill.telemetry.events import events
 
-#: How long one reading of a feed waits at the store, in seconds. A reading that
-#: was lost is found out only after its wait.
+#: How long one read of a feed waits at the store, in seconds. A lost read is
+#: noticed only after this wait.
 FEED_WAIT_S: Final = 1.0
 
-#: The pause after a failed reading, in seconds.
+#: Delay after a failed read, in seconds.
 RETRY_S: Final = 0.2
 
 RowsCallback = Callable[[tuple[StoredRow, ...]], None]
 
-#: Is given a moment: all that was changed before it is known now.
+#: Is called with a time: all changes before it have been received.
 TimeCallback = Callable[[float], None]
 
 
 class TableSource(Protocol):
-    """What a follower asks of a :class:`RowStore`."""
+    """The part of a :class:`RowStore` that a follower uses."""
 
     async def scan(self, table: str) -> RowChanges:
         """Return all rows of a table."""
@@ -37,19 +37,19 @@
         after: int,
         wait_s: float,
     ) -> RowChanges:
-        """Return changes past a version, waiting for the first one."""
+        """Return changes after a version, waiting for the first one."""
 
 
 class TableFollower:
-    """Reads a table anew whenever the feed's history is lost.
+    """Follows a table; reads it whole again if the feed's history is lost.
 
-    :param on_snapshot: is given all rows of the table.
-    :param on_changes: is given changed and removed rows, in order.
+    :param on_snapshot: is called with all rows of the table.
+    :param on_changes: is called with changed and removed rows, in order.
     :param on_confirmed: is called after each read, once its rows are handed
         on, with the time up to which the table is known, in seconds of the
         clock.
-    :param gather_s: how long changes are gathered at the store after some
-        were read, in seconds; the first change after a rest comes at once.
+    :param gather_s: how long changes are batched at the store after some were
+        read, in seconds; the first change after an idle time is not delayed.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         on_confirmed: TimeCallback | None = None,
         gather_s: float = 0.0,
     ) -> None:
-        """Start with nothing read."""
+        """Initialize with nothing read."""
         self._store = store
         self._clock = clock
         self._table = table
@@ -72,35 +72,35 @@
         self._on_confirmed = on_confirmed
         self._gather_s = gather_s
         self._version = 0
-        self._readings = 0
+        self._snapshots = 0
         self._failures = 0
-        self._asks_at_once = False
+        self._skips_wait = False
 
     async def read(self) -> None:
         """Read the whole table; return once it is read."""
         while True:
-            asked_s = self._clock.monotonic_s()
+            requested_s = self._clock.monotonic_s()
             try:
                 listed = await self._store.scan(self._table)
             except StorageError as error:
-                await self._wait_after(error)
+                await self._back_off(error)
                 continue
-            self._answered()
+            self._record_reply()
             if listed.version < self._version:
-                # The feed is ahead of it: what it told would be undone.
+                # Older than the feed: it would undo changes already applied.
                 continue
             self._version = listed.version
-            self._readings += 1
+            self._snapshots += 1
             self._on_snapshot(listed.rows)
-            self._note_known(asked_s)
+            self._confirm_until(requested_s)
             return
 
     async def follow(self) -> None:
-        """Take changes as they come, until cancelled."""
+        """Apply changes as they arrive, until cancelled."""
         while True:
-            asked_s = self._clock.monotonic_s()
-            readings = self._readings
-            wait_s = self._wait_s()
+            requested_s = self._clock.monotonic_s()
+            snapshots = self._snapshots
+            wait_s = self._next_wait_s()
             try:
                 changes = await self._store.changes(
                     self._table,
@@ -112,25 +112,23 @@
                 await self.read()
                 continue
             except StorageError as error:
-                await self._wait_after(error)
+                await self._back_off(error)
                 continue
-            self._answered()
-            if readings != self._readings:
-                # The table was read meanwhile, and may be newer than this.
+            self._record_reply()
+            if snapshots != self._snapshots:
+                # A snapshot was read meanwhile and may be newer than this.
                 continue
-            self._take(changes)
+            self._apply(changes)
             if changes.rows:
-                self._note_known(asked_s)
+                self._confirm_until(requested_s)
                 await self._gather()
             else:
-                # Nothing changed before the end of the wait.
-                self._note_known(asked_s + wait_s)
+                # Nothing changed until the end of the wait.
+                self._confirm_until(requested_s + wait_s)
 
-    def _take(self, changes: RowChanges) -> None:
+    def _apply(self, changes: RowChanges) -> None:
         self._version = max(self._version, changes.version)
-        self._asks_at_once = (
-            bool(changes.rows) and self._on_confirmed is not None
-        )
+        self._skips_wait = bool(changes.rows) and self._on_confirmed is not None
         if changes.rows:
             self._on_changes(changes.rows)
 
@@ -138,22 +136,23 @@
         if self._gather_s:
             await self._clock.sleep(self._gather_s)
 
-    def _wait_s(self) -> float:
-        """Return how long the next reading waits for news, in seconds.
+    def _next_wait_s(self) -> float:
+        """Return how long the next read waits for changes, in seconds.
 
-        After a failure changes may have been missed, and after a long answer
-        the table is known only up to a moment before it.
+        It does not wait after a failure, which may have hidden changes, nor
+        after changes if a caller needs confirmation: their response may have
+        been long on its way, and the table is known only up to its request.
         """
-        if self._failures or self._asks_at_once:
+        if self._failures or self._skips_wait:
             return 0.0
         return FEED_WAIT_S
 
-    def _note_known(self, until_s: float) -> None:
+    def _confirm_until(self, until_s: float) -> None:
         if self._on_confirmed is not None:
             self._on_confirmed(min(until_s, self._clock.monotonic_s()))
 
-    async def _wait_after(self, error: StorageError) -> None:
-        """Log only the first failure of a series: an outage has hundreds."""
+    async def _back_off(self, error: StorageError) -> None:
+        """Wait; log only the first of the hundreds of failures of an outage."""
         if not self._failures:
             events.log(
                 'table_unreadable',
@@ -164,7 +163,7 @@
         self._failures += 1
         await self._clock.sleep(RETRY_S)
 
-    def _answered(self) -> None:
+    def _record_reply(self) -> None:
         if self._failures:
             events.log(
                 'table_readable',
--- a/src/curranthill/storage/http.py
+++ b/src/curranthill/storage/http.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's services over HTTP, as docs/standins states."""
+"""HTTP clients of the platform's services, as docs/standins specifies."""
 
 import asyncio
 import hashlib
@@ -13,8 +13,8 @@
 from curranthill.storage.records import Page, Row, Transaction
 from curranthill.telemetry.metrics import metrics
 
-#: The longest a call that sends something may take, and how long an answer
-#: to any other may stand still, in seconds.
+#: The total timeout of a call that sends a body, and the timeout between two
+#: reads of the response of any other call, in seconds.
 REQUEST_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
 _WRITE_TIMEOUT = aiohttp.ClientTimeout(
@@ -39,10 +39,10 @@
 
 
 class HttpPlatform:
-    """One session for the three services behind one base URL."""
+    """The shared HTTP session of the three services behind one base URL."""
 
     def __init__(self, *, url: str) -> None:
-        """Keep the URL; the session opens with the first call."""
+        """Initialize without a session; the first call opens it."""
         self._url = url
         self._session: aiohttp.ClientSession | None = None
 
@@ -61,7 +61,7 @@
     ) -> tuple[int, bytes, str]:
         """Make one call; return its status, body and content digest.
 
-        :param writes: whether a lost reply leaves the effect unknown.
+        :param writes: whether the effect is unknown if the reply is lost.
         """
         if self._session is None:
             self._session = aiohttp.ClientSession()
@@ -85,7 +85,7 @@
                 step=path,
                 peer=self._url,
             ) from error
-        # 429 and 5xx are refusals that state that nothing was done.
+        # 429 and 5xx are refusals, which guarantee that nothing was done.
         if status >= _SERVER_ERRORS or status == 429:  # noqa: WPS432
             raise self._not_sent(path)
         return status, body, digest
@@ -99,14 +99,14 @@
 
 
 class HttpTable:
-    """The table over HTTP."""
+    """Client of the table."""
 
     def __init__(self, *, platform: HttpPlatform) -> None:
-        """Share the platform's session."""
+        """Initialize with the shared session of the platform."""
         self._platform = platform
 
     async def read(self, key: str) -> Row | None:
-        """Return one row or nothing."""
+        """Return a row, or nothing if there is none."""
         metrics.table_reads.add(1)
         status, body, _ = await self._platform.call(
             'GET',
@@ -154,14 +154,14 @@
 
 
 class HttpObjects:
-    """The object store over HTTP."""
+    """Client of the object store."""
 
     def __init__(self, *, platform: HttpPlatform) -> None:
-        """Share the platform's session."""
+        """Initialize with the shared session of the platform."""
         self._platform = platform
 
     async def put(self, name: str, body: bytes) -> None:
-        """Keep an object; putting it is idempotent, so a loss is retried."""
+        """Store an object; idempotent, so a lost reply may be retried."""
         status, _, _ = await self._platform.call(
             'PUT',
             f'/v1/objects/{name}',
@@ -177,7 +177,7 @@
             )
 
     async def get(self, name: str) -> bytes | None:
-        """Return a whole object or nothing."""
+        """Return an object, or nothing if there is none."""
         status, body, digest = await self._platform.call(
             'GET',
             f'/v1/objects/{name}',
@@ -195,16 +195,16 @@
 
 
 class HttpHostList:
-    """The host list over HTTP."""
+    """Client of the host list."""
 
     def __init__(self, *, platform: HttpPlatform) -> None:
-        """Share the platform's session."""
+        """Initialize with the shared session of the platform."""
         self._platform = platform
         self._known: tuple[HostEntry, ...] = ()
         self._digest = ''
 
     async def hosts(self, data_centre: str = '') -> tuple[HostEntry, ...]:
-        """Return the platform's list; an unchanged one is not sent again."""
+        """Return the list; an unchanged one is not transferred again."""
         status, body, digest = await self._platform.call(
             'GET',
             '/v1/hosts',
--- a/src/curranthill/storage/interface.py
+++ b/src/curranthill/storage/interface.py
@@ -1,7 +1,7 @@
-"""What the system asks of the platform's services, one small interface each.
+"""Interfaces of the platform's services.
 
-The real services may differ from the stand-ins: a client for another
-protocol is a class with these methods, filed in the registry of its concern.
+The real services may differ from the stand-ins. A client for another protocol
+is a class with these methods that is added to the registry of its concern.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
         """
 
     async def scan(self, prefix: str, after: str, limit: int) -> Page:
-        """Return up to ``limit`` rows under ``prefix``, past ``after``.
+        """Return up to ``limit`` rows under ``prefix``, after key ``after``.
 
         :raises NotSentError: if the table cannot be reached.
         """
@@ -31,7 +31,7 @@
 
         :raises ConflictError: if a version differs; nothing was written.
         :raises NotSentError: if nothing was written, for another reason.
-        :raises ReplyLostError: if the effect is not known.
+        :raises ReplyLostError: if the effect is unknown.
         """
 
 
@@ -39,23 +39,23 @@
     """The store of immutable objects."""
 
     async def put(self, name: str, body: bytes) -> None:
-        """Keep ``body`` under ``name``; the same body twice is no error.
+        """Store ``body`` under ``name``; repeating it is no error.
 
-        :raises ConflictError: if the name holds another body.
+        :raises ConflictError: if the name already holds another body.
         :raises NotSentError: if the store cannot be reached.
         """
 
     async def get(self, name: str) -> bytes | None:
-        """Return the whole object, its digest checked, or nothing.
+        """Return an object, its digest verified, or nothing if it is absent.
 
         :raises NotSentError: if the store cannot be reached.
         """
 
 
 class HostEntry(NamedTuple):
-    """One line of the platform's lagging list.
+    """One entry of the platform's host list.
 
-    :param role: ``worker`` for endpoints, ``entry`` for hosts of ours.
+    :param role: ``worker`` for endpoints, ``entry`` for this system's hosts.
     :param address: the IP number and port, or for an entry host the IP.
     """
 
@@ -70,17 +70,17 @@
 
 
 class HostList(Protocol):
-    """The platform's list of live and leaving hosts; it lags."""
+    """The platform's list of live and draining hosts; it may be outdated."""
 
     async def hosts(self, data_centre: str = '') -> tuple[HostEntry, ...]:
-        """Return the list of one data centre, or all, as it is now.
+        """Return the current list of one data centre, or of all if empty.
 
         :raises NotSentError: if the platform cannot be reached.
         """
 
 
 class Platform(NamedTuple):
-    """The platform's services as one process holds them."""
+    """One process's clients of the platform's services."""
 
     table: Table
     objects: ObjectStore
@@ -88,7 +88,7 @@
     close: Callable[[], Awaitable[None]]
 
 
-#: Ways to reach the platform: settings name -> factory(url).
+#: Platform clients by the name in the settings: name -> factory(url).
 platforms: Registry[Callable[[str], Platform]] = Registry(
     concern='platform client',
 )
--- a/src/curranthill/storage/outage.py
+++ b/src/curranthill/storage/outage.py
@@ -1,7 +1,7 @@
-"""Tells when a store that was away is back, so that nobody waits longer.
+"""Detects outages of the store and notifies waiting callers when one ends.
 
-Answers the seconds after an outage: calls under way when the store returned
-would have to time out before their callers try again.
+Without it, calls in flight when the store comes back would have to time out
+before their callers retry, which adds seconds to every outage.
 """
 
 import asyncio
@@ -10,51 +10,51 @@
 
 from curranthill.clock import Clock
 
-#: A store that has answered nothing for so long counts as away, in seconds:
-#: above the 0.3 s that the slowest answers seen take.
+#: Seconds without a reply after which a store whose calls fail counts as
+#: unavailable; above the 0.3 s that the slowest observed replies take.
 OUTAGE_AFTER_S: Final = 0.6
 
 
 class StoreOutage:
-    """Whether the store is away, as told by all calls of this host."""
+    """Tracks from the calls of this host whether the store is unavailable."""
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start as away, until the first answer."""
+        """Initialize without a reply: a first failed call is an outage."""
         self._clock = clock
-        self._answered_s = -OUTAGE_AFTER_S
+        self._replied_s = -OUTAGE_AFTER_S
         self._failed = False
-        self._back = asyncio.Event()
+        self._ended = asyncio.Event()
         self._callbacks: list[Callable[[], None]] = []
 
     def on_end(self, callback: Callable[[], None]) -> None:
-        """Have a callback called at the end of each absence."""
+        """Register a callback to be called when an outage ends."""
         self._callbacks.append(callback)
 
     @property
     def is_ongoing(self) -> bool:
-        """Return whether calls have failed, and none was answered of late."""
-        silent_s = self._clock.monotonic_s() - self._answered_s
+        """Return whether calls fail and there was no recent reply."""
+        silent_s = self._clock.monotonic_s() - self._replied_s
         return self._failed and silent_s >= OUTAGE_AFTER_S
 
     def record_failure(self) -> None:
-        """Take note of a call that failed."""
+        """Record a failed call."""
         self._failed = True
 
     def record_reply(self) -> None:
-        """Take note of an answer; one that ends an absence is told to all."""
-        was_away = self.is_ongoing
+        """Record a reply; if it ends an outage, wake waiters and callbacks."""
+        was_ongoing = self.is_ongoing
         self._failed = False
-        self._answered_s = self._clock.monotonic_s()
-        if was_away:
-            back = self._back
-            self._back = asyncio.Event()
-            back.set()
+        self._replied_s = self._clock.monotonic_s()
+        if was_ongoing:
+            ended = self._ended
+            self._ended = asyncio.Event()
+            ended.set()
             for callback in self._callbacks:
                 callback()
 
     async def wait_for_end(self) -> None:
-        """Return when the next absence ends."""
-        await self._back.wait()
+        """Return when the next outage ends."""
+        await self._ended.wait()
 
 
 __all__ = ('StoreOutage',)
--- a/src/curranthill/storage/paths.py
+++ b/src/curranthill/storage/paths.py
@@ -1,8 +1,9 @@
-"""Which way calls to the store take: straight, or through another host.
+"""Selects the path of calls to the store: direct or relayed by a peer.
 
-Answers faults in which some hosts lose the store while others reach it: a
-third of the hosts refused jobs for as long as that lasted, and the leader was
-replaced. A peer passes calls on; it never decides anything.
+Some network faults cut off only some of the hosts from the store. Without
+relaying, a third of the hosts refused jobs for as long as such a fault lasted,
+and the leader was replaced. A relaying peer only forwards calls; it makes no
+decisions.
 """
 
 import random
@@ -11,17 +12,17 @@
 
 from curranthill.telemetry.events import events
 
-#: How many peers are tried, one after the other, before the straight way is
-#: tried again: with two thirds of the hosts in reach of the store, one of
-#: three peers reaches it in 26 of 27 cases.
+#: Number of peers tried sequentially before the direct path is tried again:
+#: if two thirds of the hosts reach the store, at least one of three peers
+#: reaches it in 26 of 27 cases.
 MAX_PEER_ATTEMPTS: Final = 3
 
 
 class StorePaths:
-    """The way in use, changed whenever a call over it fails.
+    """The path in use, which changes when a call over it fails.
 
     :param direct: the store's own address.
-    :param peers: returns the addresses at which other hosts pass calls on.
+    :param peers: returns the addresses at which other hosts relay calls.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         direct: str,
         peers: Callable[[], Sequence[str]],
     ) -> None:
-        """Start with the straight way."""
+        """Initialize with the direct path in use."""
         self.direct = direct
         self.address = direct
         self._peers = peers
@@ -38,11 +39,11 @@
 
     @property
     def is_direct(self) -> bool:
-        """Return whether calls go straight to the store."""
+        """Return whether calls go directly to the store."""
         return self.address == self.direct
 
     def record_reply(self, address: str) -> None:
-        """Take note of an answer that came from the store."""
+        """Record a reply of the store to a call over a path."""
         if address == self.direct and not self.is_direct:
             events.log('store_path', path='direct')
             self.address = self.direct
@@ -50,20 +51,20 @@
             self._peers_tried = 0
 
     def record_failure(self, address: str) -> None:
-        """Take another way if the one in use has failed.
+        """Record a failed call and switch paths if it used the current one.
 
-        Calls that were under way together fail together; only the first of
-        them changes the way.
+        Concurrent calls over one path fail together; only the first failure
+        changes the path.
         """
         if address != self.address:
             return
-        self.address = self._next()
+        self.address = self._next_address()
         events.log(
             'store_path',
             path='direct' if self.is_direct else self.address,
         )
 
-    def _next(self) -> str:
+    def _next_address(self) -> str:
         others = [peer for peer in self._peers() if peer != self.address]
         if not others or self._peers_tried >= MAX_PEER_ATTEMPTS:
             self._peers_tried = 0
--- a/src/curranthill/storage/rate_limit.py
+++ b/src/curranthill/storage/rate_limit.py
@@ -1,32 +1,33 @@
-"""A bound on one process's writes, so that all together stay in theirs."""
+"""Limits each process's write rate, so that their sum stays within bounds."""
 
 from curranthill.clock import Clock
 from curranthill.errors import NotSentError
 
-#: The longest that a write waits for its turn, in seconds.
+#: The longest time that a write is delayed, in seconds.
 MAX_WAIT_S = 5.0
 
 
 class WriteRateLimiter:
-    """Let so many writes a second pass; the rest wait their turn.
+    """Delays writes beyond a rate.
 
-    The leader's heartbeat does not go through it: a burst of jobs must not
-    cost the lease. After an outage the writes that waited pass at this rate.
+    The leader's heartbeat bypasses the limiter, because a burst of jobs must
+    not cost the leader its lease. Writes that queued up during an outage are
+    also released at this rate.
 
-    :param per_s: writes a second, with a burst of one second.
+    :param per_s: writes per second; bursts of up to one second's worth pass.
     """
 
     def __init__(self, *, clock: Clock, per_s: float) -> None:
-        """Start with a full second's allowance."""
+        """Initialize with one second's worth of writes available."""
         self._clock = clock
         self._per_s = per_s
-        # The moment at which the allowance is full again.
+        # The time at which a full burst is available again.
         self._full_s = clock.monotonic_s()
 
     async def acquire(self) -> None:
-        """Wait for one write's turn.
+        """Wait until one write is allowed.
 
-        :raises NotSentError: if it would come too late; nothing was sent.
+        :raises NotSentError: if the wait would be too long; nothing was sent.
         """
         now_s = self._clock.monotonic_s()
         full_s = max(now_s, self._full_s) + 1 / self._per_s
--- a/src/curranthill/storage/records.py
+++ b/src/curranthill/storage/records.py
@@ -1,18 +1,18 @@
-"""Rows, writes and pages of the platform's table."""
+"""Records of the platform's table: rows, writes, transactions and pages."""
 
 from typing import Any, NamedTuple
 
-#: A row's content: JSON values under string names.
+#: The content of a row: JSON values by name.
 Document = dict[str, Any]
 
-#: The version that a write expects of a row that must not exist yet.
+#: The expected version of a row that must not exist yet.
 ABSENT = 0
 
 
 class Row(NamedTuple):
-    """One row as read.
+    """A row as read.
 
-    :param version: grows with each write and is never used twice.
+    :param version: increases with each write and is never reused.
     :param operation_id: the id of the write that made this version.
     """
 
@@ -23,7 +23,7 @@
 
 
 class Write(NamedTuple):
-    """One conditional write; no document means that the row is deleted."""
+    """A conditional write; without a document it deletes the row."""
 
     key: str
     expected_version: int
@@ -31,16 +31,16 @@
 
 
 class Check(NamedTuple):
-    """A row that must still have this version for a transaction to apply."""
+    """A precondition of a transaction: the version that a row must have."""
 
     key: str
     version: int
 
 
 class Transaction(NamedTuple):
-    """Writes that apply together or not at all.
+    """Writes that are applied together or not at all.
 
-    :param operation_id: unique to this intent; kept in each written row.
+    :param operation_id: unique to this transaction; stored in each written row.
     """
 
     operation_id: str
@@ -49,7 +49,7 @@
 
 
 class Page(NamedTuple):
-    """Rows in key order; ``after`` asks for the next page when not empty."""
+    """Rows in key order; ``after`` requests the next page, if not empty."""
 
     rows: tuple[Row, ...]
     after: str
--- a/src/curranthill/storage/rows.py
+++ b/src/curranthill/storage/rows.py
@@ -1,7 +1,7 @@
-"""The store of versioned rows that hosts without disks share.
+"""Interface of the store of versioned rows that diskless hosts share.
 
-Rows lie in named tables. A commit is conditional on versions and atomic over
-tables; a feed hands on changes in the order of their versions.
+Rows are grouped in named tables. A commit is conditional on versions and atomic
+across tables; a feed delivers changes in the order of their versions.
 """
 
 from collections.abc import Sequence
@@ -11,10 +11,10 @@
 
 
 class StoredRow(NamedTuple):
-    """One row as read.
+    """A row as read.
 
-    :param version: grows with each commit of the whole store.
-    :param removed: set in a feed for a row that was removed.
+    :param version: increases with each commit to the store.
+    :param removed: whether a feed reports that the row was removed.
     """
 
     table: str
@@ -25,7 +25,7 @@
 
 
 class RowCheck(NamedTuple):
-    """A row that must have this version; 0 means that it must not exist."""
+    """A precondition: the version of a row, or 0 if it must not exist."""
 
     table: str
     key: str
@@ -48,16 +48,16 @@
 
 
 class RowChanges(NamedTuple):
-    """Rows in order, and the version to resume a feed from."""
+    """Rows in order, and the version from which a feed resumes."""
 
     rows: tuple[StoredRow, ...]
     version: int
 
 
 class RowConflictError(ConflictError):
-    """A commit's condition failed; nothing was written.
+    """A precondition of a commit failed; nothing was written.
 
-    :param rows: the checked rows as they are now; absent ones are left out.
+    :param rows: the checked rows as they are now; absent ones are omitted.
     """
 
     def __init__(
@@ -68,21 +68,21 @@
         rows: tuple[StoredRow, ...],
         peer: str = '',
     ) -> None:
-        """Keep the rows that won."""
+        """Initialize with the current rows."""
         super().__init__(message, step=step, peer=peer)
         self.rows = rows
 
 
 class MalformedRecordError(CurranthillError):
-    """A record that somebody else wrote is not as the platform says."""
+    """A stored or received record violates its specified format."""
 
 
 class HistoryLostError(StorageError):
-    """The feed no longer holds the asked versions; read the table again."""
+    """The feed no longer has the requested versions; read the table again."""
 
 
 class RowStore(Protocol):
-    """The store; each method may raise any storage error."""
+    """The store; any method may raise any storage error."""
 
     async def commit(
         self,
@@ -91,18 +91,19 @@
         puts: Sequence[RowPut] = (),
         removals: Sequence[RowRemoval] = (),
     ) -> int:
-        """Apply all or nothing and return the new version.
+        """Apply all changes or none and return the new version.
 
         :raises RowConflictError: if a check failed.
         :raises NotSentError: if nothing was written.
-        :raises ReplyLostError: if the effect is unknown, now or seconds on.
+        :raises ReplyLostError: if the effect is unknown; the commit may still
+            be applied seconds later.
         """
 
     async def read(self, table: str, key: str) -> StoredRow | None:
-        """Return one row or nothing."""
+        """Return a row, or nothing if there is none."""
 
     async def scan(self, table: str) -> RowChanges:
-        """Return all rows of a table; resume a feed from its version."""
+        """Return all rows of a table, and the version to follow it from."""
 
     async def changes(
         self,
@@ -110,9 +111,9 @@
         after: int,
         wait_s: float,
     ) -> RowChanges:
-        """Return changes past a version, waiting for the first one.
+        """Return changes after a version, waiting for the first one.
 
-        :raises HistoryLostError: if the versions are no longer known.
+        :raises HistoryLostError: if the feed no longer has that version.
         """
 
 
