--- a/src/curranthill/routing/__init__.py
+++ b/src/curranthill/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of worker, limits, fair queues, retries and ejection."""
+"""Load balancing of quick requests: choice, limits, queues and retries."""
 
 from curranthill.routing.choice import Choice, choices
 from curranthill.routing.ejection import OutlierEjector
--- a/src/curranthill/routing/choice.py
+++ b/src/curranthill/routing/choice.py
@@ -1,4 +1,4 @@
-"""Which of several workers gets a request; more ways can be registered."""
+"""Load-balancing policies, by which a router chooses a worker."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -10,13 +10,13 @@
 
 
 class Choice(Protocol):
-    """Choose one of some candidates; there is always at least one."""
+    """A policy that chooses one of at least one candidate."""
 
     def __call__(self, candidates: Sequence[PooledWorker]) -> PooledWorker:
         """Return the chosen candidate."""
 
 
-#: Ways to choose, by the name that settings give: factory(seed).
+#: Policies by the name in the settings: name -> factory(seed).
 choices: Registry[Callable[[int | None], Choice]] = Registry(
     concern='choice of worker',
 )
@@ -24,7 +24,7 @@
 
 @choices.register('two_choices')
 def two_choices(seed: int | None) -> Choice:
-    """Return a choice of the less loaded of two at random."""
+    """Return the policy that takes the less loaded of two random workers."""
     source = random.Random(seed)  # noqa: S311
 
     def choose(  # noqa: WPS430
@@ -40,7 +40,7 @@
 
 @choices.register('random')
 def at_random(seed: int | None) -> Choice:
-    """Return a choice that looks at nothing: a baseline."""
+    """Return the policy that takes a random worker, as a baseline."""
     source = random.Random(seed)  # noqa: S311
 
     def choose(  # noqa: WPS430
@@ -53,13 +53,13 @@
 
 @choices.register('round_robin')
 def round_robin(seed: int | None) -> Choice:
-    """Return a choice in turns: a baseline."""
-    turns = count(seed or 0)
+    """Return the policy that takes the workers in turn, as a baseline."""
+    numbers = count(seed or 0)
 
     def choose(  # noqa: WPS430
         candidates: Sequence[PooledWorker],
     ) -> PooledWorker:
-        return candidates[next(turns) % len(candidates)]
+        return candidates[next(numbers) % len(candidates)]
 
     return choose
 
--- a/src/curranthill/routing/ejection.py
+++ b/src/curranthill/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Eject workers that fail what their peers do well; let them back slowly."""
+"""Outlier ejection: excludes workers that fail more than their peers do."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,25 +6,26 @@
 
 from curranthill.clock import Clock
 
-#: Results kept for each worker.
+#: Most recent results kept for each worker.
 SAMPLES: Final = 20
 
-#: Results that are needed before a worker is judged.
+#: Results needed before a worker is compared with its peers.
 MIN_SAMPLES: Final = 5
 
-#: A worker that fails more than this share may be ejected.
+#: A worker may be ejected if more than this share of its results failed.
 MAX_FAILED_SHARE: Final = 0.5
 
-#: The first time that a worker is out, in seconds; it doubles each time.
+#: Duration of the first and the longest ejection of a worker, in seconds; it
+#: doubles with each further one.
 FIRST_EJECTION_S: Final = 5.0
 MAX_EJECTION_S: Final = 60.0
 
-#: How long a worker that came back gets less than its part, in seconds.
+#: How long a worker has a reduced limit after its ejection, in seconds.
 SLOW_START_S: Final = 10.0
 
 
 class Sample(NamedTuple):
-    """One result: which kind of work and whether it failed."""
+    """A result of a worker: the kind of the request and whether it failed."""
 
     kind: str
     failed: bool
@@ -48,21 +49,21 @@
 
 
 class OutlierEjector:
-    """Judge each worker against its peers on the same kinds of work.
+    """Compares each worker with its peers on the same kinds of requests.
 
-    A kind that fails everywhere ejects no one, since the peers fail it too.
+    A kind that fails on all workers ejects none of them.
 
-    :param healthy_share: the share of workers that always remains.
+    :param healthy_share: the share of workers that are never ejected.
     """
 
     def __init__(self, *, clock: Clock, healthy_share: float) -> None:
-        """Start with every worker in."""
+        """Initialize with no worker ejected."""
         self._clock = clock
         self._healthy_share = healthy_share
         self._records: dict[str, _Record] = {}
 
     def record(self, worker: str, kind: str, *, failed: bool) -> bool:
-        """Take in a result; return whether the worker is ejected by it."""
+        """Record a result; return whether the worker is ejected for it."""
         record = self._records.setdefault(worker, _Record())
         record.samples.append(Sample(kind, failed))
         if not failed:
@@ -74,13 +75,13 @@
         return self._eject(record)
 
     def is_ejected(self, worker: str) -> bool:
-        """Return whether a worker gets nothing now."""
+        """Return whether a worker gets no requests now."""
         record = self._records.get(worker)
         now_s = self._clock.monotonic_s()
         return record is not None and now_s < record.ejected_until_s
 
     def limit_share(self, worker: str) -> float:
-        """Return the part of its limit that a worker gets, 0 to 1."""
+        """Return the share of its limit that a worker may use, 0 to 1."""
         record = self._records.get(worker)
         if record is None or record.ejections == 0:
             return 1.0
@@ -90,7 +91,7 @@
         return min(1.0, max(0.1, since_return_s / SLOW_START_S))
 
     def retain(self, present: frozenset[str]) -> None:
-        """Drop what is known of workers that are gone."""
+        """Drop the records of all workers but the present ones."""
         for worker in set(self._records) - present:
             self._records.pop(worker)
 
@@ -107,7 +108,7 @@
             for name, other in self._records.items()
             if name != worker and other.samples and not self.is_ejected(name)
         ]
-        # Without a peer there is nobody to compare with: keep it.
+        # Without a peer there is no comparison, and the worker stays.
         return bool(peers) and sorted(peers)[len(peers) // 2] < share / 2
 
     def _eject(self, record: _Record) -> bool:
--- a/src/curranthill/routing/pool.py
+++ b/src/curranthill/routing/pool.py
@@ -1,4 +1,4 @@
-"""The workers that one gateway may send quick work to, and their load."""
+"""The workers to which a gateway may send quick requests, and their load."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -7,14 +7,15 @@
 
 from curranthill.clock import Clock
 
-#: Requests sent for each slot, so that a slot never idles for want of one.
+#: Requests in flight per slot: more than one, so that a slot that becomes free
+#: is not idle until the next request arrives.
 OVERLAP = 1.25
 
 
 class AllottedWorker(NamedTuple):
-    """A worker with slots for quick work, as a scheduler or the list says.
+    """A worker with slots for quick requests, by a scheduler or the host list.
 
-    :param spill: whether it is another data centre's, for overflow only.
+    :param spill: whether it is in another data centre, for overflow only.
     """
 
     name: str
@@ -25,10 +26,11 @@
 
 @dataclass(kw_only=True)
 class PooledWorker:
-    """One worker as this gateway sees it.
+    """A worker and its load, as known to this gateway.
 
-    :param limit: requests that may be in flight from here.
-    :param free_slots: what the worker last reported.
+    :param limit: requests of this gateway that may be in flight to it.
+    :param free_slots: the free slots that the worker last reported.
+    :param draining: whether it gets no further requests.
     """
 
     name: str
@@ -42,63 +44,66 @@
 
     @property
     def load(self) -> float:
-        """Return how busy the worker is, own requests first."""
+        """Return the load: by own requests, then by reported free slots."""
         return self.in_flight / max(1, self.limit) - self.free_slots / 1000
 
 
 class WorkerPool:
-    """The candidates of this gateway.
+    """The workers of this gateway and its connection limits.
 
-    :param clock: for the terms of grants.
+    :param clock: the clock of the grants' expiry.
     :param fixed_connections: connections to each worker of its own data
-        centre that this gateway may use whatever the scheduler says.
+        centre that this gateway may use without a grant of the scheduler.
     """
 
     def __init__(self, *, clock: Clock, fixed_connections: int) -> None:
-        """Start with no worker."""
+        """Initialize without workers or grants."""
         self._clock = clock
-        self._fixed = fixed_connections
+        self._fixed_connections = fixed_connections
         self._grants: dict[bool, tuple[int, float]] = {}
         self._gateways = 1
         self._workers: dict[str, PooledWorker] = {}
 
     def __iter__(self) -> Iterator[PooledWorker]:
-        """Yield the workers, leaving ones included."""
+        """Yield the workers, including draining ones."""
         return iter(self._workers.values())
 
     def connections(self, *, spill: bool = False) -> int:
-        """Return how many connections may be held to each worker now.
+        """Return how many connections to each worker are allowed now.
 
-        :param spill: ask for another data centre's workers, to which only
-            what was granted may be held.
+        :param spill: whether the workers are in another data centre, to which
+            only granted connections are allowed.
         """
         amount, until_s = self._grants.get(spill, (0, 0))
         granted = amount if self._clock.monotonic_s() < until_s else 0
-        return granted if spill else self._fixed + granted
+        return granted if spill else self._fixed_connections + granted
 
     @property
     def capacity(self) -> int:
-        """Return how many requests may be in flight in all."""
+        """Return how many requests may be in flight in total."""
         return sum(self.limit(worker) for worker in self if not worker.draining)
 
     def grant(
         self,
         connections: int,
-        asked_s: float,
+        requested_s: float,
         term_s: float,
         *,
         spill: bool = False,
     ) -> None:
-        """Take a grant of connections; its term counts from the question.
+        """Replace the grant of connections, be the new one larger or smaller.
 
-        A smaller grant is obeyed at once, a larger one until it lapses.
+        :param requested_s: when the grant was requested, from which on its
+            term counts.
+        :param term_s: for how long it is valid, in seconds.
+        :param spill: whether it is for workers in other data centres.
         """
-        self._grants[spill] = (connections, asked_s + term_s)
+        self._grants[spill] = (connections, requested_s + term_s)
 
     def allot(self, workers: Iterable[AllottedWorker], gateways: int) -> None:
-        """Take over which workers serve quick work.
+        """Replace the workers; those with requests in flight are drained.
 
-        :param gateways: gateways that share these workers.
+        :param gateways: the number of gateways that share these workers.
         """
         self._gateways = max(1, gateways)
         allotted = {worker.name: worker for worker in workers}
@@ -118,13 +123,13 @@
             pooled.draining = False
 
     def limit(self, worker: PooledWorker) -> int:
-        """Return how many requests may be in flight to a worker from here."""
+        """Return how many requests may be in flight to a worker."""
         share = max(1, math.ceil(worker.slots * OVERLAP / self._gateways))
         worker.limit = min(self.connections(spill=worker.spill), share)
         return worker.limit
 
     def has_others(self, excluded: frozenset[str]) -> bool:
-        """Return whether there is any worker that is not excluded."""
+        """Return whether there is a worker that is not excluded."""
         return any(
             not worker.draining and worker.name not in excluded
             for worker in self
@@ -133,17 +138,18 @@
     def candidates(self, excluded: frozenset[str]) -> list[PooledWorker]:
         """Return the workers that may take one more request.
 
-        Another data centre's are offered only when none of ours has room.
+        Workers of other data centres are candidates only when no worker of
+        this one has free capacity.
         """
-        able = [
+        available = [
             worker
             for worker in self
             if not worker.draining
             and worker.name not in excluded
             and worker.in_flight < self.limit(worker)
         ]
-        own = [worker for worker in able if not worker.spill]
-        return own or able
+        own = [worker for worker in available if not worker.spill]
+        return own or available
 
 
 __all__ = ('AllottedWorker', 'PooledWorker', 'WorkerPool')
--- a/src/curranthill/routing/queue.py
+++ b/src/curranthill/routing/queue.py
@@ -1,4 +1,4 @@
-"""Bounded queues, one a workspace, served in turns."""
+"""Fair queueing: one bounded queue per workspace, served round-robin."""
 
 import asyncio
 from collections import deque
@@ -9,10 +9,10 @@
 
 
 class Waiter(NamedTuple):
-    """One request that waits for a worker.
+    """A request that waits for a worker.
 
-    :param excluded: workers that it must not go to.
-    :param granted: resolved with the worker once it may go.
+    :param excluded: workers to which it must not be sent.
+    :param granted: a future, resolved with the worker that it gets.
     """
 
     excluded: frozenset[str]
@@ -20,38 +20,38 @@
 
 
 class QueueFullError(Exception):
-    """A workspace has as many requests waiting as it may have."""
+    """The queue of a workspace is full."""
 
 
-#: Returns a worker with its slot taken, or nothing if none is free.
+#: Takes a slot and returns its worker, or nothing if no slot is free.
 SlotTaker = Callable[[frozenset[str]], PooledWorker | None]
 
 
 class FairQueue:
-    """Serve workspaces in turns, so that one's burst delays only its own.
+    """Serves workspaces round-robin, so that a burst delays only its sender.
 
-    :param bound: requests that may wait for one workspace.
-    :param take: takes a slot on a worker.
+    :param bound: the maximum number of waiting requests per workspace.
+    :param take: takes a slot on a worker that is not excluded.
     """
 
     def __init__(self, *, bound: int, take: SlotTaker) -> None:
-        """Start empty."""
+        """Initialize with empty queues."""
         self._bound = bound
         self._take = take
-        self._waiting: dict[str, deque[Waiter]] = {}
-        self._turns: deque[str] = deque()
+        self._queues: dict[str, deque[Waiter]] = {}
+        self._rotation: deque[str] = deque()
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
-        return sum(len(line) for line in self._waiting.values())
+        """Return the number of waiting requests."""
+        return sum(len(queue) for queue in self._queues.values())
 
     def count_ahead(self, workspace: str) -> int:
-        """Return how many requests would go before a new one."""
-        own = len(self._waiting.get(workspace, ()))
-        # In turns, each other workspace goes at most once for each of ours.
+        """Return how many waiting requests would be served before a new one."""
+        own = len(self._queues.get(workspace, ()))
+        # Round-robin serves each other workspace at most once per own request.
         others = sum(
-            min(len(line), own + 1)
-            for name, line in self._waiting.items()
+            min(len(queue), own + 1)
+            for name, queue in self._queues.items()
             if name != workspace
         )
         return own + others
@@ -61,23 +61,23 @@
         workspace: str,
         excluded: frozenset[str],
     ) -> PooledWorker:
-        """Return a worker with a slot taken, once it is this one's turn.
+        """Wait for a slot and return its worker.
 
-        :raises QueueFullError: if too many of the workspace wait already.
+        :raises QueueFullError: if the queue of the workspace is full.
         """
-        if not self._waiting:
+        if not self._queues:
             worker = self._take(excluded)
             if worker is not None:
                 return worker
-        line = self._waiting.get(workspace)
-        if line is None:
-            line = deque()
-            self._waiting[workspace] = line
-            self._turns.append(workspace)
-        if len(line) >= self._bound:
+        queue = self._queues.get(workspace)
+        if queue is None:
+            queue = deque()
+            self._queues[workspace] = queue
+            self._rotation.append(workspace)
+        if len(queue) >= self._bound:
             raise QueueFullError
         waiter = Waiter(excluded, asyncio.get_running_loop().create_future())
-        line.append(waiter)
+        queue.append(waiter)
         try:
             return await waiter.granted
         except asyncio.CancelledError:
@@ -85,28 +85,28 @@
             raise
 
     def serve(self) -> None:
-        """Hand out free slots in turns; call it when one may be free."""
-        passed_over = 0
-        while self._turns and passed_over < len(self._turns):
-            workspace = self._turns[0]
-            self._turns.rotate(-1)
-            waiter = self._waiting[workspace][0]
+        """Assign free slots round-robin; to be called when one may be free."""
+        skipped = 0
+        while self._rotation and skipped < len(self._rotation):
+            workspace = self._rotation[0]
+            self._rotation.rotate(-1)
+            waiter = self._queues[workspace][0]
             worker = self._take(waiter.excluded)
             if worker is None:
-                passed_over += 1
+                skipped += 1
                 continue
-            passed_over = 0
+            skipped = 0
             self._withdraw(workspace, waiter)
             waiter.granted.set_result(worker)
 
     def _withdraw(self, workspace: str, waiter: Waiter) -> None:
-        line = self._waiting.get(workspace)
-        if line is None or waiter not in line:
+        queue = self._queues.get(workspace)
+        if queue is None or waiter not in queue:
             return
-        line.remove(waiter)
-        if not line:
-            self._waiting.pop(workspace)
-            self._turns.remove(workspace)
+        queue.remove(waiter)
+        if not queue:
+            self._queues.pop(workspace)
+            self._rotation.remove(workspace)
 
 
 __all__ = ('FairQueue', 'QueueFullError')
--- a/src/curranthill/routing/retries.py
+++ b/src/curranthill/routing/retries.py
@@ -1,24 +1,24 @@
-"""A budget that keeps retries a small share of recent requests."""
+"""A retry budget, which bounds retries to a share of recent requests."""
 
 from typing import Final
 
 from curranthill.clock import Clock
 
-#: The window over which requests and retries are weighed, in seconds.
+#: The time window over which requests and retries are counted, in seconds.
 WINDOW_S: Final = 10.0
 
-#: Retries allowed in a window however few the requests.
+#: Retries that are always allowed in a window, however few its requests.
 MIN_RETRIES: Final = 3
 
 
 class RetryBudget:
-    """Allow retries up to a share of the requests of the last seconds.
+    """Allows retries up to a share of the requests in a decaying window.
 
-    :param share: retries for each request, such as 0.1.
+    :param share: retries allowed per request, such as 0.1.
     """
 
     def __init__(self, *, clock: Clock, share: float) -> None:
-        """Start an empty window."""
+        """Initialize with an empty window."""
         self._clock = clock
         self._share = share
         self._requests = 0.0
@@ -26,12 +26,12 @@
         self._at_s = clock.monotonic_s()
 
     def count_request(self) -> None:
-        """Count a request that is not a retry."""
+        """Count a first attempt of a request."""
         self._decay()
         self._requests += 1
 
     def take(self) -> bool:
-        """Return whether one more retry is allowed, and count it."""
+        """Return whether a retry is allowed, and count it if so."""
         self._decay()
         if self._retries + 1 > max(MIN_RETRIES, self._share * self._requests):
             return False
@@ -40,9 +40,9 @@
 
     def _decay(self) -> None:
         now_s = self._clock.monotonic_s()
-        kept = max(0.0, 1 - (now_s - self._at_s) / WINDOW_S)
-        self._requests *= kept
-        self._retries *= kept
+        remaining = max(0.0, 1 - (now_s - self._at_s) / WINDOW_S)
+        self._requests *= remaining
+        self._retries *= remaining
         self._at_s = now_s
 
 
--- a/src/curranthill/routing/router.py
+++ b/src/curranthill/routing/router.py
@@ -1,4 +1,4 @@
-"""The quick lane: from a gateway straight to a worker, and back."""
+"""Routes quick requests from a gateway directly to a worker."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,17 +26,18 @@
 from curranthill.telemetry import metrics
 from curranthill.workers import QuickReply, QuickRequest, Worker
 
-#: How much one new sample moves the mean run time of a kind.
+#: Weight of a new sample in the moving average of the run time of a kind.
 _SMOOTHING: Final = 0.1
 
-#: The run time that is believed of a kind of which nothing is known.
-_FIRST_RUN_S: Final = 0.01
+#: Run time assumed for a kind without samples, in seconds.
+_DEFAULT_RUN_S: Final = 0.01
 
-#: Waits after a worker refused for want of a slot, in seconds.
+#: Delay before a retry after a worker had no free slot, in seconds.
 _BUSY_WAIT_S: Final = 0.01
 
-#: Workers that may be lost with one request. It may be what crashes them, and
-#: a request whose first worker was lost by chance has a second try.
+#: Workers that may be lost while they run one request. A request that loses
+#: its workers may be what crashes them, but one whose first worker was lost by
+#: coincidence deserves a second attempt.
 MAX_LOSSES: Final = 2
 
 _TOO_MANY: Final = 429
@@ -46,9 +47,9 @@
 
 
 class QuickWork(NamedTuple):
-    """One request of the quick lane.
+    """A quick request.
 
-    :param deadline_s: seconds that its caller still waits.
+    :param deadline_s: for how many seconds its caller still waits.
     """
 
     request_id: str
@@ -61,10 +62,10 @@
 
 
 class Router:
-    """Choose a worker for each quick request, retry only where it is safe.
+    """Chooses a worker for each quick request; retries only where it is safe.
 
     :param worker_at: returns the client of a worker by its address.
-    :param queue_bound: requests that may wait for one workspace.
+    :param queue_bound: the maximum number of waiting requests per workspace.
     """
 
     def __init__(  # noqa: WPS211
@@ -78,7 +79,7 @@
         worker_at: Callable[[str], Worker],
         queue_bound: int,
     ) -> None:
-        """Keep the parts."""
+        """Initialize with no request in flight."""
         self.max_in_flight = 0
         self.in_flight = 0
         self._clock = clock
@@ -91,9 +92,9 @@
         self._run_s: dict[str, float] = {}
 
     async def run(self, work: QuickWork) -> QuickReply:
-        """Return the worker's whole answer.
+        """Run a request on a worker and return its whole response.
 
-        :raises RefusedError: with what is known of the request's effect.
+        :raises RefusedError: with the known outcome of the request.
         """
         until_s = self._clock.monotonic_s() + work.deadline_s
         self._admit(work)
@@ -116,23 +117,23 @@
                 self._queue.serve()
 
     def take_peak(self) -> int:
-        """Return the most that were in flight or waiting since last asked."""
+        """Return and reset the peak of requests in flight or waiting."""
         peak = max(self.max_in_flight, self.in_flight + len(self._queue))
         self.max_in_flight = self.in_flight
         return peak
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for a worker."""
+        """Return the number of requests that wait for a worker."""
         return len(self._queue)
 
     def serve(self) -> None:
-        """Look again for free slots, after the pool has changed."""
+        """Assign free slots to waiting requests after the pool has changed."""
         self._queue.serve()
 
     def _admit(self, work: QuickWork) -> None:
-        """Refuse at once what cannot be done before its deadline."""
-        run_s = self._run_s.get(work.kind, _FIRST_RUN_S)
+        """Refuse a request at once if it cannot meet its deadline."""
+        run_s = self._run_s.get(work.kind, _DEFAULT_RUN_S)
         ahead = self._queue.count_ahead(work.workspace)
         capacity = self._pool.capacity
         if capacity == 0:
@@ -152,16 +153,16 @@
         excluded: frozenset[str],
         until_s: float,
     ) -> PooledWorker:
-        left_s = until_s - self._clock.monotonic_s()
+        remaining_s = until_s - self._clock.monotonic_s()
         try:
-            async with asyncio.timeout(max(0, left_s)):
+            async with asyncio.timeout(max(0, remaining_s)):
                 return await self._queue.acquire(work.workspace, excluded)
         except QueueFullError:
             raise self._refusal(
                 work,
                 'Too many requests of this workspace wait already.',
                 status=_TOO_MANY,
-                retry_after_s=self._run_s.get(work.kind, _FIRST_RUN_S),
+                retry_after_s=self._run_s.get(work.kind, _DEFAULT_RUN_S),
             ) from None
         except TimeoutError:
             raise self._refusal(
@@ -172,7 +173,7 @@
             ) from None
 
     def _take(self, excluded: frozenset[str]) -> PooledWorker | None:
-        """Take a slot on the chosen candidate, if there is one."""
+        """Take a slot on one of the candidates, if there are any."""
         candidates = [
             worker
             for worker in self._pool.candidates(excluded)
@@ -204,7 +205,7 @@
             step='route',
             peer=worker.name,
         ).debug(
-            '{} goes to {}: {} of {} in flight, {} free',
+            '{} is sent to {}: {} of {} in flight, {} free slots',
             work.kind,
             worker.name,
             worker.in_flight,
@@ -232,8 +233,8 @@
     ) -> None:
         took_s = self._clock.monotonic_s() - begun_s
         worker.free_slots = reply.free_slots
-        known_s = self._run_s.get(work.kind, took_s)
-        self._run_s[work.kind] = known_s + _SMOOTHING * (took_s - known_s)
+        mean_s = self._run_s.get(work.kind, took_s)
+        self._run_s[work.kind] = mean_s + _SMOOTHING * (took_s - mean_s)
         self._ejector.record(worker.name, work.kind, failed=False)
         metrics.quick_latency_s.record(took_s)
 
@@ -248,7 +249,7 @@
             return
         if self._ejector.record(worker.name, work.kind, failed=True):
             logger.bind(step='health', peer=worker.name).warning(
-                '{} is ejected: it fails what its peers do well',
+                '{} is ejected: it fails requests that its peers complete',
                 worker.name,
             )
 
@@ -260,19 +261,19 @@
         excluded: frozenset[str],
         losses: int,
     ) -> None:
-        """Return if the request may go to another worker, else refuse it.
+        """Return if the request may be sent to another worker, else refuse it.
 
         Once every worker has been tried it is refused at once.
 
-        :param losses: workers that were lost with this request.
+        :param losses: workers that were lost while they ran this request.
         """
         outcome = _outcome(error)
-        in_time = self._clock.monotonic_s() < until_s
-        if isinstance(error, WorkerBusyError) and in_time:
+        before_deadline = self._clock.monotonic_s() < until_s
+        if isinstance(error, WorkerBusyError) and before_deadline:
             await self._clock.sleep(_BUSY_WAIT_S)
             return
         safe = outcome == NOT_RUN or (work.idempotent and outcome == UNKNOWN)
-        safe = safe and in_time and losses < MAX_LOSSES
+        safe = safe and before_deadline and losses < MAX_LOSSES
         safe = safe and self._pool.has_others(excluded)
         if safe and self._retries.take():
             metrics.retries.add(1)
