--- a/src/curranthill/membership/__init__.py
+++ b/src/curranthill/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: views, probes and what they carry."""
+"""Gossip membership: views, probes and replication by them."""
 
 from curranthill.membership.node import Node, NodeSettings
 from curranthill.membership.prober import PeerService, Prober
--- a/src/curranthill/membership/node.py
+++ b/src/curranthill/membership/node.py
@@ -1,4 +1,4 @@
-"""What every daemon has in common: platform, peers, configuration."""
+"""Components that all daemons share: platform, peers and configuration."""
 
 import secrets
 import time
@@ -23,7 +23,7 @@
 
 
 class NodeSettings(NamedTuple):
-    """The settings that every daemon shares."""
+    """The settings that all daemons share."""
 
     host: HostSettings
     platform: PlatformSettings
@@ -31,9 +31,9 @@
 
 
 class Node:
-    """The parts that a gateway and a scheduler share.
+    """The components that a gateway and a scheduler share.
 
-    :param app: owns the parts' tasks and hooks.
+    :param app: owns the tasks and hooks of the components.
     :param role: ``gateway`` or ``scheduler``.
     """
 
@@ -44,7 +44,7 @@
         settings: NodeSettings,
         role: str,
     ) -> None:
-        """Make the parts; nothing runs yet."""
+        """Initialize the components without starting them."""
         self.app = app
         self.settings = settings
         host = settings.host
@@ -60,7 +60,7 @@
                 role=role,
                 data_centre=host.data_centre,
                 address='',
-                # Wall seconds make a restarted process newer than before.
+                # The wall clock gives a restarted process a higher number.
                 incarnation=int(time.time()) * 1000 + secrets.randbelow(1000),
             ),
             clock=app.clock,
@@ -95,11 +95,11 @@
 
     @property
     def address(self) -> str:
-        """Return where peers reach this process."""
+        """Return the address at which peers reach this process."""
         return self.view.own.address
 
     async def serve(self, handlers: Sequence[Any]) -> None:
-        """Serve the inner protocol, with more handlers of the daemon's own."""
+        """Serve the inner protocol, with additional handlers of the daemon."""
         peers = PeerService(prober=self.prober, content=self.replicator.content)
         operations = OperationsService(
             view=self.view,
@@ -116,17 +116,17 @@
         )
 
     async def join(self) -> None:
-        """Read the host list, look for peers, follow the configuration."""
+        """Read the host list, join the peers and follow the configuration."""
         await self.directory.start()
         await self.prober.start()
         await self.replicator.start()
 
     async def leave(self) -> None:
-        """Tell peers that this process leaves."""
+        """Announce to peers that this process leaves."""
         await self.prober.leave()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Stop serving and close all connections."""
         if self._server is not None:
             await self._server.stop()
         await self.channels.close()
--- a/src/curranthill/membership/notify.py
+++ b/src/curranthill/membership/notify.py
@@ -1,4 +1,4 @@
-"""Tell the active scheduler of a data centre which jobs have changed."""
+"""Notifies the active scheduler of a data centre of changed jobs."""
 
 import asyncio
 
@@ -11,16 +11,21 @@
 from curranthill.protocol.calls import call_notify
 
 CALL_TIMEOUT_S = 2.0
-_TRIES = 20
+_MAX_ATTEMPTS = 20
 _RETRY_S = 0.25
 
-#: Jobs told of in one call, and jobs that may wait to be told of.
-_BATCH = 200
-_BOUND = 10_000
+#: Maximum number of jobs in one call.
+_MAX_BATCH_JOBS = 200
+
+#: Maximum number of pending jobs per data centre; further ones are dropped.
+_MAX_PENDING_JOBS = 10_000
 
 
 class Notifier:
-    """Send news of jobs in batches; what is lost a scan makes good."""
+    """Sends job notifications in batches.
+
+    Lost notifications are harmless, since schedulers also scan for changes.
+    """
 
     def __init__(
         self,
@@ -29,24 +34,27 @@
         view: View,
         channels: Channels,
     ) -> None:
-        """Start with no news."""
+        """Initialize with no pending notifications."""
         self._app = app
         self._view = view
         self._channels = channels
         self._pending: dict[str, list[str]] = {}
 
     def notify(self, data_centre: str, job_id: str) -> None:
-        """Tell the scheduler of a data centre of a job, soon."""
+        """Queue a notification of a job to the scheduler of a data centre."""
         waiting = self._pending.get(data_centre)
         if waiting is not None:
-            if len(waiting) < _BOUND:
+            if len(waiting) < _MAX_PENDING_JOBS:
                 waiting.append(job_id)
             return
         self._pending[data_centre] = [job_id]
         self._app.spawn(self._send(data_centre), name='notify')
 
     def active_scheduler(self, data_centre: str) -> Member | None:
-        """Return the active scheduler of a data centre, as peers tell."""
+        """Return the active scheduler of a data centre, if one is known.
+
+        Where several members claim to lead, the highest epoch wins.
+        """
         leaders = [
             member
             for member in self._view.alive('scheduler', data_centre)
@@ -55,22 +63,22 @@
         return max(leaders, key=_epoch, default=None)
 
     async def _send(self, data_centre: str) -> None:
-        # A moment lets arrivals of one burst share a call.
+        # Yield once, so that the notifications of a burst share a call.
         await asyncio.sleep(0)
-        tries = 0
-        while self._pending[data_centre] and tries < _TRIES:
-            batch = self._pending[data_centre][:_BATCH]
-            if await self._tell(data_centre, batch):
-                # More may have come meanwhile; only what was told goes.
-                news = self._pending[data_centre]
-                self._pending[data_centre] = news[len(batch) :]
-                tries = 0
+        attempts = 0
+        while self._pending[data_centre] and attempts < _MAX_ATTEMPTS:
+            batch = self._pending[data_centre][:_MAX_BATCH_JOBS]
+            if await self._send_batch(data_centre, batch):
+                # More jobs may have been added meanwhile: drop the sent ones.
+                waiting = self._pending[data_centre]
+                self._pending[data_centre] = waiting[len(batch) :]
+                attempts = 0
             else:
-                tries += 1
+                attempts += 1
                 await self._app.clock.sleep(_RETRY_S)
         self._pending.pop(data_centre)
 
-    async def _tell(self, data_centre: str, job_ids: list[str]) -> bool:
+    async def _send_batch(self, data_centre: str, job_ids: list[str]) -> bool:
         scheduler = self.active_scheduler(data_centre)
         if scheduler is None:
             return False
@@ -83,7 +91,7 @@
             )
         except PeerError as error:
             logger.bind(step=error.step, peer=scheduler.name).debug(
-                'the scheduler was not told: {}',
+                'failed to notify the scheduler: {}',
                 error.message,
             )
             return False
--- a/src/curranthill/membership/operations.py
+++ b/src/curranthill/membership/operations.py
@@ -1,4 +1,4 @@
-"""What each process tells operators of itself."""
+"""The operations service, by which operators inspect a process."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class OperationsService(OperationsBase):
-    """Answer the operators' command."""
+    """Implements the inner protocol's ``Operations`` service."""
 
     def __init__(
         self,
@@ -17,12 +17,12 @@
         view: View,
         configuration: ConfigurationHolder,
     ) -> None:
-        """Keep the parts."""
+        """Initialize with the state to report."""
         self._view = view
         self._configuration = configuration
 
     async def Status(self, stream: Any) -> None:  # noqa: N802
-        """Say which revision is in force here and who the peers are."""
+        """Report the revision in force, the leading epoch and the members."""
         await stream.recv_message()
         own = self._view.own
         members = [message_of(member) for member in (own, *self._view)]
--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -1,4 +1,4 @@
-"""Random probes that find silent peers and carry the news."""
+"""Random probes that detect failed peers and disseminate updates (SWIM)."""
 
 import hashlib
 import random
@@ -13,13 +13,13 @@
 from curranthill.protocol.calls import call_probe, call_relay
 from curranthill.settings import MembershipSettings
 
-#: Changes carried on one probe.
+#: Maximum number of member updates on one probe or its reply.
 UPDATES_PER_PROBE = 6
 
-#: Peers asked to reach a silent one before it is doubted.
+#: Peers that probe an unresponsive member before it is suspected.
 RELAYS = 2
 
-#: One probe in this many goes to another data centre.
+#: One in this many probes goes to another data centre.
 REMOTE_PROBE_INTERVAL = 4
 
 
@@ -27,12 +27,12 @@
 
 
 class Prober:
-    """Probe random peers and take in what they tell.
+    """Probes random peers and applies the updates that they return.
 
     :param app: owns the tasks.
-    :param view: what is believed; probes change it.
-    :param settings: times and seeds.
-    :param seed: for the choice of peers, fixed in tests.
+    :param view: the members that this process knows; probes update it.
+    :param settings: intervals, timeouts and seed addresses.
+    :param seed: of the random choice of peers, fixed in tests.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         settings: MembershipSettings,
         seed: int | None = None,
     ) -> None:
-        """Keep the parts; nothing is probed yet."""
+        """Initialize without probing anything."""
         self._app = app
         self._view = view
         self._channels = channels
@@ -54,21 +54,21 @@
         self._probes = 0
 
     async def start(self) -> None:
-        """Join by the seeds and probe from then on."""
+        """Join through the seeds and probe periodically."""
         self._app.spawn(self._run(), name='probes')
 
     async def leave(self) -> None:
-        """Tell some peers that this process leaves."""
+        """Announce to some peers that this process leaves."""
         self._view.update_own(status=LEFT)
         for member in self._nearest(3):
             await self.probe(member.address)
 
     async def probe(self, address: str, *, full_view: bool = False) -> bool:
-        """Probe one address; return whether it answered."""
-        news = self._view.take_updates(UPDATES_PER_PROBE)
+        """Probe an address; return whether it responded."""
+        updates = self._view.take_updates(UPDATES_PER_PROBE)
         request = inner_pb2.ProbeRequest(
             sender=message_of(self._view.own),
-            news=[message_of(member) for member in news],
+            news=[message_of(member) for member in updates],
             full_view=full_view,
         )
         try:
@@ -87,10 +87,10 @@
         self,
         request: inner_pb2.ProbeRequest,
     ) -> inner_pb2.ProbeReply:
-        """Take in a probe and answer with news of our own."""
-        newcomer = self._view.get(request.sender.name) is None
+        """Apply the updates of a probe and return the reply with own ones."""
+        is_new = self._view.get(request.sender.name) is None
         apply_updates(self._view, (request.sender, *request.news))
-        if request.full_view or newcomer:
+        if request.full_view or is_new:
             members = self._view.alive()
         else:
             members = self._view.take_updates(UPDATES_PER_PROBE)
@@ -101,23 +101,27 @@
 
     async def _run(self) -> None:
         while True:
-            for seed in self._lost_seeds():
+            for seed in self._unknown_seeds():
                 await self.probe(seed, full_view=True)
             await self._probe_next()
             self._view.expire(self._settings.suspicion_s)
-            # Jitter keeps a data centre that starts at once from marching.
+            # Jitter keeps processes that started together from probing in step.
             jitter = self._random.uniform(0.9, 1.1)
             await self._app.clock.sleep(
                 self._settings.probe_interval_s * jitter,
             )
 
-    def _lost_seeds(self) -> Sequence[str]:
-        """Return seeds to try: all when alone, else one now and then."""
+    def _unknown_seeds(self) -> Sequence[str]:
+        """Return the seeds to probe.
+
+        A process without peers probes all seeds; with peers, every tenth round
+        probes one that is not a known member.
+        """
         known = {member.address for member in self._view.alive()}
-        lost = [seed for seed in self._settings.seeds if seed not in known]
-        if len(known) > 1 and lost:
-            return lost[:1] if self._probes % 10 == 0 else ()
-        return lost
+        unknown = [seed for seed in self._settings.seeds if seed not in known]
+        if len(known) > 1 and unknown:
+            return unknown[:1] if self._probes % 10 == 0 else ()
+        return unknown
 
     async def _probe_next(self) -> None:
         self._probes += 1
@@ -129,7 +133,7 @@
             self._view.suspect(target.name)
 
     def _next_target(self) -> Member | None:
-        """Return the next peer: each of a round once, in random order."""
+        """Return the next peer: each once per round, in random order."""
         if self._probes % REMOTE_PROBE_INTERVAL == 0:
             remote = self._remote_contacts()
             if remote:
@@ -150,27 +154,27 @@
     def _remote_contacts(self) -> list[Member]:
         contacts: list[Member] = []
         own = self._view.own
-        by_place: dict[str, list[Member]] = {}
+        by_data_centre: dict[str, list[Member]] = {}
         for member in self._view.alive():
             if member.data_centre != own.data_centre:
-                by_place.setdefault(member.data_centre, []).append(member)
-        for members in by_place.values():
+                by_data_centre.setdefault(member.data_centre, []).append(member)
+        for members in by_data_centre.values():
             contacts.extend(
                 _nearest_by_rank(own, members, self._settings.remote_contacts),
             )
         return contacts
 
     async def probe_indirectly(self, target: Member) -> bool:
-        """Return whether a third process reaches a silent one."""
-        helpers = [
+        """Return whether another peer reaches an unresponsive member."""
+        relays = [
             member
             for member in self._nearest(RELAYS + 1)
             if member.name != target.name
         ]
-        for helper in helpers[:RELAYS]:
+        for relay in relays[:RELAYS]:
             try:
                 reply = await self._channels.call(
-                    helper.address,
+                    relay.address,
                     call_relay,
                     inner_pb2.RelayRequest(address=target.address),
                     2 * self._settings.probe_timeout_s,
@@ -193,36 +197,37 @@
 
 
 class PeerService(PeerBase):
-    """Answer probes, relays and requests for the configuration.
+    """Implements the inner protocol's ``Peer`` service.
 
-    :param prober: takes probes in.
-    :param content: gives the configuration in force, above a revision.
+    :param prober: handles probes.
+    :param content: returns the configuration in force if it is above a
+        revision.
     """
 
     def __init__(self, *, prober: Prober, content: ContentSource) -> None:
-        """Keep the parts."""
+        """Initialize with the prober and the source of configurations."""
         self._prober = prober
         self._content = content
 
     async def Probe(self, stream: Any) -> None:  # noqa: N802
-        """Answer a probe."""
+        """Respond to a probe."""
         request = await stream.recv_message()
         await stream.send_message(self._prober.handle_probe(request))
 
     async def Relay(self, stream: Any) -> None:  # noqa: N802
-        """Probe a third process for a peer."""
+        """Probe another process on behalf of a peer."""
         request = await stream.recv_message()
         reached = await self._prober.probe(request.address)
         await stream.send_message(inner_pb2.RelayReply(reached=reached))
 
     async def FetchConfiguration(self, stream: Any) -> None:  # noqa: N802
-        """Send the configuration in force, if it is above the asked one."""
+        """Send the configuration in force if it is above a revision."""
         request = await stream.recv_message()
         await stream.send_message(self._content(request.above_revision))
 
 
 def apply_updates(view: View, messages: Iterable[inner_pb2.Member]) -> None:
-    """Take in the news of a probe."""
+    """Apply the updates that a probe carried."""
     for message in messages:
         view.apply(member_of(message))
 
@@ -239,7 +244,7 @@
 
 
 def _rank(own: str, other: str) -> int:
-    """Rendezvous rank: each process prefers other contacts than the next."""
+    """Return a rendezvous hash, so that processes prefer different contacts."""
     pair = f'{own} {other}'.encode()
     return int.from_bytes(hashlib.sha256(pair).digest()[:8])
 
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -1,4 +1,4 @@
-"""How a process learns of a new configuration: by the table and by peers."""
+"""Replicates the configuration from the table and from peers."""
 
 import json
 
@@ -24,9 +24,9 @@
 
 
 class ConfigurationReplicator:
-    """Move the holder upwards from whichever source is first.
+    """Updates the configuration holder from whichever source is first.
 
-    :param interval_s: the time between two reads of the table's row.
+    :param interval_s: the interval between two reads of the table's row.
     """
 
     def __init__(  # noqa: WPS211
@@ -39,7 +39,7 @@
         channels: Channels,
         interval_s: float,
     ) -> None:
-        """Listen to the view for higher revisions."""
+        """Initialize and subscribe to the view and to the holder."""
         self._app = app
         self._holder = holder
         self._revisions = revisions
@@ -48,14 +48,14 @@
         self._interval_s = interval_s
         self._fetching = False
         view.listen(self._on_member)
-        holder.listen(self._tell)
+        holder.listen(self._publish_revision)
 
     async def start(self) -> None:
-        """Read the table at once, then now and then."""
+        """Read the table at once, then periodically."""
         self._app.spawn(self._poll(), name='revision poll')
 
     def content(self, above_revision: int) -> inner_pb2.ConfigurationContent:
-        """Return what is in force, empty if it is not above the asked one."""
+        """Return the configuration in force, or none if it is not newer."""
         holder = self._holder
         if holder.revision <= above_revision:
             return inner_pb2.ConfigurationContent()
@@ -71,7 +71,7 @@
                 await self._read_table()
             except (StorageError, ConfigurationError) as error:
                 logger.bind(step=error.step, peer=error.peer).debug(
-                    'the revision row cannot be read: {}',
+                    'cannot read the revision row: {}',
                     error.message,
                 )
             await self._app.clock.sleep(self._interval_s)
@@ -82,7 +82,7 @@
             merged = await self._revisions.document(manifest)
             self._holder.move(manifest, merged)
 
-    def _tell(self) -> None:
+    def _publish_revision(self) -> None:
         self._view.update_own(revision=self._holder.revision)
 
     def _on_member(self, member: Member) -> None:
@@ -103,7 +103,7 @@
             )
         except PeerError as error:
             logger.bind(step=error.step, peer=error.peer).debug(
-                'a peer gave no configuration: {}',
+                'cannot fetch the configuration from a peer: {}',
                 error.message,
             )
             return
--- a/src/curranthill/membership/view.py
+++ b/src/curranthill/membership/view.py
@@ -1,4 +1,4 @@
-"""What one process believes of the others."""
+"""One process's view of the members, with SWIM's update rules."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, Final, NamedTuple
@@ -12,18 +12,19 @@
 DEAD: Final = 2
 LEFT: Final = 3
 
-#: Each change is passed on this many times for each doubling of the view.
+#: Each update is sent this many times per doubling of the number of members.
 TRANSMIT_FACTOR: Final = 3
 
-#: How long a dead or left member is kept, so that late news of it loses.
+#: How long a dead or left member is kept, in seconds, so that a late update
+#: does not revive it.
 TOMBSTONE_S: Final = 60.0
 
 
 class Load(NamedTuple):
-    """How full the data centre is that a scheduler leads.
+    """The load of the data centre that a scheduler leads.
 
-    :param widest_free: free slots of the rack that has most of them.
-    :param waiting_slots: what the jobs in its queue ask for.
+    :param widest_free: free slots of the rack that has the most.
+    :param waiting_slots: slots that the jobs in its queue request.
     """
 
     free_slots: int
@@ -32,10 +33,10 @@
 
 
 class Member(NamedTuple):
-    """One process.
+    """A process and its state.
 
-    :param incarnation: raised by the process itself, to refute a suspicion
-        or when it starts again; higher news wins.
+    :param incarnation: incremented by the process itself to refute a
+        suspicion, and higher after a restart; higher ones take precedence.
     """
 
     name: str
@@ -52,7 +53,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether the member counts as one to talk to."""
+        """Return whether the member is alive or only suspected."""
         return self.status in {ALIVE, SUSPECT}
 
 
@@ -60,13 +61,13 @@
 
 
 class View:
-    """The members as this process knows them, and the news to pass on.
+    """The members that a process knows, and the updates to disseminate.
 
-    :param own: this process's own entry.
+    :param own: the entry of this process itself.
     """
 
     def __init__(self, *, own: Member, clock: Clock) -> None:
-        """Start knowing only this process."""
+        """Initialize with this process as the only member."""
         self.own = own
         self._clock = clock
         self._members: dict[str, Member] = {}
@@ -75,11 +76,11 @@
         self._listeners: list[Listener] = []
 
     def __iter__(self) -> Iterator[Member]:
-        """Yield the other members, the dead ones included."""
+        """Yield the other members, including dead ones."""
         return iter(list(self._members.values()))
 
     def get(self, name: str) -> Member | None:
-        """Return a member by name; this process itself is one."""
+        """Return a member by name; this process is a member too."""
         return self.own if name == self.own.name else self._members.get(name)
 
     def listen(self, listener: Listener) -> None:
@@ -87,7 +88,11 @@
         self._listeners.append(listener)
 
     def alive(self, role: str = '', data_centre: str = '') -> list[Member]:
-        """Return the members that answer, this process included."""
+        """Return the reachable members, including this process.
+
+        :param role: only members of this role, if not empty.
+        :param data_centre: only members there, if not empty.
+        """
         return [
             member
             for member in (self.own, *self._members.values())
@@ -104,7 +109,7 @@
         status: int | None = None,
         load: Load | None = None,
     ) -> None:
-        """Change this process's own entry and make it news."""
+        """Change the entry of this process and disseminate it."""
         asked = {
             'revision': revision,
             'leading_epoch': leading_epoch,
@@ -121,39 +126,42 @@
         self.own = own._replace(incarnation=own.incarnation + 1)
         self._queue_update(own.name)
 
-    def apply(self, told: Member) -> bool:
-        """Take in news of a member; return whether it changed the view.
+    def apply(self, update: Member) -> bool:
+        """Apply an update of a member; return whether it changed the view.
 
-        Higher incarnations win; at the same one, the worse status wins.
+        The higher incarnation wins; at the same one, the worse status wins.
         """
-        if told.name == self.own.name:
-            return self._refute(told)
-        known = self._members.get(told.name)
-        if known is not None and not _overrides(told, known):
+        if update.name == self.own.name:
+            return self._refute(update)
+        known = self._members.get(update.name)
+        if known is not None and not _overrides(update, known):
             return False
-        if known is None and not told.is_reachable:
+        if known is None and not update.is_reachable:
             return False
-        self._members[told.name] = told
-        self._changed_s[told.name] = self._clock.monotonic_s()
-        self._queue_update(told.name)
-        if known is None or known.status != told.status:
-            logger.bind(step='membership', peer=told.name).info(
+        self._members[update.name] = update
+        self._changed_s[update.name] = self._clock.monotonic_s()
+        self._queue_update(update.name)
+        if known is None or known.status != update.status:
+            logger.bind(step='membership', peer=update.name).info(
                 '{} is {}',
-                told.name,
-                ('alive', 'suspect', 'dead', 'left')[told.status],
+                update.name,
+                ('alive', 'suspect', 'dead', 'left')[update.status],
             )
         for listener in self._listeners:
-            listener(told)
+            listener(update)
         return True
 
     def suspect(self, name: str) -> None:
-        """Doubt a member that did not answer."""
+        """Suspect a member that did not respond."""
         member = self._members.get(name)
         if member is not None and member.status == ALIVE:
             self.apply(member._replace(status=SUSPECT))
 
     def expire(self, suspicion_s: float) -> None:
-        """Declare long doubted members dead and drop old tombstones."""
+        """Declare members dead that were suspected for long; drop tombstones.
+
+        :param suspicion_s: how long a member is suspected first, in seconds.
+        """
         now_s = self._clock.monotonic_s()
         for member in self:
             age_s = now_s - self._changed_s[member.name]
@@ -165,26 +173,26 @@
                 self._transmits_left.pop(member.name, None)
 
     def take_updates(self, limit: int) -> list[Member]:
-        """Return up to ``limit`` changes to pass on, the freshest first."""
+        """Return up to ``limit`` updates to send, the least sent ones first."""
         names = sorted(self._transmits_left, key=self._update_order)[:limit]
-        news: list[Member] = []
+        updates: list[Member] = []
         for name in names:
             member = self.get(name)
             self._transmits_left[name] -= 1
             if self._transmits_left[name] <= 0:
                 self._transmits_left.pop(name)
             if member is not None:
-                news.append(member)
-        return news
+                updates.append(member)
+        return updates
 
-    def _refute(self, told: Member) -> bool:
-        if told.incarnation < self.own.incarnation:
+    def _refute(self, update: Member) -> bool:
+        if update.incarnation < self.own.incarnation:
             return False
-        if told == self.own:
+        if update == self.own:
             return False
-        # Somebody doubts this process, or an earlier run of it was better
-        # known: a higher incarnation settles both.
-        self.own = self.own._replace(incarnation=told.incarnation + 1)
+        # Another member suspects this process, or knows a later incarnation of
+        # it from before a restart: a higher incarnation overrides both.
+        self.own = self.own._replace(incarnation=update.incarnation + 1)
         self._queue_update(self.own.name)
         return True
 
@@ -196,10 +204,10 @@
         return -self._transmits_left[name]
 
 
-def _overrides(told: Member, known: Member) -> bool:
-    if told.incarnation != known.incarnation:
-        return told.incarnation > known.incarnation
-    return told.status > known.status
+def _overrides(update: Member, known: Member) -> bool:
+    if update.incarnation != known.incarnation:
+        return update.incarnation > known.incarnation
+    return update.status > known.status
 
 
 __all__ = ('ALIVE', 'DEAD', 'LEFT', 'SUSPECT', 'Load', 'Member', 'View')
