--- a/src/curranthill/entry/__init__.py
+++ b/src/curranthill/entry/__init__.py
@@ -1,4 +1,4 @@
-"""What any host does for callers, and the configuration it goes by."""
+"""Services of every host: job requests, configuration, peers, suspension."""
 
 from curranthill.entry.closed_data_centres import (
     ClosedDataCentre,
--- a/src/curranthill/entry/closed_data_centres.py
+++ b/src/curranthill/entry/closed_data_centres.py
@@ -1,9 +1,10 @@
-"""Data centres that operators have closed; nothing new starts there.
+"""Data centres that operators have closed, in which no tasks are started.
 
-Answers an evacuation: what runs in a data centre goes on, and no task starts
-there until it is taken back. What is not known to be open counts as closed, so
-a host that has not read the operators' rows of late starts nothing anywhere.
-Without a bound only what was read as closed counts as closed.
+Closing a data centre is how operators evacuate it: its running tasks continue,
+and none starts there until it is opened again. With a time bound for closings,
+a data centre that is not known to be open counts as closed, so a host that has
+not read the operators' rows recently starts nothing anywhere. Without a bound,
+only data centres that were read as closed count as closed.
 """
 
 import math
@@ -15,22 +16,22 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Of the time in which starts must cease, what is known may be this old: the
-#: rest is for orders on their way, which are given up after 0.6 s.
-KNOWN_SHARE: Final = 0.6
+#: Maximum age of the information, as a share of the time in which starts must
+#: cease. The rest is left for orders in flight, which time out after 0.6 s.
+MAX_AGE_SHARE: Final = 0.6
 
-#: How old the knowledge of a host is that has read nothing yet, in seconds:
-#: above every bound.
+#: Age of the information of a host that has read nothing yet, in seconds; above
+#: every bound.
 NEVER_READ_AGE_S: Final = 86_400.0
 
 ClosureDecoder = Callable[[StoredRow], str | None]
 
 
 class ClosedDataCentre(NamedTuple):
-    """A data centre in which nothing new starts.
+    """A data centre in which no tasks are started.
 
-    :param version: that of the row that closed it.
-    :param seen_s: when this host learnt of it, in seconds of its clock.
+    :param version: the version of the row that closed it.
+    :param seen_s: when this host read the row, in seconds of its clock.
     """
 
     name: str
@@ -39,15 +40,15 @@
 
 
 class ClosedDataCentres:
-    """Which data centres are closed, as far as this host knows.
+    """The data centres that this host knows to be closed.
 
     :param read_s: up to when all rows are known, in seconds of the clock.
     :param decode: returns the data centre that a row closes, or nothing for
-        other rows; raises :class:`MalformedRecordError` for one that closes
-        none that can be told.
-    :param cease_s: in how many seconds after its closing no task may start in
-        a data centre any more; 0 for no bound, so that only what was read to
-        be closed is.
+        other rows; raises :class:`MalformedRecordError` for a closing that
+        names none.
+    :param cease_s: how many seconds after its closing a data centre may still
+        get starts; 0 for no bound, in which case only data centres that were
+        read as closed count as closed.
     """
 
     def __init__(
@@ -57,36 +58,36 @@
         decode: ClosureDecoder,
         cease_s: float,
     ) -> None:
-        """Start with nothing read: with a bound, nothing is allowed."""
+        """Initialize with nothing read; with a bound, starts are forbidden."""
         self.closed: dict[str, ClosedDataCentre] = {}
         self._clock = clock
         self._decode = decode
-        self._fresh_s = KNOWN_SHARE * cease_s if cease_s else math.inf
+        self._max_age_s = MAX_AGE_SHARE * cease_s if cease_s else math.inf
         self.read_s = clock.monotonic_s() - NEVER_READ_AGE_S
-        self._was_known = False
+        self._was_current = False
 
     @property
     def age_s(self) -> float:
-        """Return how old the knowledge is, in seconds."""
+        """Return the age of the information, in seconds."""
         return self._clock.monotonic_s() - self.read_s
 
     def allows_starts(self, data_centre: str) -> bool:
         """Return whether a task may start in a data centre now."""
-        return self._is_known() and data_centre not in self.closed
+        return self._is_current() and data_centre not in self.closed
 
     def confirm(self, until_s: float) -> None:
-        """Take note that all rows are known up to a moment."""
+        """Record that all rows are known up to a time."""
         self.read_s = max(self.read_s, until_s)
 
     def replace_all(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take the operators' rows in place of all before."""
+        """Replace all known rows of the operators."""
         present = {self._name_of(row) for row in rows}
         for name in set(self.closed) - present:
             self._open(name)
         self.apply_changes(rows)
 
     def apply_changes(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take rows that were written or removed, in order."""
+        """Apply written and removed rows, in order."""
         for row in rows:
             name = self._name_of(row)
             if name is None:
@@ -96,16 +97,16 @@
             else:
                 self._close(name, row)
 
-    def _is_known(self) -> bool:
-        known = self.age_s < self._fresh_s
-        if known != self._was_known:
-            self._was_known = known
+    def _is_current(self) -> bool:
+        current = self.age_s < self._max_age_s
+        if current != self._was_current:
+            self._was_current = current
             events.log(
-                'closures_known' if known else 'closures_unknown',
+                'closures_known' if current else 'closures_unknown',
                 closed=sorted(self.closed),
                 age_s=round(self.age_s, 2),
             )
-        return known
+        return current
 
     def _name_of(self, row: StoredRow) -> str | None:
         try:
@@ -126,14 +127,14 @@
             return
         now_s = self._clock.monotonic_s()
         self.closed[name] = ClosedDataCentre(name, row.version, now_s)
-        self._tell('data_centre_closed', name, row.version)
+        self._report('data_centre_closed', name, row.version)
 
     def _open(self, name: str) -> None:
         known = self.closed.pop(name, None)
         if known is not None:
-            self._tell('data_centre_opened', name, known.version)
+            self._report('data_centre_opened', name, known.version)
 
-    def _tell(self, event: str, name: str, version: int) -> None:
+    def _report(self, event: str, name: str, version: int) -> None:
         events.log(
             event,
             name=name,
--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -1,4 +1,4 @@
-"""What any host does for callers: accept, tell, cancel, count."""
+"""Handles callers' job requests, which any host can serve from the store."""
 
 import asyncio
 import random
@@ -42,42 +42,42 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import workspace_labels
 
-#: How long a request waits for a store that refuses, in seconds: long enough
-#: for one moment over the store's rate, short enough for callers to turn to
-#: another host in time.
-REFUSED_PATIENCE_S: Final = 0.25
+#: How long a request is retried while the store refuses it, in seconds: long
+#: enough to outlast a short excess of the store's rate limit, short enough for
+#: callers to try another host in time.
+REFUSED_TIMEOUT_S: Final = 0.25
 
-#: How long a request waits to learn what became of a write, in seconds: two
-#: or three tries of a store that replies late; the caller asks again then.
-UNCERTAIN_PATIENCE_S: Final = 1.5
+#: How long a request waits for the outcome of a write, in seconds: two or three
+#: attempts at a store that replies late; the caller then has to ask again.
+OUTCOME_TIMEOUT_S: Final = 1.5
 
-#: An answer comes within this share of the caller's patience, so that there
-#: is time to ask another host.
-ANSWER_SHARE: Final = 0.45
+#: A response is sent within this share of the caller's timeout, which leaves
+#: time to ask another host.
+RESPONSE_SHARE: Final = 0.45
 
-#: The pause between two tries, in seconds.
+#: Delay between two attempts, in seconds.
 RETRY_DELAY_S: Final = 0.05
 
-#: The spread of the moments at which refused callers come back, in seconds:
-#: half a unit of the header, so that its rounding spreads them.
-RETURN_SPREAD_S: Final = 0.5
+#: Jitter of the time after which refused callers retry, in seconds: half a unit
+#: of the header, so that its rounding spreads them.
+RETRY_JITTER_S: Final = 0.5
 
-#: When a caller should ask again for what could not be read, in seconds.
+#: After how many seconds a caller should retry what could not be read.
 RETRY_AFTER_S: Final = 1.0
 
 
 class OutlookSource(Protocol):
-    """Knows what waits."""
+    """Provides the forecast of the leader."""
 
     def newest(self) -> tuple[Outlook | None, float]:
-        """Return the newest outlook, if any, and its age in seconds."""
+        """Return the latest forecast, if any, and its age in seconds."""
 
     def missed(self) -> None:
-        """Take note of a call of the store that had no answer."""
+        """Record a call to the store that got no reply."""
 
 
 class JobHandler:
-    """Callers' requests, answered from the store by any host."""
+    """Accepts, cancels, counts and looks up jobs in the store."""
 
     def __init__(
         self,
@@ -87,62 +87,63 @@
         health: StoreHealth,
         outlooks: OutlookSource,
     ) -> None:
-        """Keep the store."""
+        """Initialize with the store and what admission depends on."""
         self._health = health
         self._outlooks = outlooks
         self._store = store
         self._clock = clock
 
-    async def accept(self, spec: JobSpec, patience_s: float) -> None:
-        """Store a job; a repeat of the same id changes nothing.
+    async def accept(self, spec: JobSpec, timeout_s: float) -> None:
+        """Store a job; repeating a request with the same id has no effect.
 
-        A try whose effect is unknown is repeated under the same condition,
-        so the job is stored once, whichever try takes effect. Only a job of
-        which no try can have taken effect is refused as not run.
+        An attempt whose outcome is unknown is repeated with the same
+        precondition, so the job is stored once, whichever attempt succeeds. A
+        job is refused as not run only if no attempt can have succeeded.
 
-        :param patience_s: how long the caller waits.
+        :param timeout_s: how long the caller waits, in seconds.
         :raises RefusedError: if the job was not stored or may not have been.
         """
         if not self._health.reachable:
-            # Known to be away: refuse at once instead of after a timeout.
+            # The store is known to be unreachable: refuse without a timeout.
             raise self._refusal(spec, None, uncertain=False)
-        if await self._is_stored_though_refused(spec):
+        if await self._is_stored_despite_refusal(spec):
             return
         insertion = asyncio.ensure_future(self._insert(spec))
         try:
             stored = await wait_at_most(
                 insertion,
-                timeout_s=min(UNCERTAIN_PATIENCE_S, patience_s * ANSWER_SHARE),
+                timeout_s=min(OUTCOME_TIMEOUT_S, timeout_s * RESPONSE_SHARE),
                 clock=self._clock,
             )
         finally:
             insertion.cancel()
         if not stored:
-            # It may be stored yet: nobody may be told soon that it is not.
+            # The job may still be stored. This suspends load shedding, so that
+            # a repeated request is not soon refused as not run.
             self._outlooks.missed()
             raise self._refusal(spec, None, uncertain=True)
         insertion.result()
 
     async def state(self, job_id: str) -> str | None:
-        """Return a job's state, or nothing if there is no such job.
+        """Return the state of a job, or nothing if there is no such job.
 
         :raises RefusedError: if the store cannot be read.
         """
-        progress = await self._progress(job_id)
+        progress = await self._find_progress(job_id)
         return progress.state if progress else None
 
     async def cancel(self, job_id: str) -> bool:
-        """Cancel a job; return whether there is one.
+        """Cancel a job; return whether it exists.
 
         :raises RefusedError: if the cancellation may not have been stored.
         """
-        progress = await self._progress(job_id)
+        progress = await self._find_progress(job_id)
         if progress is None:
             return False
         if progress.state in ENDED:
             return True
         put = RowPut(tables.INTAKE, tables.cancel_key(job_id), b'1')
-        until_s = self._clock.monotonic_s() + UNCERTAIN_PATIENCE_S
+        until_s = self._clock.monotonic_s() + OUTCOME_TIMEOUT_S
         while True:
             try:
                 await self._store.commit(puts=(put,))
@@ -155,9 +156,10 @@
                 return True
 
     async def pending(self, queue: Queue, *, count_afresh: bool) -> int:
-        """Return how many jobs of a queue have not begun.
+        """Return how many jobs of a queue have not started.
 
-        :param count_afresh: whether the leader's own count may be old.
+        :param count_afresh: whether to count the rows instead of reading the
+            leader's count, which may be outdated.
         :raises RefusedError: if the store cannot be read.
         """
         try:
@@ -170,7 +172,7 @@
         return counts.get(queue.name, 0)
 
     async def _count(self, queue: str) -> int:
-        """Count accepted jobs of which no leader has started anything."""
+        """Count the accepted jobs of which no leader has started a task."""
         accepted = await self._store.scan(tables.INTAKE)
         listed = await self._store.scan(tables.PROGRESS)
         progress = {
@@ -182,27 +184,27 @@
                 continue
             spec = decode(row.content, JobSpec)
             known = progress.get(row.key, JobProgress(queue=spec.queue.name))
-            begun = known.state != QUEUED or known.tasks
-            if spec.queue.name == queue and not begun:
+            started = known.state != QUEUED or known.tasks
+            if spec.queue.name == queue and not started:
                 waiting += 1
         return waiting
 
     async def _insert(self, spec: JobSpec) -> None:
-        """Try to store a job until it is stored, or refused for sure."""
-        began_s = self._clock.monotonic_s()
+        """Repeat storing a job until it is stored or certainly refused."""
+        started_s = self._clock.monotonic_s()
         uncertain = False
         while True:
             failure = await self._try_insert(spec)
             if failure is None:
                 return
             uncertain = uncertain or isinstance(failure, ReplyLostError)
-            tried_s = self._clock.monotonic_s() - began_s
-            if not uncertain and tried_s > REFUSED_PATIENCE_S:
+            elapsed_s = self._clock.monotonic_s() - started_s
+            if not uncertain and elapsed_s > REFUSED_TIMEOUT_S:
                 raise self._refusal(spec, failure, uncertain=False)
             await self._clock.sleep(RETRY_DELAY_S)
 
     async def _try_insert(self, spec: JobSpec) -> StorageError | None:
-        """Store a job; return what went wrong, if anything."""
+        """Store a job; return the error if the store failed."""
         try:
             await self._store.commit(
                 checks=(RowCheck(tables.INTAKE, spec.job_id, 0),),
@@ -214,12 +216,12 @@
             return error
         return None
 
-    async def _progress(self, job_id: str) -> JobProgress | None:
-        """Return how far a job has come, or nothing if there is none.
+    async def _find_progress(self, job_id: str) -> JobProgress | None:
+        """Return the progress of a job, or nothing if there is no such job.
 
-        The leader writes the first progress when it starts a task, and drops
-        the accepted job once its end is stored; so the progress is looked at
-        once more if the accepted job is not there either.
+        The leader writes the first progress when it starts a task and removes
+        the accepted job once its end is stored. So if neither row is found,
+        the progress may have been written in between and is read again.
         """
         try:
             for _ in range(2):
@@ -235,7 +237,7 @@
         return None
 
     async def _read(self, table: str, job_id: str) -> StoredRow | None:
-        until_s = self._clock.monotonic_s() + REFUSED_PATIENCE_S
+        until_s = self._clock.monotonic_s() + REFUSED_TIMEOUT_S
         while True:
             try:
                 return await self._store.read(table, job_id)
@@ -244,11 +246,11 @@
                     raise self._unreadable(job_id, error) from error
                 await self._clock.sleep(RETRY_DELAY_S)
 
-    async def _is_stored_though_refused(self, spec: JobSpec) -> bool:
-        """Raise if a job is refused now; return whether it is stored already.
+    async def _is_stored_despite_refusal(self, spec: JobSpec) -> bool:
+        """Apply admission control; return whether the job is already stored.
 
-        A refusal is final, so an earlier try is looked for first. Where that
-        cannot be read the job is not refused.
+        A refusal is final, so the job of an earlier attempt is looked up first.
+        If it cannot be read, the job is not refused.
 
         :raises RefusedError: if the job is refused.
         """
@@ -257,15 +259,15 @@
         if refusal is None:
             return False
         try:
-            known = await self._progress(spec.job_id)
+            known = await self._find_progress(spec.job_id)
         except RefusedError:
             return False
         if known is not None:
             events.log('accepted_before', job=spec.job_id)
             return True
-        raise self._turned_away(spec, refusal, age_s)
+        raise self._shedding_error(spec, refusal, age_s)
 
-    def _turned_away(
+    def _shedding_error(
         self,
         spec: JobSpec,
         refusal: Refusal,
@@ -322,7 +324,7 @@
             outcome=NOT_RUN,
             retry_after_s=return_after_s(
                 spec,
-                spread_s=random.uniform(-RETURN_SPREAD_S, RETURN_SPREAD_S),
+                spread_s=random.uniform(-RETRY_JITTER_S, RETRY_JITTER_S),
             ),
             peer=peer,
         )
--- a/src/curranthill/entry/peers.py
+++ b/src/curranthill/entry/peers.py
@@ -1,4 +1,4 @@
-"""The other hosts: each lists itself in the store and reads who else does."""
+"""Peer discovery through the store, in which each host registers itself."""
 
 import random
 import re
@@ -18,44 +18,44 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often a host lists itself and reads the list, in seconds: a hundred
-#: hosts then make some fourteen calls a second.
+#: Interval at which a host registers itself and reads the list, in seconds: a
+#: hundred hosts then make some fourteen calls per second.
 INTERVAL_S: Final = 15.0
 
-#: The same after the first reading, in seconds: hosts that start together
-#: list themselves within a second of each other.
+#: The same after the first read, in seconds: hosts that start together register
+#: themselves within a second of each other.
 FIRST_INTERVAL_S: Final = 2.0
 
-#: The pause before the next try when the store does not answer, in seconds.
+#: Delay before a retry when the store does not respond, in seconds.
 RETRY_S: Final = 1.0
 
-#: A host whose row has not changed for so long is called no more, in seconds:
-#: it has not listed itself three times in a row.
-SILENT_S: Final = 4 * INTERVAL_S
+#: A host whose row has not changed for this long is no longer used, in seconds:
+#: it has failed to register itself three times in a row.
+UNRESPONSIVE_S: Final = 4 * INTERVAL_S
 
-#: Its row is removed after so long, in seconds: longer than any host that
-#: comes back under the same name is away.
-GONE_S: Final = 600.0
+#: Its row is removed after this long, in seconds: longer than the downtime of
+#: any host that returns under the same name.
+REMOVE_AFTER_S: Final = 600.0
 
 
-#: What a host's row holds: an IP number and a port.
+#: The content of a host's row: an IP address and a port.
 _ADDRESS: Final = re.compile(rb'[0-9.]+:\d{1,5}')
 
 
 class _Sighting(NamedTuple):
-    """Since when a host's row has been seen with one version."""
+    """Since when a host's row has had its version, on this host's clock."""
 
     version: int
     since_s: float
 
 
 class PeerList:
-    """Addresses at which other hosts pass calls on to the store.
+    """The addresses at which other hosts relay calls to the store.
 
-    Who is alive is told by whether its row changes, on this host's own steady
-    clock, so that the clocks of hosts need not agree.
+    A host counts as alive while its row keeps changing, measured on this
+    host's monotonic clock, so that the clocks of the hosts need not agree.
 
-    :param addresses: as last read, this host's own left out.
+    :param addresses: as last read, without this host's own.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         host: str,
         address: str,
     ) -> None:
-        """Start with no peer known."""
+        """Initialize without known peers."""
         self.addresses: tuple[str, ...] = ()
         self._store = store
         self._clock = clock
@@ -75,16 +75,16 @@
         self._bad: dict[str, int] = {}
 
     async def run(self) -> None:
-        """List this host and read the list, again and again."""
-        pause_s = FIRST_INTERVAL_S
+        """Register this host and read the list periodically."""
+        interval_s = FIRST_INTERVAL_S
         while True:
-            await self._insist(self._list_self)
-            await self._insist(self._read)
-            await self._clock.sleep(pause_s * random.uniform(0.7, 1.3))
-            pause_s = INTERVAL_S
+            await self._retry(self._register)
+            await self._retry(self._read)
+            await self._clock.sleep(interval_s * random.uniform(0.7, 1.3))
+            interval_s = INTERVAL_S
 
-    async def _insist(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Repeat a step until the store answers it."""
+    async def _retry(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Repeat a step until the store responds."""
         while True:
             try:
                 return await step()
@@ -92,24 +92,24 @@
                 events.log('peers_unknown', error=str(error))
             await self._clock.sleep(RETRY_S)
 
-    async def _list_self(self) -> None:
+    async def _register(self) -> None:
         await self._store.commit(puts=(self._put,))
 
     async def _read(self) -> None:
         listed = await self._store.scan(tables.HOSTS)
         others = [row for row in listed.rows if self._is_peer(row)]
-        silent_s = {row.key: self._silent_s(row) for row in others}
+        unchanged_s = {row.key: self._unchanged_s(row) for row in others}
         self.addresses = tuple(
             row.content.decode()
             for row in others
-            if silent_s[row.key] < SILENT_S
+            if unchanged_s[row.key] < UNRESPONSIVE_S
         )
         for row in others:
-            if silent_s[row.key] >= GONE_S:
+            if unchanged_s[row.key] >= REMOVE_AFTER_S:
                 await self._remove(row)
 
     def _is_peer(self, row: StoredRow) -> bool:
-        """Return whether a row names another host; tell of one that can't."""
+        """Return whether a row is another host's; report malformed rows."""
         if row.key == self._put.key:
             return False
         if _ADDRESS.fullmatch(row.content):
@@ -120,17 +120,17 @@
             metrics.records_bad.add(1, {'kind': 'peer'})
         return False
 
-    def _silent_s(self, row: StoredRow) -> float:
-        """Return for how long a row is known not to have changed."""
+    def _unchanged_s(self, row: StoredRow) -> float:
+        """Return for how long a row has not changed, in seconds."""
         now_s = self._clock.monotonic_s()
-        known = self._sightings.get(row.key)
-        if known is None or known.version != row.version:
+        seen = self._sightings.get(row.key)
+        if seen is None or seen.version != row.version:
             self._sightings[row.key] = _Sighting(row.version, now_s)
             return 0.0
-        return now_s - known.since_s
+        return now_s - seen.since_s
 
     async def _remove(self, row: StoredRow) -> None:
-        """Remove the row of a host that is gone, unless it came back."""
+        """Remove the row of a host, unless it was written again."""
         await self._store.commit(
             checks=(RowCheck(tables.HOSTS, row.key, row.version),),
             removals=(RowRemoval(tables.HOSTS, row.key),),
--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the store; it never goes back."""
+"""Follows the configuration in the store; older revisions are ignored."""
 
 import asyncio
 import math
@@ -18,22 +18,22 @@
 from curranthill.telemetry.events import events
 
 #: How long a request waits for the configuration to be read again, in seconds;
-#: then its caller is told to come back.
-RECHECK_PATIENCE_S: Final = 0.3
+#: after that its caller is told to retry.
+CONFIRM_TIMEOUT_S: Final = 0.3
 
 RevisionDecoder = Callable[[StoredRow], Revision | None]
 
 
 class RevisionFollower:
-    """Holds the configuration in force on this host.
+    """Tracks the configuration in force on this host.
 
-    :param closed_data_centres: is given the same rows, some of which close data
-        centres, and knows how old this information is.
+    :param closed_data_centres: gets the same rows, some of which close data
+        centres, and knows the age of the information.
     :param decode: returns a row's configuration, or nothing for other rows;
-        raises :class:`MalformedRecordError` for one that can't be read, and
-        what is in force stays so.
-    :param in_force_s: how soon a change must be in force, in seconds; 0 for
-        no bound.
+        raises :class:`MalformedRecordError` for a malformed one, which is
+        ignored.
+    :param in_force_s: the time within which a change must be in force, in
+        seconds; 0 for no bound.
     """
 
     def __init__(
@@ -46,9 +46,9 @@
         closed_data_centres: ClosedDataCentres,
         in_force_s: float = 0.0,
     ) -> None:
-        """Start without a configuration."""
+        """Initialize without a configuration."""
         self.current: Revision | None = None
-        self._in_force_s = in_force_s or math.inf
+        self._max_age_s = in_force_s or math.inf
         self._was_fresh = True
         self._clock = clock
         self._decode = decode
@@ -68,13 +68,13 @@
         """Follow until cancelled."""
         await self._follower.read()
         self._confirmed.set()
-        await asyncio.gather(self._follower.follow(), self._check_again())
+        await asyncio.gather(self._follower.follow(), self._reconfirm())
 
     @property
     def is_fresh(self) -> bool:
-        """Return whether every change that is due by now would be known."""
+        """Return whether all changes that must be in force by now are known."""
         age_s = self._closed_data_centres.age_s
-        fresh = age_s < self._in_force_s
+        fresh = age_s < self._max_age_s
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             events.log(
@@ -85,21 +85,24 @@
         return fresh
 
     def invalidate(self) -> None:
-        """Read the configuration again: it may have changed unseen."""
+        """Have the configuration read again: it may have changed unnoticed."""
         self._confirmed.clear()
         self._invalidated.set()
 
     async def wait_until_confirmed(self) -> bool:
-        """Return whether no doubt is left, waiting a while for that."""
+        """Wait until the configuration was read since it was last invalidated.
+
+        Returns whether it was within the timeout.
+        """
         if self._confirmed.is_set():
             return True
         return await wait_at_most(
             self._confirmed.wait(),
-            timeout_s=RECHECK_PATIENCE_S,
+            timeout_s=CONFIRM_TIMEOUT_S,
             clock=self._clock,
         )
 
-    async def _check_again(self) -> None:
+    async def _reconfirm(self) -> None:
         while True:
             await self._invalidated.wait()
             self._invalidated.clear()
@@ -109,13 +112,13 @@
 
     def _replace_all(self, rows: tuple[StoredRow, ...]) -> None:
         self._closed_data_centres.replace_all(rows)
-        self._take(rows)
+        self._apply_revisions(rows)
 
     def _apply_changes(self, rows: tuple[StoredRow, ...]) -> None:
         self._closed_data_centres.apply_changes(rows)
-        self._take(rows)
+        self._apply_revisions(rows)
 
-    def _take(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_revisions(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             try:
                 revision = self._decode(row)
@@ -133,14 +136,14 @@
                 self._put_in_force(revision)
 
     def _put_in_force(self, revision: Revision) -> None:
-        before = self.current.number if self.current else -1
-        if revision.number <= before:
+        previous = self.current.number if self.current else -1
+        if revision.number <= previous:
             return
         self.current = revision
         events.log(
             'revision_in_force',
             number=revision.number,
-            before=before,
+            before=previous,
             queues=len(revision.queues),
         )
 
--- a/src/curranthill/entry/suspension.py
+++ b/src/curranthill/entry/suspension.py
@@ -1,4 +1,4 @@
-"""Notices that this host did not run for a while, as when suspended."""
+"""Detects that this host did not run for a while, as when suspended."""
 
 from collections.abc import Callable
 from typing import Final
@@ -7,19 +7,20 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often a host looks at its clock, in seconds.
-TICK_S: Final = 0.25
+#: Interval between two reads of the clock, in seconds.
+CHECK_INTERVAL_S: Final = 0.25
 
-#: A host that has not looked for so long did not run, in seconds: a leader
-#: orders nothing on a write that is 1.2 s old, so this is noticed before.
-PAUSE_S: Final = 1.0
+#: A gap between two reads of the clock that counts as a suspension, in seconds.
+#: A leader sends no orders 1.2 s after its last write, so a suspension is
+#: detected before it could matter.
+MIN_SUSPENSION_S: Final = 1.0
 
 
 class SuspensionDetector:
-    """Looks at the clock again and again, and before whatever matters.
+    """Checks the clock periodically, and on demand before requests.
 
-    :param on_resume: is called once after each pause, before anything is
-        done on what was known before it.
+    :param on_resume: is called once after each suspension, before anything
+        relies on what was known before it.
     """
 
     def __init__(
@@ -28,26 +29,26 @@
         clock: Clock,
         on_resume: Callable[[], None],
     ) -> None:
-        """Start as running."""
+        """Initialize with the first read of the clock."""
         self._clock = clock
         self._on_resume = on_resume
-        self._looked_s = clock.monotonic_s()
+        self._checked_s = clock.monotonic_s()
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             self.check()
-            await self._clock.sleep(TICK_S)
+            await self._clock.sleep(CHECK_INTERVAL_S)
 
     def check(self) -> None:
-        """Tell of a pause, if there was one since the last look."""
+        """Report a suspension, if there was one since the last check."""
         now_s = self._clock.monotonic_s()
-        away_s = now_s - self._looked_s
-        self._looked_s = now_s
-        if away_s < PAUSE_S:
+        suspended_s = now_s - self._checked_s
+        self._checked_s = now_s
+        if suspended_s < MIN_SUSPENSION_S:
             return
         metrics.pauses.add(1)
-        events.log('resumed', away_s=round(away_s, 2))
+        events.log('resumed', away_s=round(suspended_s, 2))
         self._on_resume()
 
 
