--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -1,7 +1,7 @@
-"""A host that is suspended: its clock, and its calls.
+"""Simulates suspended hosts: their clocks, and their calls to others.
 
-Nothing of a suspended host runs. Its timers stand still meanwhile; a clock
-that counts the time suspended goes on, a steady one does not.
+Nothing runs on a suspended host, and its timers stop. A clock that counts the
+time suspended continues to advance, a monotonic clock that does not stops.
 """
 
 import asyncio
@@ -20,87 +20,87 @@
 from curranthill.tasks import TaskKey, decode, tables
 from tests.support import ManualClock
 
-#: What is left of a timer that counts as over, in seconds.
-OVER_S = 1e-9
+#: Remaining time of a timer that counts as expired, in seconds.
+EXPIRED_S = 1e-9
 
 
 class HostClock:
-    """The clock of one host.
+    """The clock of a host.
 
-    :param counts_suspension: whether readings go on while it is suspended.
+    :param counts_suspension: whether the clock advances during a suspension.
     """
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Run with the others."""
+        """Initialize as running."""
         self.counts_suspension = True
         self._clock = clock
-        self._away_s = 0.0
-        self._suspended_s = 0.0
+        self._earlier_s = 0.0
+        self._since_s = 0.0
         self._awake = asyncio.Event()
         self._awake.set()
 
     @property
     def suspended(self) -> bool:
-        """Return whether nothing of this host runs."""
+        """Return whether the host is suspended."""
         return not self._awake.is_set()
 
     def suspend(self) -> None:
-        """Stand still from now on."""
-        self._suspended_s = self._clock.monotonic_s()
+        """Suspend the host."""
+        self._since_s = self._clock.monotonic_s()
         self._awake.clear()
 
     def resume(self) -> None:
-        """Go on."""
-        self._away_s += self._clock.monotonic_s() - self._suspended_s
+        """Resume the host."""
+        self._earlier_s += self._clock.monotonic_s() - self._since_s
         self._awake.set()
 
     def true_s(self) -> float:
-        """Return the time that passes for everybody."""
+        """Return the time of the simulation."""
         return self._clock.monotonic_s()
 
     def monotonic_s(self) -> float:
-        """Return the reading that the host's parts go by."""
+        """Return the time as the host's components read it."""
         now_s = self._clock.monotonic_s()
-        return now_s if self.counts_suspension else now_s - self._gone_s()
+        return now_s if self.counts_suspension else now_s - self._suspended_s()
 
     def wall_s(self) -> float:
         """Return the time of day."""
         return self._clock.wall_s()
 
     async def sleep(self, delay_s: float) -> None:
-        """Wait on a timer, which stands still while the host does."""
-        left_s = max(0.0, delay_s)
+        """Wait on a timer, which stops while the host is suspended."""
+        remaining_s = max(0.0, delay_s)
         while True:
-            began_s = self._ticks_s()
-            await self._clock.sleep(left_s)
-            await self.awake()
-            left_s -= self._ticks_s() - began_s
-            if left_s <= OVER_S:
+            started_s = self._running_s()
+            await self._clock.sleep(remaining_s)
+            await self.wait_until_awake()
+            remaining_s -= self._running_s() - started_s
+            if remaining_s <= EXPIRED_S:
                 return
 
-    async def awake(self) -> None:
-        """Return while the host is not suspended."""
+    async def wait_until_awake(self) -> None:
+        """Wait until the host is not suspended."""
         while self.suspended:
             await self._awake.wait()
 
-    def _ticks_s(self) -> float:
-        return self._clock.monotonic_s() - self._gone_s()
+    def _running_s(self) -> float:
+        return self._clock.monotonic_s() - self._suspended_s()
 
-    def _gone_s(self) -> float:
+    def _suspended_s(self) -> float:
         if not self.suspended:
-            return self._away_s
-        return self._away_s + self._clock.monotonic_s() - self._suspended_s
+            return self._earlier_s
+        return self._earlier_s + self._clock.monotonic_s() - self._since_s
 
 
 class HostStore:
-    """The store as a host calls it that may be suspended.
+    """The store as called by a host that may be suspended.
 
     :param led_s: when this host sent its writes as a leader, by epoch; only
-        those that it knows to be done.
+        confirmed ones.
     """
 
     def __init__(self, *, store: RowStore, clock: HostClock) -> None:
-        """Keep the store."""
+        """Initialize without writes."""
         self.led_s: dict[int, list[float]] = {}
         self._store = store
         self._clock = clock
@@ -112,8 +112,8 @@
         puts: Sequence[RowPut] = (),
         removals: Sequence[RowRemoval] = (),
     ) -> int:
-        """Write; the answer is read once the host is awake."""
-        await self._clock.awake()
+        """Commit; the reply is read once the host is awake."""
+        await self._clock.wait_until_awake()
         sent_s = self._clock.true_s()
         try:
             version = await self._store.commit(
@@ -122,7 +122,7 @@
                 removals=removals,
             )
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
         for put in puts:
             if (put.table, put.key) == (tables.LEADER, tables.LEADER_KEY):
                 epoch = decode(put.content, LeaderRow).epoch
@@ -130,20 +130,20 @@
         return version
 
     async def read(self, table: str, key: str) -> StoredRow | None:
-        """Read one row."""
-        await self._clock.awake()
+        """Read a row."""
+        await self._clock.wait_until_awake()
         try:
             return await self._store.read(table, key)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
     async def scan(self, table: str) -> RowChanges:
         """Read a table."""
-        await self._clock.awake()
+        await self._clock.wait_until_awake()
         try:
             return await self._store.scan(table)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
     async def changes(
         self,
@@ -152,15 +152,15 @@
         wait_s: float,
     ) -> RowChanges:
         """Read a feed."""
-        await self._clock.awake()
+        await self._clock.wait_until_awake()
         try:
             return await self._store.changes(table, after, wait_s)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
 
 class Order:
-    """One order that a host sent.
+    """An order that a host sent.
 
     :param sent_s: when it was sent.
     :param kind: ``start``, ``stop`` or ``renew``.
@@ -168,16 +168,16 @@
     """
 
     def __init__(self, *, sent_s: float, kind: str, token: int) -> None:
-        """Keep the fields."""
+        """Initialize the fields."""
         self.sent_s = sent_s
         self.kind = kind
         self.token = token
 
 
 class OrderedWorker:
-    """A worker as a host calls it that may be suspended.
+    """A worker as called by a host that may be suspended.
 
-    :param orders: every order that was sent, in order.
+    :param orders: all sent orders, in sequence.
     """
 
     def __init__(
@@ -187,7 +187,7 @@
         clock: HostClock,
         orders: list[Order],
     ) -> None:
-        """Keep the worker."""
+        """Initialize with a shared list of orders."""
         self._worker = worker
         self._clock = clock
         self._orders = orders
@@ -198,7 +198,7 @@
         try:
             return await self._worker.start(order)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> float:
         """Stop a run."""
@@ -206,7 +206,7 @@
         try:
             return await self._worker.stop(task, attempt, token)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
         """Renew the lease."""
@@ -214,10 +214,10 @@
         try:
             return await self._worker.renew(order)
         finally:
-            await self._clock.awake()
+            await self._clock.wait_until_awake()
 
     async def _send(self, kind: str, token: int) -> None:
-        await self._clock.awake()
+        await self._clock.wait_until_awake()
         sent_s = self._clock.true_s()
         self._orders.append(Order(sent_s=sent_s, kind=kind, token=token))
 
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -1,7 +1,7 @@
-"""Data centres that operators close: nothing new starts there.
+"""Tests that no tasks are started in data centres that operators closed.
 
-A closed data centre was like any other: on a day with three of them closed in
-turn a thousand tasks started on workers that were to get nothing.
+Guards against treating a closed data centre like any other: on a day when three
+were closed in turn, a thousand tasks started on workers that should get none.
 """
 
 import unittest
@@ -16,15 +16,17 @@
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.support import ManualClock, run
 
-#: A closing is in force so soon, in seconds: a feed tells of it at once.
+#: A closing is in force within this time, in seconds: the feed reports it at
+#: once.
 IN_FORCE_S = 0.2
 
-#: What is open again is used so soon, in seconds: one interval of rounds.
+#: A reopened data centre is used within this time, in seconds: one interval of
+#: the placement rounds.
 USED_AGAIN_S = 0.4
 
 
 def wide(width: int) -> Step:
-    """Return a step of tasks of one accelerator each."""
+    """Return a step of single-accelerator tasks."""
     return Step(width=width, needs=ONE_GPU, estimate_s=60.0)
 
 
@@ -34,7 +36,7 @@
 
 
 class ClosedTest(unittest.TestCase):
-    """While it is closed, work runs elsewhere or waits."""
+    """While a data centre is closed, work runs elsewhere or waits."""
 
     def test_nothing_starts_in_a_closed_data_centre(self) -> None:
         """Eight tasks fit elsewhere and run there; two wait."""
@@ -52,8 +54,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_what_waits_starts_once_it_is_open_again(self) -> None:
-        """Within the time of one round."""
+    def test_waiting_work_starts_once_it_is_reopened(self) -> None:
+        """Waiting work starts within one interval of rounds."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -71,8 +73,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_start_that_waits_for_its_turn_is_not_sent(self) -> None:
-        """Five wait at a slow worker; it is closed after the first."""
+    def test_a_queued_start_is_not_sent(self) -> None:
+        """Five starts queue at a slow worker, closed after the first one."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -93,7 +95,7 @@
     def test_a_gang_that_loses_a_members_start_starts_whole_elsewhere(
         self,
     ) -> None:
-        """No part of it is left where it began."""
+        """No member is left where the gang was first placed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -112,7 +114,7 @@
         in_domain(case, workers=1, run_s=60)
 
     def test_a_new_leader_starts_nothing_there(self) -> None:
-        """It was closed while nobody led."""
+        """The data centre was closed while there was no leader."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -135,8 +137,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_what_runs_there_goes_on(self) -> None:
-        """A stop would throw its work away."""
+    def test_running_tasks_continue(self) -> None:
+        """Stopping them would lose their work."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -150,11 +152,11 @@
         in_domain(case, run_s=6)
 
 
-class UnknownTest(unittest.TestCase):
-    """What is not known to be open counts as closed."""
+class UnknownStateTest(unittest.TestCase):
+    """A data centre that is not known to be open counts as closed."""
 
     def test_a_host_that_lost_the_operators_rows_starts_nothing(self) -> None:
-        """It still writes as a leader; it starts again once it can read."""
+        """It can still write as the leader; starts resume with the reads."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -173,7 +175,7 @@
         in_domain(case, run_s=60)
 
     def test_a_lost_history_is_read_again(self) -> None:
-        """It was closed in the gap."""
+        """The data centre was closed in the gap of the feed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -190,8 +192,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_host_that_was_suspended_knows_nothing(self) -> None:
-        """Until it has read the rows again."""
+    def test_a_suspended_host_must_read_again(self) -> None:
+        """It treats all data centres as closed until then."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -213,16 +215,16 @@
 
 
 def closing(key: str, version: int, *, removed: bool = False) -> StoredRow:
-    """Return a row of the operators."""
+    """Return an operators' row that closes a data centre."""
     content = b'' if removed else b'{}'
     return StoredRow('op', key, content, version, removed=removed)
 
 
 class RowsTest(unittest.TestCase):
-    """What the operators' rows say."""
+    """Interpretation of the operators' rows."""
 
     def closures(self) -> ClosedDataCentres:
-        """Return closures that have been read just now."""
+        """Return closed data centres whose rows were read just now."""
         clock = ManualClock()
         found = ClosedDataCentres(
             clock=clock,
@@ -232,8 +234,8 @@
         found.confirm(clock.monotonic_s())
         return found
 
-    def test_several_are_closed_and_opened_one_by_one(self) -> None:
-        """One is closed again the moment it was taken back."""
+    def test_several_are_closed_and_opened_separately(self) -> None:
+        """One is closed again as soon as it was reopened."""
         found = self.closures()
         found.apply_changes(
             (closing('evacuate/a', 1), closing('evacuate/b', 2)),
@@ -248,15 +250,15 @@
         self.assertEqual(list(found.closed), ['a'])
         self.assertEqual(found.closed['a'].version, 4)
 
-    def test_a_whole_reading_opens_what_it_does_not_hold(self) -> None:
-        """The feed's history was lost with the removal in it."""
+    def test_a_snapshot_opens_data_centres_that_it_lacks(self) -> None:
+        """The removal was in the lost part of the feed's history."""
         found = self.closures()
         found.replace_all((closing('evacuate/a', 1), closing('config', 2)))
         found.replace_all((closing('evacuate/c', 4),))
         self.assertEqual(list(found.closed), ['c'])
 
-    def test_records_of_a_wrong_shape_stop_nothing(self) -> None:
-        """One without a name is passed over; the key alone closes."""
+    def test_malformed_records_have_no_other_effect(self) -> None:
+        """A record without a name is ignored; a key without content closes."""
         found = self.closures()
         broken = StoredRow('op', 'evacuate/b', b'[1, "no map"', 3)
         found.apply_changes((closing('evacuate/', 1), broken))
@@ -264,13 +266,13 @@
         self.assertTrue(found.allows_starts('a'))
 
     def test_a_data_centre_without_workers_may_be_closed(self) -> None:
-        """It changes nothing elsewhere."""
+        """This has no effect on others."""
         found = self.closures()
         found.apply_changes((closing('evacuate/nowhere', 1),))
         self.assertTrue(found.allows_starts('a'))
 
-    def test_knowledge_lasts_three_fifths_of_the_bound(self) -> None:
-        """Counted from when it was asked for."""
+    def test_rows_are_current_for_three_fifths_of_the_bound(self) -> None:
+        """Counted from when they were requested."""
 
         async def case() -> None:
             clock = ManualClock()
@@ -289,7 +291,7 @@
         run(case())
 
 
-#: What operators and faults do, each followed by a wait in seconds.
+#: Actions of operators and faults, each followed by a wait in seconds.
 SERIES = st.lists(
     st.tuples(
         st.sampled_from(
@@ -304,7 +306,7 @@
 
 
 class AnySeriesTest(unittest.TestCase):
-    """Data centres closed and opened beside other faults, in any order."""
+    """Random sequences of closings, openings and other faults."""
 
     @settings(max_examples=20, phases=(Phase.explicit, Phase.generate))
     @given(SERIES)
@@ -312,7 +314,7 @@
         self,
         series: list[tuple[str, str, float]],
     ) -> None:
-        """Whoever leads; and all that was accepted ends at last."""
+        """This holds for any leader, and all accepted jobs are completed."""
 
         async def case(domain: Domain) -> None:
             for name in ('e0', 'e1'):
@@ -338,13 +340,13 @@
 
 
 class StartWatch:
-    """Notes starts on workers of a data centre that was closed too long ago.
+    """Records starts on workers of data centres that were closed too long ago.
 
-    :param late: what was started past the bound.
+    :param late: the starts past the bound.
     """
 
     def __init__(self, domain: Domain) -> None:
-        """Watch all workers."""
+        """Initialize with all data centres open."""
         self.domain = domain
         self.closed_s: dict[str, float] = {}
         self.late: list[str] = []
@@ -352,7 +354,7 @@
         self._hosts = 2
 
     async def do(self, what: str, where: str) -> None:
-        """Let one thing happen; its method bears its name."""
+        """Perform an action by the name of its method."""
         await getattr(self, what)(where)
 
     async def close(self, where: str) -> None:
@@ -362,35 +364,35 @@
         self.closed_s.setdefault(where, now_s)
 
     async def open(self, where: str) -> None:
-        """Take a data centre back."""
+        """Reopen a data centre."""
         self.domain.open_data_centre(where)
         self.closed_s.pop(where, None)
 
     async def kill(self, where: str) -> None:
-        """Kill the leader; another host starts."""
+        """Kill the leader and start another host."""
         for host in self.domain.leading()[:1]:
             await host.kill()
             self._hosts += 1
             self.domain.start_host(f'h{self._hosts}')
 
     async def lose(self, where: str) -> None:
-        """Let no host read the operators' rows."""
+        """Make the operators' rows unreadable for all hosts."""
         self.domain.unreadable.update(self.domain.hosts)
 
     async def find(self, where: str) -> None:
-        """Let all read them again."""
+        """Make the operators' rows readable again."""
         self.domain.unreadable.clear()
 
     async def away(self, where: str) -> None:
-        """Let the store fall silent."""
+        """Make the store unavailable."""
         self.domain.rows.down.add('*')
 
     async def back(self, where: str) -> None:
-        """Let it answer again."""
+        """Make the store available again."""
         self.domain.rows.down.clear()
 
     async def job(self, where: str) -> None:
-        """Hand a job in, unless the store is away."""
+        """Submit a job, unless the store is unavailable."""
         if self.domain.rows.down:
             return
         host = next(iter(self.domain.hosts.values()))
@@ -399,7 +401,7 @@
         await host.accept(make_spec(job_id, wide(3)))
 
     async def advance(self, wait_s: float) -> None:
-        """Move time on in small steps and look at what started."""
+        """Advance the clock in small steps and check for late starts."""
         until_s = self.domain.clock.monotonic_s() + wait_s
         while self.domain.clock.monotonic_s() < until_s:
             before = {
@@ -407,9 +409,9 @@
                 for name, worker in self.domain.workers.items()
             }
             await self.domain.clock.advance(0.05)
-            self._look(before)
+            self._check_starts(before)
 
-    def _look(self, before: dict[str, int]) -> None:
+    def _check_starts(self, before: dict[str, int]) -> None:
         now_s = self.domain.clock.monotonic_s()
         for name, worker in self.domain.workers.items():
             closed_s = self.closed_s.get(worker.entry.data_centre, now_s)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -1,4 +1,4 @@
-"""What a host tells callers, whatever the store and the leader do."""
+"""Tests of the job handler under faults of the store and the leader."""
 
 import asyncio
 import unittest
@@ -11,10 +11,10 @@
 
 
 class SlowStoreTest(unittest.TestCase):
-    """A store that takes a third of a second for each commit."""
+    """A store that takes 0.3 s or more for each commit."""
 
     def test_many_jobs_are_accepted_while_the_leader_writes(self) -> None:
-        """Jobs that come together do not wait for each other's commits."""
+        """Concurrent jobs do not wait for each other's commits."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -31,10 +31,10 @@
 
         in_domain(case)
 
-    def test_an_answer_comes_while_the_caller_can_still_ask_elsewhere(
+    def test_a_response_leaves_time_to_ask_another_host(
         self,
     ) -> None:
-        """Nothing is known after half of the caller's patience: 504."""
+        """If the outcome is unknown after half of the timeout: 504."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -50,10 +50,10 @@
 
 
 class StateTest(unittest.TestCase):
-    """Jobs that no leader has touched, and jobs that ended."""
+    """States of jobs that no leader has handled and of ended jobs."""
 
     def test_an_accepted_job_is_queued_and_can_be_cancelled(self) -> None:
-        """Nobody leads: the host tells what it stored."""
+        """Without a leader, the host reports what it has stored."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -72,8 +72,8 @@
 
         in_domain(case)
 
-    def test_a_job_handed_in_again_after_its_end_stays_one_job(self) -> None:
-        """Its row comes back, is known as that of an ended job, and goes."""
+    def test_a_job_resubmitted_after_its_end_stays_one_job(self) -> None:
+        """Its new row is recognized as that of an ended job and removed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -95,8 +95,8 @@
 
         in_domain(case)
 
-    def test_rows_of_an_ended_job_go_only_after_its_end_is_stored(self) -> None:
-        """The store refuses the leader's partition only, then it dies."""
+    def test_rows_of_an_ended_job_stay_until_its_end_is_stored(self) -> None:
+        """The store refuses the leader's partition; then the leader dies."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a table of the store through its faults."""
+"""Tests of following a table of the store under faults."""
 
 import asyncio
 import unittest
@@ -8,18 +8,18 @@
 from curranthill.storage.rows import RowChanges, RowPut, StoredRow
 from tests.support import ManualClock, run
 
-#: Within so long a change must be in force everywhere, in seconds.
+#: Time within which a change must be in force everywhere, in seconds.
 IN_FORCE_S = 2.0
 
 
 class Followed:
-    """A follower of one table, and what it was told.
+    """A follower of a table, and the rows that it has received.
 
-    :param seen: the content of each row, as told last.
+    :param seen: the last received content of each row.
     """
 
     def __init__(self) -> None:
-        """Follow an empty table."""
+        """Initialize with an empty table."""
         self.clock = ManualClock()
         self.rows = RowModel(clock=self.clock)
         self.seen: dict[str, bytes] = {}
@@ -37,7 +37,7 @@
         await self._follower.follow()
 
     def write(self, key: str, content: bytes) -> None:
-        """Change a row."""
+        """Write a row."""
         self.rows.apply((), (RowPut('t', key, content),), ())
 
     def _take(self, rows: tuple[StoredRow, ...]) -> None:
@@ -45,10 +45,10 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Changes arrive in bounded time, whatever became of a reading."""
+    """Changes arrive in bounded time, also if a read is lost."""
 
     def test_a_change_arrives_at_once(self) -> None:
-        """The feed waits at the store."""
+        """The feed's read is waiting at the store."""
 
         async def case() -> None:
             followed = Followed()
@@ -61,8 +61,8 @@
 
         run(case())
 
-    def test_a_lost_reading_costs_less_than_the_bound(self) -> None:
-        """A change is made while a reading is lost."""
+    def test_a_lost_read_delays_a_change_within_the_bound(self) -> None:
+        """A row changes while a read is lost."""
 
         async def case() -> None:
             followed = Followed()
@@ -79,7 +79,7 @@
         run(case())
 
     def test_a_lost_history_is_read_again(self) -> None:
-        """What changed in the gap is there after it."""
+        """Changes in the gap are received after it."""
 
         async def case() -> None:
             followed = Followed()
@@ -97,16 +97,16 @@
 
 
 class HeldSource:
-    """Answers each reading when the test says so, and with what it says."""
+    """A source whose reads complete when the test resolves their futures."""
 
     def __init__(self) -> None:
-        """Hold every reading."""
+        """Initialize without reads."""
         self.scans: list[asyncio.Future[RowChanges]] = []
         self.feeds: list[asyncio.Future[RowChanges]] = []
         self.waits_s: list[float] = []
 
     async def scan(self, table: str) -> RowChanges:
-        """Wait for the test."""
+        """Wait until the test resolves the read."""
         self.scans.append(asyncio.get_running_loop().create_future())
         return await self.scans[-1]
 
@@ -116,23 +116,23 @@
         after: int,
         wait_s: float,
     ) -> RowChanges:
-        """Wait for the test."""
+        """Wait until the test resolves the read."""
         self.waits_s.append(wait_s)
         self.feeds.append(asyncio.get_running_loop().create_future())
         return await self.feeds[-1]
 
 
 def changed(version: int) -> RowChanges:
-    """Return one row as changed at a version."""
+    """Return the change of one row at a version."""
     row = StoredRow('t', 'k', str(version).encode(), version)
     return RowChanges((row,), version)
 
 
 class OverlapTest(unittest.TestCase):
-    """A whole reading while the feed goes on, as after a pause of the host."""
+    """Snapshots that are read beside the feed, as after a suspension."""
 
     def follow(self, source: HeldSource) -> list[StoredRow]:
-        """Follow in the background; return what is taken, in order."""
+        """Follow in the background; return the received rows, in order."""
         taken: list[StoredRow] = []
         self.follower = TableFollower(
             store=source,
@@ -144,90 +144,93 @@
         self.following = asyncio.ensure_future(self.follower.follow())
         return taken
 
-    def test_a_reading_behind_the_feed_is_made_again(self) -> None:
-        """Taken, it would undo what the feed told, and for good."""
+    def test_a_snapshot_older_than_the_feed_is_read_again(self) -> None:
+        """Applying it would undo a change of the feed permanently."""
 
         async def case() -> None:
             source = HeldSource()
             taken = self.follow(source)
-            reading = asyncio.ensure_future(self.follower.read())
-            await turn()
+            snapshot = asyncio.ensure_future(self.follower.read())
+            await yield_to_tasks()
             source.feeds[0].set_result(changed(11))
-            await turn()
+            await yield_to_tasks()
             source.scans[0].set_result(RowChanges((), 10))
-            await turn()
-            self.assertFalse(reading.done())
+            await yield_to_tasks()
+            self.assertFalse(snapshot.done())
             source.scans[1].set_result(changed(12))
-            await turn()
+            await yield_to_tasks()
             self.assertEqual([row.version for row in taken], [11, 12])
             self.following.cancel()
 
         run(case())
 
-    def test_an_answer_from_before_a_reading_is_passed_over(self) -> None:
-        """The reading already holds what came after it."""
+    def test_a_feed_response_older_than_the_snapshot_is_ignored(self) -> None:
+        """The snapshot already contains its changes."""
 
         async def case() -> None:
             source = HeldSource()
             taken = self.follow(source)
-            reading = asyncio.ensure_future(self.follower.read())
-            await turn()
+            snapshot = asyncio.ensure_future(self.follower.read())
+            await yield_to_tasks()
             source.scans[0].set_result(changed(12))
-            await turn()
+            await yield_to_tasks()
             source.feeds[0].set_result(changed(9))
-            await turn()
-            self.assertTrue(reading.done())
+            await yield_to_tasks()
+            self.assertTrue(snapshot.done())
             self.assertEqual([row.version for row in taken], [12])
             self.following.cancel()
 
         run(case())
 
 
-class KnowledgeTest(unittest.TestCase):
-    """Up to when a table is known, in seconds after its reading was asked."""
+class ConfirmationTest(unittest.TestCase):
+    """Up to when a table is known, in seconds after its read was requested."""
 
-    def known_s(self, answer: RowChanges, after_s: float) -> list[float]:
-        """Return it for each of two answers, the second one empty."""
-        known_s: list[float] = []
+    def confirmed_s(self, response: RowChanges, after_s: float) -> list[float]:
+        """Return it for each of two responses, the second one empty."""
+        confirmed_s: list[float] = []
         taken: list[StoredRow] = []
         self.source = HeldSource()
 
         async def case() -> None:
             clock = ManualClock()
-            asked_s = clock.monotonic_s()
+            requested_s = clock.monotonic_s()
             follower = TableFollower(
                 store=self.source,
                 clock=clock,
                 table='t',
                 on_snapshot=taken.extend,
                 on_changes=taken.extend,
-                on_confirmed=lambda until_s: known_s.append(until_s - asked_s),
+                on_confirmed=lambda until_s: confirmed_s.append(
+                    until_s - requested_s,
+                ),
             )
             following = asyncio.ensure_future(follower.follow())
             await clock.advance(after_s)
-            self.source.feeds[0].set_result(answer)
+            self.source.feeds[0].set_result(response)
             await clock.advance(0)
-            self.source.feeds[1].set_result(RowChanges((), answer.version))
+            self.source.feeds[1].set_result(RowChanges((), response.version))
             await clock.advance(0)
             following.cancel()
 
         run(case())
-        return known_s
+        return confirmed_s
 
-    def test_an_empty_answer_tells_up_to_the_end_of_its_wait(self) -> None:
-        """However late it comes; one that comes early tells up to then."""
+    def test_an_empty_response_confirms_up_to_the_end_of_its_wait(self) -> None:
+        """This holds however late it is; an early one confirms up to then."""
         empty = RowChanges((), 5)
-        self.assertEqual(self.known_s(empty, FEED_WAIT_S + 0.4)[0], FEED_WAIT_S)
-        self.assertAlmostEqual(self.known_s(empty, 0.3)[0], 0.3)
-
-    def test_an_answer_with_rows_is_followed_by_another_at_once(self) -> None:
-        """It was on its way for a while, and tells nothing of that time."""
-        known_s = self.known_s(changed(6), FEED_WAIT_S + 2.0)
-        self.assertEqual(known_s, [0.0, FEED_WAIT_S + 2.0])
+        late_s = self.confirmed_s(empty, FEED_WAIT_S + 0.4)[0]
+        self.assertEqual(late_s, FEED_WAIT_S)
+        self.assertAlmostEqual(self.confirmed_s(empty, 0.3)[0], 0.3)
+
+    def test_a_response_with_rows_is_followed_by_a_read_at_once(self) -> None:
+        """It was in flight for a while and does not cover that time."""
+        confirmed_s = self.confirmed_s(changed(6), FEED_WAIT_S + 2.0)
+        self.assertEqual(confirmed_s, [0.0, FEED_WAIT_S + 2.0])
         self.assertEqual(self.source.waits_s[:3], [FEED_WAIT_S, 0, FEED_WAIT_S])
 
 
-async def turn() -> None:
-    """Let all tasks go on as far as they can."""
+async def yield_to_tasks() -> None:
+    """Let all tasks run until they wait."""
     for _ in range(5):
         await asyncio.sleep(0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Views of the other processes: news, suspicion, returns, strangers."""
+"""Tests of gossip membership: updates, suspicion, restarts and strangers."""
 
 import asyncio
 import unittest
@@ -26,7 +26,7 @@
 from curranthill.settings import MembershipSettings
 from tests.support import ManualClock, run, settle
 
-_NEWS = st.builds(
+_UPDATE = st.builds(
     Member,
     name=st.sampled_from(['a', 'b']),
     role=st.just('gateway'),
@@ -49,23 +49,23 @@
 
 
 def make_view(clock: ManualClock | None = None) -> View:
-    """Return a view that knows only itself."""
+    """Return a view with itself as the only member."""
     return View(own=member('me'), clock=clock or ManualClock())
 
 
 class ViewTest(unittest.TestCase):
-    """What is believed, in whatever order news comes."""
+    """Members of a view after updates in any order."""
 
-    @given(st.lists(_NEWS, max_size=12), st.randoms(use_true_random=False))
-    def test_order_does_not_matter(self, news: Any, source: Any) -> None:
-        """Two views that hear the same end at the same status."""
-        shuffled = list(news)
+    @given(st.lists(_UPDATE, max_size=12), st.randoms(use_true_random=False))
+    def test_order_does_not_matter(self, updates: Any, source: Any) -> None:
+        """Two views that get the same updates end at the same status."""
+        shuffled = list(updates)
         source.shuffle(shuffled)
         first, second = make_view(), make_view()
-        for view, told in ((first, news), (second, shuffled)):
+        for view, received in ((first, updates), (second, shuffled)):
             for name in ('a', 'b'):
                 view.apply(member(name, address='1:1', incarnation=0))
-            for one in told:
+            for one in received:
                 view.apply(one)
         for name in ('a', 'b'):
             one, two = first.get(name), second.get(name)
@@ -76,8 +76,8 @@
                 (two.incarnation, two.status),
             )
 
-    def test_a_doubted_process_refutes(self) -> None:
-        """It raises its incarnation, which wins everywhere."""
+    def test_a_suspected_process_refutes(self) -> None:
+        """It increments its incarnation, which takes precedence everywhere."""
         view, other = make_view(), make_view()
         view.apply(member('me', status=SUSPECT))
         self.assertGreater(view.own.incarnation, 1)
@@ -85,8 +85,8 @@
         other.suspect('me2')
         self.assertTrue(other.apply(member('me2', incarnation=2)))
 
-    def test_silence_becomes_death_and_a_return_is_believed(self) -> None:
-        """Flapping: dead, then back with a higher incarnation."""
+    def test_an_unresponsive_member_dies_and_may_return(self) -> None:
+        """A flapping member is dead, then back with a higher incarnation."""
         clock = ManualClock()
         view = make_view(clock)
         view.apply(member('a'))
@@ -98,8 +98,8 @@
             view.apply(member('a', incarnation=incarnation))
             self.assertEqual(len(view.alive()), 2)
 
-    def test_late_news_of_a_dead_process_loses(self) -> None:
-        """A tombstone keeps it out until it is truly new."""
+    def test_a_late_update_does_not_revive_a_dead_member(self) -> None:
+        """A tombstone rejects it until the incarnation is higher."""
         clock = ManualClock()
         view = make_view(clock)
         view.apply(member('a', status=DEAD))
@@ -120,20 +120,20 @@
         names = {one.name for one in view.alive()}
         self.assertEqual(names, {'me', 'new'})
 
-    def test_news_is_passed_on_a_bounded_number_of_times(self) -> None:
-        """Each change leaves the news after some probes."""
+    def test_an_update_is_sent_a_bounded_number_of_times(self) -> None:
+        """Each update is dropped after some probes."""
         view = make_view()
         view.apply(member('a'))
-        told = [view.take_updates(6) for _ in range(50)]
-        self.assertTrue(told[0])
-        self.assertEqual(told[-1], [])
+        sent = [view.take_updates(6) for _ in range(50)]
+        self.assertTrue(sent[0])
+        self.assertEqual(sent[-1], [])
 
 
 class Peer:
-    """One process's membership over loopback."""
+    """The membership components of a process, over loopback."""
 
     def __init__(self, name: str, *, key: str = 'key') -> None:
-        """Make the parts."""
+        """Initialize the components."""
         self.app = Application(name=name)
         self.view = View(own=member(name), clock=self.app.clock)
         self.channels = Channels(key=key)
@@ -146,7 +146,7 @@
         )
         self.server = InnerServer(
             key=key,
-            handlers=[PeerService(prober=self.prober, content=_nothing)],
+            handlers=[PeerService(prober=self.prober, content=_no_content)],
         )
 
     async def start(self) -> str:
@@ -157,34 +157,34 @@
         return address
 
     async def stop(self) -> None:
-        """Close all."""
+        """Stop serving and close the connections."""
         await self.server.stop()
         await self.channels.close()
 
 
-def _nothing(above_revision: int) -> inner_pb2.ConfigurationContent:
+def _no_content(above_revision: int) -> inner_pb2.ConfigurationContent:
     return inner_pb2.ConfigurationContent()
 
 
 class _SlowChannels:
-    """Channels whose calls end only when a test says so."""
+    """Channels whose calls wait until a test opens the gate."""
 
     def __init__(self) -> None:
-        """Start with no call."""
-        self.told: list[str] = []
+        """Initialize with a closed gate."""
+        self.notified: list[str] = []
         self.gate = asyncio.Event()
 
     async def call(self, *given: Any) -> None:
-        """Keep what was told, after the gate."""
+        """Record the job ids of a call once the gate is open."""
         await self.gate.wait()
-        self.told.extend(given[2].job_ids)
+        self.notified.extend(given[2].job_ids)
 
 
 class NotifierTest(unittest.TestCase):
-    """News of jobs to the active scheduler."""
+    """Notifications of jobs to the active scheduler."""
 
-    def test_news_that_comes_during_a_call_is_not_lost(self) -> None:
-        """Every job is told of exactly once."""
+    def test_a_notification_queued_during_a_call_is_not_lost(self) -> None:
+        """Each job is notified exactly once."""
 
         async def case() -> None:
             app = Application(name='g')
@@ -200,7 +200,7 @@
                 notifier.notify('dc', job_id)
             channels.gate.set()
             await settle()
-            self.assertEqual(channels.told, jobs)
+            self.assertEqual(channels.notified, jobs)
             await app.stop()
 
         run(case())
@@ -209,8 +209,8 @@
 class PeerTest(unittest.TestCase):
     """Probes over the inner protocol."""
 
-    def test_a_newcomer_gets_the_full_view(self) -> None:
-        """One probe tells both sides of all."""
+    def test_a_new_member_gets_the_full_view(self) -> None:
+        """One probe exchanges all members."""
 
         async def case() -> None:
             peers = [Peer('a'), Peer('b'), Peer('c')]
@@ -226,8 +226,8 @@
 
         run(case())
 
-    def test_a_strangers_message_changes_nothing(self) -> None:
-        """Without the key the call is refused and the view stays."""
+    def test_a_strangers_message_changes_no_content(self) -> None:
+        """Without the key the call is refused and the view unchanged."""
 
         async def case() -> None:
             peer, stranger = Peer('a'), Peer('evil', key='guess')
@@ -248,24 +248,24 @@
 
         run(case())
 
-    def test_one_that_cannot_be_reached_from_here_is_asked_for(self) -> None:
-        """An asymmetric link: a third process still reaches it."""
+    def test_an_unreachable_member_is_probed_indirectly(self) -> None:
+        """On a broken link, another peer still reaches it."""
 
         async def case() -> None:
-            first, helper, target = Peer('a'), Peer('b'), Peer('c')
-            for peer in (first, helper, target):
+            first, relay, target = Peer('a'), Peer('b'), Peer('c')
+            for peer in (first, relay, target):
                 await peer.start()
-            first.view.apply(helper.view.own)
+            first.view.apply(relay.view.own)
             unreachable = target.view.own._replace(address='127.0.0.1:1')
             first.view.apply(unreachable)
-            answers = await asyncio.gather(
+            responded = await asyncio.gather(
                 first.prober.probe(unreachable.address),
-                helper.prober.probe(target.view.own.address),
+                relay.prober.probe(target.view.own.address),
             )
-            self.assertEqual(answers, [False, True])
+            self.assertEqual(responded, [False, True])
             reached = await first.prober.probe_indirectly(target.view.own)
             self.assertTrue(reached)
-            for peer in (first, helper, target):
+            for peer in (first, relay, target):
                 await peer.stop()
 
         run(case())
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Calls to the store go through another host while the straight way fails."""
+"""Tests of relaying calls to the store while the direct path fails."""
 
 import asyncio
 import json
@@ -38,25 +38,25 @@
 PUT = RowPut('t', 'k', b'text')
 
 
-class ChoiceTest(unittest.TestCase):
-    """Which way is taken next."""
+class PathSelectionTest(unittest.TestCase):
+    """Selection of the next path."""
 
     def setUp(self) -> None:
-        """Know two peers."""
+        """Create the paths of a host with two peers."""
         self.paths = StorePaths(direct=DIRECT, peers=lambda: PEERS)
 
-    def test_the_straight_way_is_kept_while_it_answers(self) -> None:
-        """Whatever peers there are."""
+    def test_the_direct_path_is_kept_while_it_works(self) -> None:
+        """This holds whatever peers are known."""
         self.paths.record_reply(DIRECT)
         self.assertTrue(self.paths.is_direct)
 
-    def test_a_failure_of_the_straight_way_leads_to_a_peer(self) -> None:
-        """From the next call on."""
+    def test_a_failure_of_the_direct_path_selects_a_peer(self) -> None:
+        """The next call already uses it."""
         self.paths.record_failure(DIRECT)
         self.assertIn(self.paths.address, PEERS)
 
-    def test_calls_that_fail_together_change_the_way_once(self) -> None:
-        """Ten calls were under way when the store fell silent."""
+    def test_concurrent_failures_change_the_path_once(self) -> None:
+        """Ten calls were in flight when the store stopped responding."""
         self.paths.record_failure(DIRECT)
         chosen = self.paths.address
         for _ in range(9):
@@ -64,28 +64,28 @@
         self.assertEqual(self.paths.address, chosen)
 
     def test_a_peer_that_fails_is_followed_by_another(self) -> None:
-        """It may have lost the store too."""
+        """The first peer may be cut off from the store too."""
         self.paths.record_failure(DIRECT)
         first = self.paths.address
         self.paths.record_failure(first)
         self.assertIn(self.paths.address, set(PEERS) - {first})
 
-    def test_the_straight_way_has_its_turn_when_peers_fail_too(self) -> None:
-        """The store may be down for all, and come back."""
-        taken = []
+    def test_the_direct_path_is_retried_when_peers_fail_too(self) -> None:
+        """The store may be down for all hosts and recover."""
+        used = []
         for _ in range(MAX_PEER_ATTEMPTS + 2):
-            taken.append(self.paths.address)
+            used.append(self.paths.address)
             self.paths.record_failure(self.paths.address)
-        self.assertEqual(taken[0], DIRECT)
-        self.assertEqual(taken.count(DIRECT), 2)
+        self.assertEqual(used[0], DIRECT)
+        self.assertEqual(used.count(DIRECT), 2)
 
-    def test_the_straight_way_is_taken_again_once_it_answers(self) -> None:
-        """A call that tried it tells."""
+    def test_the_direct_path_is_used_again_once_it_works(self) -> None:
+        """A call that tried it got a reply."""
         self.paths.record_failure(DIRECT)
         self.paths.record_reply(DIRECT)
         self.assertTrue(self.paths.is_direct)
 
-    def test_without_peers_the_straight_way_stays(self) -> None:
+    def test_without_peers_the_direct_path_is_kept(self) -> None:
         """A deployment of one host."""
         paths = StorePaths(direct=DIRECT, peers=tuple)
         paths.record_failure(DIRECT)
@@ -93,18 +93,18 @@
 
 
 class TwoHosts:
-    """A host that has lost the store, and a peer that reaches it.
+    """A host that is cut off from the store, and a peer that reaches it.
 
-    :param own: what the store answers the first host itself with.
+    :param own: the store as the first host reaches it directly.
     """
 
     def __init__(self, *, bench: Bench) -> None:
-        """Start nothing yet."""
+        """Initialize without starting anything."""
         self.bench = bench
         self.own = StoreServer(model=bench.rows)
 
     async def open(self) -> None:
-        """Serve the first host's way to the store, and the peer's relay."""
+        """Serve the first host's path to the store, and the peer's relay."""
         bench = self.bench
         runner, direct = await serve(self.own.handle)
         bench.closers.append(runner.cleanup)
@@ -121,12 +121,12 @@
 
 
 class RelayTest(unittest.TestCase):
-    """One host is refused by the store that serves the other."""
+    """The store refuses one host and serves the other."""
 
     def test_a_refused_host_commits_reads_and_follows_through_a_peer(
         self,
     ) -> None:
-        """One call fails; those after it are answered."""
+        """One call fails; later ones succeed."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -143,8 +143,8 @@
 
         on_bench(case)
 
-    def test_a_silent_store_is_told_from_a_refusing_one(self) -> None:
-        """The effect of the silent call stays unknown; the next is answered."""
+    def test_an_unresponsive_store_differs_from_a_refusing_one(self) -> None:
+        """The outcome of the first call is unknown; the next succeeds."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -157,8 +157,8 @@
 
         on_bench(case)
 
-    def test_a_conflict_passes_through_with_its_rows(self) -> None:
-        """A leader that goes through a peer is fenced as ever."""
+    def test_a_conflict_is_relayed_with_its_rows(self) -> None:
+        """Fencing works for a leader that uses a peer."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -174,8 +174,8 @@
 
         on_bench(case)
 
-    def test_a_peer_without_the_store_passes_nothing_on(self) -> None:
-        """It says at once that nothing was done, and no call goes round."""
+    def test_a_peer_that_is_cut_off_relays_nothing(self) -> None:
+        """It reports at once that nothing was done; calls do not loop."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -188,8 +188,8 @@
 
         on_bench(case)
 
-    def test_a_peer_that_does_not_know_says_so(self) -> None:
-        """The store fell silent with the peer's call under way."""
+    def test_a_peer_relays_an_unknown_outcome(self) -> None:
+        """The store stopped responding during the peer's call."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -201,8 +201,8 @@
 
         on_bench(case)
 
-    def test_the_straight_way_is_taken_again_when_it_opens(self) -> None:
-        """Found out without a call of a caller."""
+    def test_the_direct_path_is_used_again_when_it_recovers(self) -> None:
+        """The probe detects it without a call of a caller."""
 
         async def case(bench: Bench) -> None:
             hosts = TwoHosts(bench=bench)
@@ -225,15 +225,15 @@
         on_bench(case)
 
 
-#: Where each host passes calls on.
+#: The address at which each host relays calls.
 ADDRESSES: Final = {'a': '10.0.0.1:7001', 'b': '10.0.0.2:7001'}
 
 
 class PeerListTest(unittest.TestCase):
-    """Who passes calls on."""
+    """The list of relaying hosts."""
 
-    def test_hosts_that_start_together_know_each_other(self) -> None:
-        """After the second reading."""
+    def test_hosts_that_start_together_discover_each_other(self) -> None:
+        """They do so with the second read."""
 
         async def case(domain: Domain) -> None:
             first, second = (start_list(domain, name) for name in 'ab')
@@ -243,8 +243,8 @@
 
         in_domain(case)
 
-    def test_a_silent_host_is_left_out_and_at_last_removed(self) -> None:
-        """It was killed, and no other has its name."""
+    def test_an_unresponsive_host_is_left_out_and_later_removed(self) -> None:
+        """It was killed, and no other host has its name."""
 
         async def case(domain: Domain) -> None:
             domain.rows.apply((), (listed_host('b'),), ())
@@ -259,8 +259,8 @@
 
         in_domain(case)
 
-    def test_a_row_that_names_no_address_is_passed_over(self) -> None:
-        """It is told of, and the other hosts are known all the same."""
+    def test_a_row_without_an_address_is_ignored(self) -> None:
+        """The other hosts are discovered all the same."""
 
         async def case(domain: Domain) -> None:
             for content in (b'', b'\xff', b'b', b'10.0.0.9'):
@@ -273,8 +273,8 @@
 
         in_domain(case)
 
-    def test_the_list_outlives_the_store(self) -> None:
-        """Peers are needed just when it cannot be read."""
+    def test_the_list_survives_an_outage_of_the_store(self) -> None:
+        """Peers are needed just when the list cannot be read."""
 
         async def case(domain: Domain) -> None:
             first = start_list(domain, 'a')
@@ -293,7 +293,7 @@
 
 
 def start_list(domain: Domain, name: str) -> PeerList:
-    """Start a host's list of peers; it ends with the test's event loop."""
+    """Start a host's list of peers; it stops with the test's event loop."""
     peers = PeerList(
         store=domain.rows.client(name),
         clock=domain.clock,
@@ -305,38 +305,38 @@
 
 
 class HostsTest(unittest.TestCase):
-    """Real hosts, of which one has lost the store."""
+    """Real hosts, one of which is cut off from the store."""
 
-    def test_a_host_without_the_store_accepts_and_stays_ready(self) -> None:
-        """Its callers notice nothing; the job runs."""
+    def test_a_host_that_is_cut_off_accepts_and_stays_ready(self) -> None:
+        """Its callers notice nothing; the jobs run."""
 
         async def case(bench: Bench) -> None:
             hosts = await start_two(bench, first_leads=False)
-            await self.lose_store_and_submit(hosts, bench)
+            await self.cut_off_and_submit(hosts, bench)
 
         on_bench(case)
 
-    def test_a_leader_without_the_store_leads_on(self) -> None:
-        """Nobody takes over, and what it orders is stored."""
+    def test_a_leader_that_is_cut_off_stays_leader(self) -> None:
+        """No other host takes over, and its writes are stored."""
 
         async def case(bench: Bench) -> None:
             hosts = await start_two(bench, first_leads=True)
-            await self.lose_store_and_submit(hosts, bench)
+            await self.cut_off_and_submit(hosts, bench)
             self.assertEqual(leader_of(bench), 'front-1')
 
         on_bench(case)
 
-    async def lose_store_and_submit(
+    async def cut_off_and_submit(
         self,
         hosts: 'StartedHosts',
         bench: Bench,
     ) -> None:
-        """Refuse the first host; hand jobs in there for three seconds."""
+        """Refuse the first host; submit jobs there for three seconds."""
         hosts.own.refuse_with = 503
         for number in range(6):
             job = f'/quick/{number:016x}'
-            answer = await submit(hosts.first.callers_address, job)
-            self.assertEqual(answer, 200)
+            accepted = await submit(hosts.first.callers_address, job)
+            self.assertEqual(accepted, 200)
             await asyncio.sleep(0.5)
             self.assertTrue(hosts.first.is_ready)
         await until(lambda: len(bench.worker.starts) == 18)
@@ -354,7 +354,7 @@
 
 
 async def start_two(bench: Bench, *, first_leads: bool) -> StartedHosts:
-    """Start two hosts that know each other, and the worker."""
+    """Start the worker and two hosts that have discovered each other."""
     content = json.dumps(CONFIGURATION).encode()
     bench.rows.apply((), (RowPut('op', 'config', content),), ())
     bench.rows.apply((), (worker_row(bench.entry),), ())
@@ -367,19 +367,19 @@
     for host in order:
         await host.app.start()
         bench.closers.append(host.app.stop)
-        await someone_leads(bench)
-    # The second reading of the list, after at most 1.3 times 2 s.
+        await wait_for_leader(bench)
+    # The list is read a second time after at most 1.3 times 2 s.
     await asyncio.sleep(3)
     return StartedHosts(first, second, own)
 
 
-async def someone_leads(bench: Bench) -> None:
+async def wait_for_leader(bench: Bench) -> None:
     """Wait until the leader's row names a host."""
     await until(lambda: bool(leader_of(bench)))
 
 
 def make_host(bench: Bench, name: str, store_address: str) -> HostDaemon:
-    """Return a host that is not started."""
+    """Return a host without starting it."""
     settings = settings_of(bench)
     settings['node_name'] = name
     settings['platform'] = {'address': store_address}
@@ -391,7 +391,7 @@
 
 
 async def submit(address: str, job: str) -> int:
-    """Hand a job in; return the answer's status."""
+    """Submit a job; return the status of the response."""
     headers = {'Host': 'jobs.example', 'Authorization': 'Bearer key-of-alpha'}
     async with aiohttp.ClientSession(
         f'http://{address}',
@@ -401,10 +401,10 @@
 
 
 class StartTest(unittest.TestCase):
-    """A host that starts without the store."""
+    """A host that starts without reaching the store."""
 
-    def test_a_host_starts_while_no_call_is_sent(self) -> None:
-        """Its first calls fail at once, before it knows of any peer."""
+    def test_a_host_starts_while_all_calls_fail(self) -> None:
+        """Its first calls fail at once, before it knows any peer."""
 
         async def case(bench: Bench) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -419,5 +419,5 @@
 
 
 def not_sent(*args: Any, **options: Any) -> None:
-    """Fail as a call to a closed port does."""
-    raise CallNotSentError('nobody listens')
+    """Fail like a call to a closed port."""
+    raise CallNotSentError('connection refused')
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The quick lane: limits, fair turns, retries, ejection."""
+"""Tests of quick requests: limits, fair queueing, retries and ejection."""
 
 import asyncio
 import unittest
@@ -47,11 +47,11 @@
 
 
 class ConnectionShareTest(unittest.TestCase):
-    """A worker's 64 connections, whatever anybody believes."""
+    """Distribution of a worker's 64 connections among the gateways."""
 
     @given(st.lists(_STEP, max_size=40))
-    def test_the_sum_never_passes_the_bound(self, steps: Any) -> None:
-        """Any order of views, new leaders, lost replies, two leaders."""
+    def test_the_sum_never_exceeds_the_bound(self, steps: Any) -> None:
+        """This holds for any order of views, new leaders and lost replies."""
         clock = ManualClock()
         pool = granted_pool(CONNECTIONS, GATEWAYS)
         fixed = fixed_share(CONNECTIONS, GATEWAYS)
@@ -62,8 +62,8 @@
             if action == 'advance':
                 run(clock.advance(views))
             elif action == 'replace':
-                # A leader is replaced only after its lease has lapsed; its
-                # grants never outlive that lease.
+                # A leader is replaced only after its lease has expired, and
+                # its grants never outlive that lease.
                 leader = ConnectionGrants(clock=clock, pool=pool)
             else:
                 grant = leader.grant(name, views, lease_left_s=4)
@@ -76,15 +76,15 @@
             self.assertLessEqual(GATEWAYS * fixed + granted, CONNECTIONS)
 
     def test_a_new_leader_grants_nothing_for_one_term(self) -> None:
-        """What an earlier leader granted may still be in use."""
+        """The grants of the previous leader may still be in use."""
         clock = ManualClock()
         grants = ConnectionGrants(clock=clock, pool=32)
         self.assertEqual(grants.grant('g', 1, 9).amount, 0)
         run(clock.advance(GRANT_TERM_S))
         self.assertEqual(grants.grant('g', 1, 9).amount, 32)
 
-    def test_a_gateway_obeys_its_grant_until_it_lapses(self) -> None:
-        """Afterwards only its fixed part is left."""
+    def test_a_gateway_uses_its_grant_until_it_expires(self) -> None:
+        """Afterwards it has only its fixed connections."""
         clock = ManualClock()
         pool = WorkerPool(clock=clock, fixed_connections=8)
         pool.grant(10, clock.monotonic_s(), 5)
@@ -92,8 +92,8 @@
         run(clock.advance(5))
         self.assertEqual(pool.connections(), 8)
 
-    def test_another_data_centres_workers_come_last(self) -> None:
-        """Nothing spills while it may still run here."""
+    def test_workers_of_other_data_centres_come_last(self) -> None:
+        """Requests spill only when no worker of this one may take them."""
         pool = WorkerPool(clock=ManualClock(), fixed_connections=8)
         pool.grant(4, 1000, 5, spill=True)
         own = AllottedWorker('own', 'own', slots=1)
@@ -104,17 +104,17 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    """One workspace's burst delays only its own."""
+    """A burst of one workspace delays only its own requests."""
 
-    def test_turns_go_round_between_workspaces(self) -> None:
-        """A newcomer is served second, not behind the whole burst."""
+    def test_workspaces_are_served_round_robin(self) -> None:
+        """Another workspace is served second, not after the whole burst."""
 
         async def case() -> None:
             served: list[str] = []
-            room: list[PooledWorker] = []
+            free: list[PooledWorker] = []
 
             def take(excluded: frozenset[str]) -> PooledWorker | None:
-                return room.pop() if room else None
+                return free.pop() if free else None
 
             queue = FairQueue(bound=50, take=take)
 
@@ -127,7 +127,7 @@
             tasks.append(asyncio.create_task(ask('other')))
             await settle()
             for _ in range(21):
-                room.append(PooledWorker(name='w', address='w', slots=1))
+                free.append(PooledWorker(name='w', address='w', slots=1))
                 queue.serve()
                 await settle()
             self.assertEqual(served.index('other'), 1)
@@ -138,7 +138,7 @@
         run(case())
 
     def test_each_workspace_has_its_own_bound(self) -> None:
-        """A full line refuses; another workspace may still wait."""
+        """A full queue refuses; another workspace may still wait."""
 
         async def case() -> None:
             queue = FairQueue(bound=1, take=lambda excluded: None)
@@ -158,11 +158,11 @@
 
 
 class FakeWorkers:
-    """Workers that answer as a test says, and count what they were sent."""
+    """Workers with given outcomes, which record the requests that they get."""
 
-    def __init__(self, answers: dict[str, list[WorkerError | None]]) -> None:
-        """Keep the answers of each worker, the last one for ever."""
-        self.answers = answers
+    def __init__(self, outcomes: dict[str, list[WorkerError | None]]) -> None:
+        """Initialize with each worker's outcomes; the last one is repeated."""
+        self.outcomes = outcomes
         self.sent: list[str] = []
 
     def at(self, address: str) -> Worker:
@@ -176,20 +176,20 @@
         self._name = name
 
     async def quick(self, request: QuickRequest) -> QuickReply:
-        """Answer one request."""
+        """Return the reply to a request or raise its error."""
         self._workers.sent.append(self._name)
-        answers = self._workers.answers[self._name]
-        answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is not None:
-            raise answer
+        outcomes = self._workers.outcomes[self._name]
+        outcome = outcomes.pop(0) if len(outcomes) > 1 else outcomes[0]
+        if outcome is not None:
+            raise outcome
         return QuickReply(request.body, 'application/json', 1)
 
 
 def make_router(workers: FakeWorkers, clock: ManualClock) -> Router:
-    """Return a router over fake workers, taken in turns."""
+    """Return a round-robin router over fake workers."""
     pool = WorkerPool(clock=clock, fixed_connections=8)
     pool.allot(
-        [AllottedWorker(name, name, slots=8) for name in workers.answers],
+        [AllottedWorker(name, name, slots=8) for name in workers.outcomes],
         1,
     )
     return Router(
@@ -204,7 +204,7 @@
 
 
 def work(*, idempotent: bool = True) -> QuickWork:
-    """Return one quick request."""
+    """Return a quick request."""
     return QuickWork(
         request_id='r',
         workspace='w',
@@ -217,7 +217,7 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Retries only where safe, never the same worker, under a budget."""
+    """Retries are safe, use another worker and stay within a budget."""
 
     def route(
         self,
@@ -225,7 +225,7 @@
         *,
         idempotent: bool = True,
     ) -> str:
-        """Return the outcome of one request, or 'answered'."""
+        """Return the outcome of a request, 'answered' if it succeeded."""
 
         async def case() -> str:
             clock = ManualClock()
@@ -240,50 +240,50 @@
 
         return run(case())
 
-    def test_lost_idempotent_work_goes_to_another_worker(self) -> None:
-        """The second worker answers."""
+    def test_a_lost_idempotent_request_is_sent_to_another_worker(self) -> None:
+        """The second worker replies."""
         lost = WorkerReplyLostError('lost', step='quick')
         workers = FakeWorkers({'a': [lost], 'b': [None]})
         self.assertEqual(self.route(workers), 'answered')
         self.assertEqual(workers.sent, ['a', 'b'])
 
-    def test_work_that_loses_its_workers_is_not_sent_to_all(self) -> None:
-        """It may be what crashes them; the second lost one is the last."""
+    def test_a_request_that_loses_its_workers_is_not_sent_to_all(self) -> None:
+        """It may be what crashes them, so it gets at most two workers."""
         lost = WorkerReplyLostError('lost', step='quick')
         workers = FakeWorkers({name: [lost] for name in 'abcde'})
         self.assertEqual(self.route(workers), 'unknown')
         self.assertEqual(len(workers.sent), 2)
 
-    def test_lost_non_idempotent_work_is_unknown(self) -> None:
+    def test_a_lost_non_idempotent_request_has_an_unknown_outcome(self) -> None:
         """It is sent once and never again."""
         lost = WorkerReplyLostError('lost', step='quick')
         workers = FakeWorkers({'a': [lost], 'b': [None]})
         self.assertEqual(self.route(workers, idempotent=False), 'unknown')
         self.assertEqual(workers.sent, ['a'])
 
-    def test_unreached_non_idempotent_work_may_go_elsewhere(self) -> None:
-        """No byte has left, so it was not run."""
-        away = WorkerUnreachableError('away', step='quick')
-        workers = FakeWorkers({'a': [away], 'b': [None]})
+    def test_an_unsent_non_idempotent_request_is_retried(self) -> None:
+        """No byte was sent, so it was not run."""
+        unreachable = WorkerUnreachableError('unreachable', step='quick')
+        workers = FakeWorkers({'a': [unreachable], 'b': [None]})
         self.assertEqual(self.route(workers, idempotent=False), 'answered')
 
     def test_a_task_that_failed_is_not_retried(self) -> None:
-        """It ran; the caller is told so."""
+        """It ran, and the caller gets its failure."""
         failed = TaskFailedError('failed', step='quick')
         workers = FakeWorkers({'a': [failed], 'b': [None]})
         self.assertEqual(self.route(workers), 'failed')
         self.assertEqual(workers.sent, ['a'])
 
-    def test_a_busy_worker_costs_no_retry(self) -> None:
-        """It refused before running; the request waits a moment."""
+    def test_a_busy_worker_consumes_no_retry(self) -> None:
+        """It refused before running; the request is sent again later."""
         busy = WorkerBusyError('busy', step='quick')
         workers = FakeWorkers({'a': [busy, None], 'b': [busy, None]})
         self.assertEqual(self.route(workers), 'answered')
 
-    def test_when_all_are_away_it_was_not_run(self) -> None:
+    def test_with_all_workers_unreachable_it_was_not_run(self) -> None:
         """Each worker is tried at most once."""
-        away = WorkerUnreachableError('away', step='quick')
-        workers = FakeWorkers({'a': [away], 'b': [away]})
+        unreachable = WorkerUnreachableError('unreachable', step='quick')
+        workers = FakeWorkers({'a': [unreachable], 'b': [unreachable]})
         self.assertEqual(self.route(workers), 'not_run')
         self.assertEqual(sorted(workers.sent), ['a', 'b'])
 
@@ -296,7 +296,7 @@
         requests: int,
         retries: int,
     ) -> None:
-        """However many ask, retries stay within their share."""
+        """Any number of attempts stays within the share."""
         budget = RetryBudget(clock=ManualClock(), share=0.1)
         for _ in range(requests):
             budget.count_request()
@@ -305,50 +305,50 @@
 
 
 class EjectionTest(unittest.TestCase):
-    """Bad workers go, bad kinds do not, and enough always stay."""
+    """Ejection of failing workers, up to the share that must remain."""
 
     def setUp(self) -> None:
-        """Judge four workers."""
+        """Create an ejector for four workers."""
         self.clock = ManualClock()
         self.ejector = OutlierEjector(clock=self.clock, healthy_share=0.5)
         self.names = ['a', 'b', 'c', 'd']
 
     def feed(self, failing: set[str], times: int = 10) -> None:
-        """Record results of each worker."""
+        """Record results of all workers."""
         for _ in range(times):
             for name in self.names:
                 self.ejector.record(name, 'k', failed=name in failing)
 
-    def out(self) -> set[str]:
+    def ejected(self) -> set[str]:
         """Return the ejected workers."""
         return {name for name in self.names if self.ejector.is_ejected(name)}
 
-    def test_a_worker_that_fails_everything_goes_and_comes_back(self) -> None:
-        """It is ejected, then gets a part of its load, then all."""
+    def test_a_worker_that_fails_everything_is_ejected_for_a_while(self) -> None:
+        """After its ejection its limit grows until it is whole again."""
         self.feed({'a'})
-        self.assertEqual(self.out(), {'a'})
+        self.assertEqual(self.ejected(), {'a'})
         run(self.clock.advance(5.5))
-        self.assertEqual(self.out(), set())
+        self.assertEqual(self.ejected(), set())
         self.assertLess(self.ejector.limit_share('a'), 0.2)
         run(self.clock.advance(10))
         self.assertEqual(self.ejector.limit_share('a'), 1)
 
-    def test_a_kind_that_fails_everywhere_ejects_no_one(self) -> None:
-        """The peers are no better."""
+    def test_a_kind_that_fails_everywhere_ejects_no_worker(self) -> None:
+        """The peers fail it too."""
         self.feed(set(self.names))
-        self.assertEqual(self.out(), set())
+        self.assertEqual(self.ejected(), set())
 
     def test_half_of_the_workers_always_stay(self) -> None:
-        """Three of four fail everything; at most two go."""
+        """Three of four fail everything; at most two are ejected."""
         self.feed({'a', 'b', 'c'})
-        self.assertLessEqual(len(self.out()), 2)
+        self.assertLessEqual(len(self.ejected()), 2)
 
 
 class ChoiceTest(unittest.TestCase):
-    """The registered ways to choose."""
+    """The registered load-balancing policies."""
 
     def test_two_choices_takes_the_less_loaded(self) -> None:
-        """Of two, the idle one."""
+        """Of two workers it takes the idle one."""
         busy = PooledWorker(
             name='b', address='b', slots=8, limit=8, in_flight=7
         )
@@ -356,8 +356,8 @@
         choose = choices.get('two_choices')(1)
         self.assertEqual({choose([busy, idle]).name for _ in range(20)}, {'i'})
 
-    def test_a_wrong_name_lists_the_right_ones(self) -> None:
-        """The message helps."""
+    def test_the_error_for_an_unknown_name_lists_the_known_ones(self) -> None:
+        """Operators see the valid values of the setting."""
         with self.assertRaises(Exception) as caught:
             choices.get('nearest')
         self.assertIn('random, round_robin, two_choices', str(caught.exception))
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -1,7 +1,7 @@
-"""Large configurations and tables over hosts' slowest links.
+"""Tests of large configurations and tables over slow network links.
 
-The links, the bound of a change and the growth of the configuration are those
-of the deployments: 5 Mbit/s, 3 s, and a few thousand routes.
+The bandwidth, the time bound of a change and the growth of the configuration
+are those of the deployments: 5 Mbit/s, 3 s and a few thousand routes.
 """
 
 import asyncio
@@ -39,22 +39,23 @@
 from tests.slow_link import SlowLink
 from tests.test_platform import CONFIGURATION, Bench, on_bench, until
 
-#: The slowest link of a host, in bytes a second.
+#: Bandwidth of the slowest link of a host, in bytes per second.
 SLOWEST_LINK_BYTES_PER_S: Final = 5e6 / 8
 
-#: The same, while other traffic takes two fifths of it.
+#: The same while other traffic uses two fifths of it.
 SHARED_LINK_BYTES_PER_S: Final = 3e6 / 8
 
-#: How soon after its acknowledgement a change must be in force, in seconds.
+#: Time within which an acknowledged change must be in force, in seconds.
 IN_FORCE_S: Final = 3.0
 
-#: When a change comes, in seconds after a reading began to wait for it.
-MOMENTS_S: Final = (0.1, 0.5, 0.9)
+#: Times of a change, in seconds after a read began to wait for it.
+CHANGE_AFTER_S: Final = (0.1, 0.5, 0.9)
 
-#: What one change may take of a link: its answer once, and small readings.
-TIMES_SENT: Final = 1.25
+#: Maximum traffic of a change, as a multiple of its size: one response and some
+#: small reads.
+MAX_TRAFFIC_FACTOR: Final = 1.25
 
-#: One of many routes; with its name it takes some 290 bytes of a link.
+#: One of many routes; some 290 bytes on the wire with its name.
 ROUTE: Final = {
     'host': 'jobs.example',
     'type': 'non_idempotent',
@@ -66,11 +67,11 @@
     'priority': 0,
 }
 
-#: What a job left behind, in bytes.
+#: The result of a job.
 RESULT: Final = bytes(2_000_000)
 
-#: The configuration before it grows, as its version.
-BEFORE: Final = 7
+#: Version of the configuration before it grows.
+FIRST_VERSION: Final = 7
 
 
 def put_configuration(bench: Bench, routes: int, version: int) -> int:
@@ -85,10 +86,10 @@
     return len(content) * 4 // 3
 
 
-class DistantHost:
-    """What a host with a slow link knows of the configuration.
+class SlowLinkHost:
+    """A host with a slow link that follows the configuration.
 
-    :param target: what its link leads to; the store by default.
+    :param target: the address behind its link; the store by default.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         *,
         target: str = '',
     ) -> None:
-        """Know nothing yet."""
+        """Initialize without starting."""
         self._bench = bench
         self.link = SlowLink(
             target=target or bench.store_address,
@@ -106,7 +107,7 @@
         )
 
     async def start(self) -> None:
-        """Read the configuration and wait for the next one."""
+        """Read the configuration and follow it."""
         await self.link.open()
         self._bench.closers.append(self.link.close)
         clock = self._bench.clock
@@ -140,24 +141,24 @@
         return current.number if current else 0
 
     async def seconds_until(self, version: int) -> float:
-        """Return how long it takes until a version is in force."""
+        """Return in how many seconds a version is in force."""
         began_s = self._bench.clock.monotonic_s()
         await until(lambda: self.version == version)
         return self._bench.clock.monotonic_s() - began_s
 
 
-async def distant_hosts(
+async def slow_link_hosts(
     bench: Bench,
     rate_bytes_per_s: float,
-    moments_s: Sequence[float] = MOMENTS_S,
-) -> list[DistantHost]:
-    """Return hosts that began to wait for news so many seconds ago."""
-    put_configuration(bench, 1, BEFORE)
-    hosts = [DistantHost(bench, rate_bytes_per_s) for _ in moments_s]
-    waited_s = max(moments_s)
-    for host, moment_s in zip(hosts, sorted(moments_s, reverse=True)):
-        await asyncio.sleep(waited_s - moment_s)
-        waited_s = moment_s
+    ages_s: Sequence[float] = CHANGE_AFTER_S,
+) -> list[SlowLinkHost]:
+    """Return hosts that began to wait for changes that many seconds ago."""
+    put_configuration(bench, 1, FIRST_VERSION)
+    hosts = [SlowLinkHost(bench, rate_bytes_per_s) for _ in ages_s]
+    waited_s = max(ages_s)
+    for host, age_s in zip(hosts, sorted(ages_s, reverse=True)):
+        await asyncio.sleep(waited_s - age_s)
+        waited_s = age_s
         await host.start()
     await asyncio.sleep(waited_s)
     return hosts
@@ -167,98 +168,104 @@
     """A configuration that grows by thousands of routes."""
 
     def grow(self, *, routes: int, rate_bytes_per_s: float) -> None:
-        """Have a change come at several moments of a wait."""
+        """Check a change at several times of a wait."""
 
         async def case(bench: Bench) -> None:
-            hosts = await distant_hosts(bench, rate_bytes_per_s)
-            size = put_configuration(bench, routes, BEFORE + 1)
+            hosts = await slow_link_hosts(bench, rate_bytes_per_s)
+            size = put_configuration(bench, routes, FIRST_VERSION + 1)
             took_s = await asyncio.gather(
-                *(host.seconds_until(BEFORE + 1) for host in hosts),
+                *(host.seconds_until(FIRST_VERSION + 1) for host in hosts),
             )
             self.assertLess(max(took_s), IN_FORCE_S)
             for host in hosts:
-                self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
+                self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
         on_bench(case)
 
     def test_a_large_change_is_in_force_within_its_bound(self) -> None:
-        """Its answer alone takes two thirds of the bound."""
+        """Its transfer alone takes two thirds of the bound."""
         self.grow(routes=4200, rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S)
 
-    def test_a_large_change_comes_in_time_beside_other_traffic(self) -> None:
-        """A link that carries more than the configuration."""
+    def test_a_large_change_arrives_in_time_beside_other_traffic(self) -> None:
+        """The link carries more than the configuration."""
         self.grow(routes=2800, rate_bytes_per_s=SHARED_LINK_BYTES_PER_S)
 
     def test_a_host_that_starts_reads_a_large_configuration(self) -> None:
-        """Its first reading takes longer than any small one."""
+        """The first read takes longer than any small one."""
 
         async def case(bench: Bench) -> None:
-            size = put_configuration(bench, 4200, BEFORE)
-            host = DistantHost(bench, SLOWEST_LINK_BYTES_PER_S)
+            size = put_configuration(bench, 4200, FIRST_VERSION)
+            host = SlowLinkHost(bench, SLOWEST_LINK_BYTES_PER_S)
             await host.start()
-            took_s = await host.seconds_until(BEFORE)
+            took_s = await host.seconds_until(FIRST_VERSION)
             self.assertLess(took_s, IN_FORCE_S)
-            self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
+            self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
         on_bench(case)
 
-    def test_the_end_of_an_absence_cuts_no_answer_that_arrives(self) -> None:
-        """Small calls fail beside it, and one is answered again."""
+    def test_the_end_of_an_outage_aborts_no_response_in_transfer(self) -> None:
+        """Other calls fail meanwhile, until one succeeds again."""
 
         async def case(bench: Bench) -> None:
-            moment_s = MOMENTS_S[0]
-            hosts = await distant_hosts(
+            age_s = CHANGE_AFTER_S[0]
+            hosts = await slow_link_hosts(
                 bench,
                 SLOWEST_LINK_BYTES_PER_S,
-                (moment_s,),
+                (age_s,),
             )
             host = hosts[0]
-            size = put_configuration(bench, 4200, BEFORE + 1)
-            arriving = asyncio.ensure_future(host.seconds_until(BEFORE + 1))
+            size = put_configuration(bench, 4200, FIRST_VERSION + 1)
+            arriving = asyncio.ensure_future(
+                host.seconds_until(FIRST_VERSION + 1),
+            )
             await asyncio.sleep(OUTAGE_AFTER_S)
             host.store.outage.record_failure()
             await asyncio.sleep(OUTAGE_AFTER_S)
             host.store.outage.record_reply()
             self.assertLess(await arriving, IN_FORCE_S)
-            self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
+            self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
         on_bench(case)
 
-    def test_a_large_change_comes_in_time_through_a_peer(self) -> None:
-        """Its link is as slow, and carries the answer before this one."""
+    def test_a_large_change_arrives_in_time_through_a_peer(self) -> None:
+        """The link of the relaying peer is as slow and comes first."""
 
         async def case(bench: Bench) -> None:
-            put_configuration(bench, 1, BEFORE)
-            inner, address = await start_peer(bench)
-            host = DistantHost(
+            put_configuration(bench, 1, FIRST_VERSION)
+            link, address = await start_peer(bench)
+            host = SlowLinkHost(
                 bench,
                 SLOWEST_LINK_BYTES_PER_S,
                 target=address,
             )
             await host.start()
-            await asyncio.sleep(MOMENTS_S[-1])
-            size = put_configuration(bench, 4200, BEFORE + 1)
-            took_s = await host.seconds_until(BEFORE + 1)
+            await asyncio.sleep(CHANGE_AFTER_S[-1])
+            size = put_configuration(bench, 4200, FIRST_VERSION + 1)
+            took_s = await host.seconds_until(FIRST_VERSION + 1)
             self.assertLess(took_s, IN_FORCE_S)
-            self.assertLess(inner.sent_bytes, size * TIMES_SENT)
+            self.assertLess(link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
         on_bench(case)
 
 
 class SilenceTest(unittest.TestCase):
-    """Connections that fall silent while they carry a large answer."""
+    """Connections that stall during a large response."""
 
-    def test_an_answer_that_stands_still_is_given_up(self) -> None:
-        """However much of it has come."""
+    def test_a_stalled_response_times_out(self) -> None:
+        """This holds however much of it has arrived."""
 
         async def case(bench: Bench) -> None:
-            hosts = await distant_hosts(bench, SLOWEST_LINK_BYTES_PER_S, (0.1,))
+            hosts = await slow_link_hosts(
+                bench,
+                SLOWEST_LINK_BYTES_PER_S,
+                (0.1,),
+            )
             await self.lose_half(bench, hosts[0].store, hosts[0].link)
 
         on_bench(case)
 
-    def test_half_of_an_answer_counts_as_none_through_a_peer(self) -> None:
-        """The peer cannot take back what it has passed on."""
+    def test_a_partial_response_through_a_peer_counts_as_lost(self) -> None:
+        """The peer cannot withdraw the part that it has relayed."""
 
         async def case(bench: Bench) -> None:
             link, address = await start_peer(bench)
@@ -277,8 +284,8 @@
         store: PlatformStore,
         link: SlowLink,
     ) -> None:
-        """Have a link fall silent halfway through an answer."""
-        put_configuration(bench, 2800, BEFORE + 1)
+        """Stall a link halfway through a response."""
+        put_configuration(bench, 2800, FIRST_VERSION + 1)
         version = bench.rows.rows[TABLE, 'config'].version
         reading = asyncio.ensure_future(store.changes(TABLE, version - 1, 0.0))
         await asyncio.sleep(0.5)
@@ -291,7 +298,7 @@
 
 
 async def start_peer(bench: Bench) -> tuple[SlowLink, str]:
-    """Start a host that passes calls on; return its link and its address."""
+    """Start a relaying host; return its link and its address."""
     link = SlowLink(
         target=bench.store_address,
         rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
@@ -309,14 +316,14 @@
     """Objects and results of a job, read by the scheduler of a data centre."""
 
     def test_a_large_object_and_a_large_result_are_read_whole(self) -> None:
-        """Each takes 3.2 s of the slowest link."""
+        """Each takes 3.2 s over the slowest link."""
 
-        async def answer(request: web.BaseRequest) -> web.StreamResponse:
+        async def respond(request: web.BaseRequest) -> web.StreamResponse:
             headers = {'Content-Digest': content_digest(RESULT)}
             return web.Response(body=RESULT, headers=headers)
 
         async def case(bench: Bench) -> None:
-            runner, address = await serve(answer)
+            runner, address = await serve(respond)
             bench.closers.append(runner.cleanup)
             link = SlowLink(
                 target=address,
@@ -338,7 +345,7 @@
 
 
 class TableTest(unittest.TestCase):
-    """A table of several pages, read by a new leader."""
+    """Reads of a table of several pages, as by a new leader."""
 
     def test_a_lost_page_is_read_again_and_not_those_before_it(self) -> None:
         """The third of four pages is lost once."""
@@ -364,12 +371,12 @@
 
 
 class LeaderTest(unittest.TestCase):
-    """A leader with much to write behind the slowest link."""
+    """A leader with large writes behind the slowest link."""
 
-    def test_progress_of_large_jobs_does_not_hold_up_the_heartbeat(
+    def test_progress_of_large_jobs_does_not_delay_the_heartbeat(
         self,
     ) -> None:
-        """Sixty jobs of 120 tasks each change at once."""
+        """Sixty jobs of 120 tasks each change at the same time."""
 
         async def case(bench: Bench) -> None:
             link = SlowLink(
@@ -404,7 +411,7 @@
 
 
 def large_job(job_id: str) -> ActiveJob:
-    """Return a job that has a checkpoint of each of its many tasks."""
+    """Return a job with a checkpoint of each of its many tasks."""
     progress = JobProgress(queue='queue-1')
     drawn = random.Random(job_id)
     for rank in range(120):
@@ -419,7 +426,7 @@
     bench: Bench,
     saved: asyncio.Future[None],
 ) -> float:
-    """Return for how long the leader's row did not change at most."""
+    """Return the longest time without a change of the leader's row."""
     longest_s = 0.0
     version = 0
     changed_s = bench.clock.monotonic_s()
--- a/tests/test_stale_configuration.py
+++ b/tests/test_stale_configuration.py
@@ -1,4 +1,4 @@
-"""Hosts that cannot tell whether their configuration is still in force."""
+"""Tests of hosts that do not know whether their configuration is outdated."""
 
 import asyncio
 import json
@@ -25,11 +25,11 @@
 )
 from tests.test_store_return import KNOWN_S
 
-#: How soon a change must be in force, in seconds: the least that any
-#: deployment asks for.
+#: Time within which a change must be in force, in seconds: the shortest of any
+#: deployment.
 IN_FORCE_S: Final = 2.0
 
-#: What the operator writes while a host cannot read it: no queue of before.
+#: The configuration that replaces the first one, without any of its queues.
 REPLACED: Final = {**CONFIGURATION, 'version': 8, 'routes': []}
 
 Case = Callable[[Bench, HostDaemon, aiohttp.ClientSession], Awaitable[None]]
@@ -42,7 +42,7 @@
 
 
 def on_host(case: Case, *, in_force_s: float) -> None:
-    """Run a test with a host that is ready and a caller of it."""
+    """Run a test with a ready host and a caller."""
 
     async def main(bench: Bench) -> None:
         put(bench, CONFIGURATION)
@@ -69,13 +69,13 @@
     on_bench(main)
 
 
-class StaleTest(unittest.TestCase):
-    """The operators' rows go unread while all other calls are answered."""
+class StaleConfigurationTest(unittest.TestCase):
+    """Reads of the operators' rows fail while all other calls succeed."""
 
-    def test_nothing_is_decided_by_a_configuration_of_unknown_age(
+    def test_requests_are_refused_under_an_outdated_configuration(
         self,
     ) -> None:
-        """Neither by a queue that is gone, nor against one that is new."""
+        """Neither are removed queues served nor new ones reported missing."""
 
         async def case(
             bench: Bench,
@@ -83,7 +83,7 @@
             caller: aiohttp.ClientSession,
         ) -> None:
             bench.store_server.silent_tables.add(TABLE)
-            # The reading under way is still answered.
+            # The read in flight still succeeds.
             await asyncio.sleep(1.2 * FEED_WAIT_S)
             put(bench, REPLACED)
             await asyncio.sleep(IN_FORCE_S)
@@ -96,8 +96,8 @@
                 async with call as response:
                     self.assertEqual(response.status, 503)
                     self.assertIn('Retry-After', response.headers)
-                    told = await response.json()
-                    self.assertTrue(told['not_run'])
+                    document = await response.json()
+                    self.assertTrue(document['not_run'])
             self.assertFalse(host.is_ready)
             self.assertNotIn('1111111111111111', str(bench.rows.rows))
             bench.store_server.silent_tables.clear()
@@ -106,8 +106,8 @@
 
         on_host(case, in_force_s=IN_FORCE_S)
 
-    def test_a_host_in_good_health_always_decides(self) -> None:
-        """Nothing changes, so each reading is answered after its wait."""
+    def test_a_healthy_host_always_serves_requests(self) -> None:
+        """Nothing changes, so each read returns only after its wait."""
 
         async def case(
             bench: Bench,
@@ -121,10 +121,10 @@
 
         on_host(case, in_force_s=IN_FORCE_S)
 
-    def test_without_a_bound_the_newest_known_configuration_counts(
+    def test_without_a_bound_the_last_known_configuration_is_used(
         self,
     ) -> None:
-        """No deployment that does not ask for it is refused."""
+        """Requests are refused only in deployments that set a bound."""
 
         async def case(
             bench: Bench,
@@ -137,8 +137,8 @@
 
         on_host(case, in_force_s=0)
 
-    def test_a_host_decides_again_soon_after_the_stores_return(self) -> None:
-        """Callers that were told to come back in a second are served."""
+    def test_a_host_serves_again_soon_after_an_outage(self) -> None:
+        """Callers that were told to retry after a second are served."""
 
         async def case(
             bench: Bench,
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How often hosts ask the store: not once for each of many small changes."""
+"""Tests of how often hosts call the store, and that they batch changes."""
 
 import unittest
 from typing import Any
@@ -9,45 +9,46 @@
 from curranthill.tasks import tables
 from tests.domain import WORKER_TABLE, Domain, in_domain
 
-#: How often some worker rewrites its entry, in seconds.
+#: Interval at which a worker rewrites its entry, in seconds.
 ENTRY_INTERVAL_S = 0.02
 
-#: How long it is watched, in seconds.
-WATCHED_S = 4.0
+#: How long calls are counted, in seconds.
+OBSERVED_S = 4.0
 
-#: Readings a second of one table that a leader may make.
-READINGS_PER_S = 6
+#: Reads per second of one table that a leader may make.
+READS_PER_S = 6
 
-#: Within so long an entry must be known, in seconds.
+#: Time within which a changed entry must be read, in seconds.
 KNOWN_S = 0.25
 
 
-#: Hosts of a deployment that share the watching of the leader.
+#: Hosts of a deployment, of which all but one poll the leader's row.
 HOSTS = 12
 
-#: Readings of the leader's row a second that each of them may make.
-LOOKS_PER_S = 2.0
+#: Reads of the leader's row per second that each of them may make.
+POLLS_PER_S = 2.0
 
-#: The same while nobody leads and nobody can: as often as few hosts look.
-UNLED_LOOKS_PER_S = 4.0
+#: The same while there is no leader and no takeover succeeds: as often as in a
+#: small deployment.
+LEADERLESS_POLLS_PER_S = 4.0
 
-#: What answers of a slow store take, in seconds: those that a host waits for.
+#: Response time of a slow store, in seconds, within the timeout of a host.
 LATE_S = 0.28
 
-#: The longest from a leader's loss to a new leader, in seconds: the silence
-#: with its spread, and the row as seen by the first of the others.
+#: Maximum time from the loss of a leader to a new one, in seconds: the silence
+#: with its jitter, and the poll interval of the first of the others.
 LEADERLESS_S = 1.9
 
 
-class Readings:
-    """Counts the readings of each table's feed, and of its single rows."""
+class ReadCounter:
+    """Counts reads of feeds and of single rows by table."""
 
     def __init__(self) -> None:
-        """Start at none."""
+        """Initialize with no reads."""
         self.counts: dict[str, int] = {}
 
-    def count(self) -> Any:
-        """Return a patch under which readings are counted."""
+    def count_feeds(self) -> Any:
+        """Return a patch that counts reads of feeds."""
         changes = RowClient.changes
 
         async def counted(client: RowClient, table: str, *rest: Any) -> Any:
@@ -57,7 +58,7 @@
         return patch.object(RowClient, 'changes', counted)
 
     def count_rows(self) -> Any:
-        """Return a patch under which readings of rows are counted."""
+        """Return a patch that counts reads of single rows."""
         read = RowClient.read
 
         async def counted(client: RowClient, table: str, key: str) -> Any:
@@ -68,28 +69,28 @@
 
 
 class WorkerEntriesTest(unittest.TestCase):
-    """Entries of workers change all the time where there are many."""
+    """In large deployments some worker entry changes all the time."""
 
-    def test_readings_do_not_grow_with_the_entries_written(self) -> None:
-        """What is written within a moment is read together."""
+    def test_reads_do_not_grow_with_the_entries_written(self) -> None:
+        """Entries that are written in quick succession are read together."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
             await domain.leader()
-            readings = Readings()
-            with readings.count():
-                for number in range(int(WATCHED_S / ENTRY_INTERVAL_S)):
+            reads = ReadCounter()
+            with reads.count_feeds():
+                for number in range(int(OBSERVED_S / ENTRY_INTERVAL_S)):
                     self.rewrite(domain, number)
                     await domain.clock.advance(ENTRY_INTERVAL_S)
             self.assertLessEqual(
-                readings.counts[WORKER_TABLE],
-                READINGS_PER_S * WATCHED_S,
+                reads.counts[WORKER_TABLE],
+                READS_PER_S * OBSERVED_S,
             )
 
         in_domain(case)
 
-    def test_an_entry_is_known_soon_after_others(self) -> None:
-        """A worker that leaves amid other news gets nothing new."""
+    def test_an_entry_is_read_soon_after_others(self) -> None:
+        """A worker that drains amid other changes gets no new tasks."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -105,26 +106,26 @@
         in_domain(case)
 
     def rewrite(self, domain: Domain, number: int) -> None:
-        """Have one worker write its entry anew."""
+        """Have a worker rewrite its entry."""
         entry = domain.session('w0').entry
         domain.list_worker(entry._replace(labels=(f'n{number}',)))
 
 
 class LeadersRowTest(unittest.TestCase):
-    """Many hosts watch one leader, so each may look less often."""
+    """With many hosts polling the leader's row, each polls less often."""
 
     async def start(self, domain: Domain) -> None:
-        """Start the hosts, each of which knows how many there are."""
+        """Start the hosts, each of which knows their number."""
         domain.others = HOSTS - 1
         for number in range(HOSTS):
             domain.start_host(f'h{number}')
         await domain.leader()
         await domain.clock.advance(1.0)
 
-    def test_a_silence_that_nobody_can_end_is_not_asked_for_all_the_time(
+    def test_polls_stay_bounded_while_no_takeover_succeeds(
         self,
     ) -> None:
-        """The leader is lost, and no takeover's write gets an answer."""
+        """The leader is lost, and the writes of all takeovers fail."""
 
         async def case(domain: Domain) -> None:
             await self.start(domain)
@@ -135,34 +136,34 @@
             with failing:
                 await domain.leading()[0].kill()
                 await domain.clock.advance(LEADERLESS_S)
-                readings = Readings()
-                with readings.count_rows():
-                    await domain.clock.advance(WATCHED_S)
+                reads = ReadCounter()
+                with reads.count_rows():
+                    await domain.clock.advance(OBSERVED_S)
             self.assertLessEqual(
-                readings.counts[tables.LEADER],
-                UNLED_LOOKS_PER_S * WATCHED_S * len(domain.hosts),
+                reads.counts[tables.LEADER],
+                LEADERLESS_POLLS_PER_S * OBSERVED_S * len(domain.hosts),
             )
 
         in_domain(case)
 
-    def test_many_hosts_look_less_often(self) -> None:
-        """Their readings are what the store is asked most."""
+    def test_many_hosts_poll_less_often(self) -> None:
+        """Polls are the most frequent calls to the store."""
 
         async def case(domain: Domain) -> None:
             await self.start(domain)
-            readings = Readings()
-            with readings.count_rows():
-                await domain.clock.advance(WATCHED_S)
-            looks = readings.counts[tables.LEADER]
+            reads = ReadCounter()
+            with reads.count_rows():
+                await domain.clock.advance(OBSERVED_S)
+            polls = reads.counts[tables.LEADER]
             self.assertLessEqual(
-                looks / WATCHED_S / (HOSTS - 1),
-                LOOKS_PER_S,
+                polls / OBSERVED_S / (HOSTS - 1),
+                POLLS_PER_S,
             )
 
         in_domain(case)
 
     def test_a_lost_leader_is_replaced_as_soon(self) -> None:
-        """Whenever between two readings it is lost."""
+        """This holds for a loss at any time between two polls."""
 
         async def case(domain: Domain) -> None:
             await self.start(domain)
@@ -177,15 +178,15 @@
         in_domain(case)
 
     def unreachable(self, domain: Domain) -> list[str]:
-        """Return the hosts that take the store for unreachable."""
+        """Return the hosts that consider the store unreachable."""
         return [
             host.name
             for host in domain.hosts.values()
             if not host.health.reachable
         ]
 
-    def test_hosts_reach_a_store_whose_answers_become_slow(self) -> None:
-        """Looking less often, none takes a late answer for an absence."""
+    def test_a_store_that_becomes_slow_stays_reachable(self) -> None:
+        """With fewer polls, no host mistakes a late reply for an outage."""
 
         async def case(domain: Domain) -> None:
             await self.start(domain)
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -1,9 +1,9 @@
-"""The store is back after an outage: who knows, who leads, and when.
+"""Tests of the recovery after an outage of the store.
 
-Sixteen of 25 hosts knew of it within 0.45 s, the last one 2.1 s later, and
-the next leader wrote 1.7 s after the return: calls that were under way when
-the store came back had to time out first, and a leader that had been silent
-all through the outage was waited for as long again.
+Guards against a slow recovery: 16 of 25 hosts noticed the end of an outage
+within 0.45 s, but the last one 2.1 s later, and the next leader wrote 1.7 s
+after the end. Calls in flight had to time out first, and the silence of a
+leader during the outage did not count towards its replacement.
 """
 
 import asyncio
@@ -16,23 +16,23 @@
 from tests.test_paths import make_host
 from tests.test_platform import CONFIGURATION, Bench, on_bench, until
 
-#: All hosts know so soon that the store is back, in seconds: callers that were
-#: told to come back in a second must be accepted then.
+#: All hosts notice the end of an outage within this time, in seconds: callers
+#: that were told to retry after a second must then be accepted.
 KNOWN_S = 0.6
 
-#: A poll of the leader's row and a half, in seconds; below the silence after
-#: which a leader is replaced.
+#: One and a half polls of the leader's row, in seconds; less than the silence
+#: after which a leader is replaced.
 LAST_ROW_READ_S = 0.6
 
-#: Orders flow again so soon, in seconds.
+#: A leader sends orders again within this time, in seconds.
 LED_S = 1.0
 
 
-class KnowledgeTest(unittest.TestCase):
-    """Hosts over a store that has been silent."""
+class ReadinessTest(unittest.TestCase):
+    """Readiness of hosts after the store has been unresponsive."""
 
-    def test_all_hosts_know_at_once(self) -> None:
-        """Three seconds of silence have lengthened their timeouts."""
+    def test_all_hosts_become_ready_at_once(self) -> None:
+        """Three seconds without replies have lengthened their timeouts."""
 
         async def case(bench: Bench) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -55,10 +55,10 @@
 
 
 class LeaderTest(unittest.TestCase):
-    """The leader does not come back with the store."""
+    """Leadership after an outage."""
 
-    def test_another_host_leads_soon_after_the_return(self) -> None:
-        """Its silence all through the outage counts."""
+    def test_another_host_leads_soon_after_the_outage(self) -> None:
+        """The silence of the lost leader during the outage counts."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -67,7 +67,7 @@
                 domain.start_host(name)
             await domain.clock.advance(2)
             domain.rows.down.add('h1')
-            # Each of the others reads its last row before the store goes.
+            # Each of the others reads its last row before the outage.
             await domain.clock.advance(LAST_ROW_READ_S)
             domain.rows.down.add('*')
             await domain.clock.advance(5)
@@ -79,8 +79,8 @@
 
         in_domain(case)
 
-    def test_a_leader_that_comes_back_with_the_store_leads_on(self) -> None:
-        """Nobody takes over from it."""
+    def test_a_leader_that_survives_the_outage_stays_leader(self) -> None:
+        """No other host takes over."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -1,9 +1,9 @@
-"""Hosts that are suspended for seconds.
+"""Tests of hosts that are suspended for seconds.
 
-A steady clock stands still meanwhile, so a leader that was suspended for five
-seconds took its last confirmed write for a fresh one and ordered starts and
-renewals of a term that had ended. Readings that count the time suspended tell
-it before anything is sent.
+Guards against orders of a leader whose term ended during a suspension: the
+monotonic clock does not advance meanwhile, so a leader that was suspended for
+five seconds took its last confirmed write for a recent one and sent starts and
+renewals. A clock that counts the suspension shows the gap before any order.
 """
 
 import asyncio
@@ -38,25 +38,25 @@
 
 
 def busy(number: int) -> Step:
-    """Return a step of some tasks of one accelerator each."""
+    """Return a step of single-accelerator tasks."""
     return Step(width=number, needs=ONE_GPU, estimate_s=3.0)
 
 
-async def suspended(domain: Domain, host: TestHost, away_s: float) -> float:
-    """Have a host away for some seconds; return when it is back."""
+async def suspend(domain: Domain, host: TestHost, duration_s: float) -> float:
+    """Suspend a host for some seconds; return when it resumes."""
     host.clock.suspend()
-    await domain.clock.advance(away_s)
+    await domain.clock.advance(duration_s)
     host.clock.resume()
     return domain.clock.monotonic_s()
 
 
-def acted_late(host: TestHost, back_s: float) -> list[str]:
-    """Return what a host ordered of a term that was over, once it was back.
+def stale_orders(host: TestHost, resumed_s: float) -> list[str]:
+    """Return the orders of an ended term that a host sent after resuming.
 
-    Another host may lead since 1.4 s of silence, and gives up what it cannot
-    reach once the former leader must have stopped renewing.
+    Another host may lead after 1.4 s of silence, and gives up unreachable
+    workers once the previous leader must have stopped renewing leases.
     """
-    late = []
+    stale = []
     for order in host.orders:
         epoch = order.token // RAISES_PER_EPOCH
         stored_s = max(
@@ -67,33 +67,33 @@
         limit_s = ORDER_FRESHNESS_S
         if order.kind == 'renew':
             limit_s = RENEW_WITHOUT_STORE_S
-        if order.sent_s >= back_s and age_s > limit_s:
-            late.append(f'{order.kind} {age_s:.2f} s after its last write')
-    return late
+        if order.sent_s >= resumed_s and age_s > limit_s:
+            stale.append(f'{order.kind} {age_s:.2f} s after its last write')
+    return stale
 
 
 class ClockTest(unittest.TestCase):
-    """The machine's clock as the parts read it."""
+    """The system clock."""
 
-    def test_readings_count_the_time_suspended(self) -> None:
-        """The steady clock stands still, the boot clock goes on."""
+    def test_the_clock_counts_the_time_suspended(self) -> None:
+        """The monotonic clock stops, the boot-time clock does not."""
         readings = {time.CLOCK_MONOTONIC: 5.0, time.CLOCK_BOOTTIME: 35.0}
         with patch('time.clock_gettime', readings.__getitem__):
             self.assertEqual(SystemClock().monotonic_s(), 35)
 
 
 class LeaderTest(unittest.TestCase):
-    """A leader that was suspended acts on nothing of before."""
+    """A leader that was suspended acts on no outdated state."""
 
-    def test_no_term_acts_after_its_end(self) -> None:
-        """Whatever was under way, and however long it was away."""
-        for away_s in SUSPENSIONS_S:
+    def test_no_order_is_sent_after_the_end_of_its_term(self) -> None:
+        """This holds at any time and for any length of a suspension."""
+        for suspended_s in SUSPENSIONS_S:
             for wait_s in (0.0, 0.01, 0.3):
-                with self.subTest(away_s=away_s, wait_s=wait_s):
-                    self.away(away_s, wait_s)
+                with self.subTest(suspended_s=suspended_s, wait_s=wait_s):
+                    self.suspend_leader(suspended_s, wait_s)
 
-    def away(self, away_s: float, wait_s: float) -> None:
-        """Suspend the leader just after a job was accepted."""
+    def suspend_leader(self, suspended_s: float, wait_s: float) -> None:
+        """Suspend the leader soon after a job was accepted."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -103,16 +103,16 @@
             host = domain.hosts['h1']
             await other.accept(make_spec('a1', busy(6)))
             await domain.clock.advance(wait_s)
-            back_s = await suspended(domain, host, away_s)
+            resumed_s = await suspend(domain, host, suspended_s)
             await domain.clock.advance(5)
-            self.assertEqual(acted_late(host, back_s), [])
+            self.assertEqual(stale_orders(host, resumed_s), [])
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(len(domain.leading()), 1)
 
         in_domain(case, run_s=2)
 
     def test_twice_in_a_row_and_during_a_takeover(self) -> None:
-        """The second host is suspended as it takes over."""
+        """The second host is suspended while it takes over."""
 
         async def case(domain: Domain) -> None:
             first = domain.start_host('h1')
@@ -122,19 +122,19 @@
             await second.accept(make_spec('a1', busy(6)))
             first.clock.suspend()
             await domain.clock.advance(1.5)
-            back_s = await suspended(domain, second, 3.0)
+            resumed_s = await suspend(domain, second, 3.0)
             first.clock.resume()
             await domain.clock.advance(1)
-            await suspended(domain, first, 2.5)
+            await suspend(domain, first, 2.5)
             await domain.clock.advance(5)
-            self.assertEqual(acted_late(first, back_s), [])
-            self.assertEqual(acted_late(second, back_s), [])
+            self.assertEqual(stale_orders(first, resumed_s), [])
+            self.assertEqual(stale_orders(second, resumed_s), [])
             self.assertEqual(await domain.ended('a1'), 'completed')
 
         in_domain(case, run_s=4)
 
-    def test_with_the_store_away(self) -> None:
-        """It neither orders nor renews on what it knew before."""
+    def test_during_an_outage_of_the_store(self) -> None:
+        """The leader sends no orders and no renewals on outdated state."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -142,9 +142,9 @@
             await host.accept(make_spec('a1', busy(4)))
             await domain.clock.advance(0.5)
             domain.rows.down.add('*')
-            back_s = await suspended(domain, host, 8.0)
+            resumed_s = await suspend(domain, host, 8.0)
             await domain.clock.advance(3)
-            self.assertEqual(acted_late(host, back_s), [])
+            self.assertEqual(stale_orders(host, resumed_s), [])
             domain.rows.down.clear()
             self.assertEqual(await domain.ended('a1'), 'completed')
 
@@ -152,10 +152,10 @@
 
 
 class AcceptanceTest(unittest.TestCase):
-    """A host that is suspended while it accepts a job."""
+    """Hosts that are suspended while or before they accept a job."""
 
-    def test_the_answer_is_true(self) -> None:
-        """The job was stored before; it is told so, and runs once."""
+    def test_the_outcome_is_reported_correctly(self) -> None:
+        """The job was stored before the suspension and runs once."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -166,7 +166,7 @@
                 other.desk.accept(make_spec('a1'), 3.0),
             )
             await domain.clock.advance(0.001)
-            await suspended(domain, other, 10.0)
+            await suspend(domain, other, 10.0)
             await domain.clock.until(accepting.done)
             accepting.result()
             self.assertEqual(await domain.ended('a1'), 'completed')
@@ -174,10 +174,10 @@
 
         in_domain(case)
 
-    def test_a_host_that_is_back_is_not_ready_before_the_store_answers(
+    def test_a_resumed_host_is_not_ready_before_the_store_replies(
         self,
     ) -> None:
-        """What it knew of the store is as old as it was away."""
+        """Its last reply of the store is as old as the suspension."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -191,30 +191,30 @@
 
 
 class ResumeTest(unittest.TestCase):
-    """What a host does first when it is back."""
+    """What a host does first when it resumes."""
 
-    def test_a_pause_is_told_once_before_anything_else(self) -> None:
-        """By whoever looks first; shorter ones are passed over."""
+    def test_a_suspension_is_reported_once(self) -> None:
+        """The first check reports it; shorter ones are ignored."""
 
         async def case(domain: Domain) -> None:
-            told: list[float] = []
+            resumes: list[float] = []
             detector = SuspensionDetector(
                 clock=domain.clock,
-                on_resume=lambda: told.append(domain.clock.monotonic_s()),
+                on_resume=lambda: resumes.append(domain.clock.monotonic_s()),
             )
             detector.check()
             await domain.clock.advance(0.9)
             detector.check()
-            self.assertEqual(told, [])
+            self.assertEqual(resumes, [])
             await domain.clock.advance(5)
             detector.check()
             detector.check()
-            self.assertEqual(len(told), 1)
+            self.assertEqual(len(resumes), 1)
 
         in_domain(case)
 
     def test_the_configuration_is_read_again(self) -> None:
-        """A change of the time when it was away is in force at once."""
+        """A change from during the suspension is in force at once."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -240,12 +240,12 @@
 
 
 def revision_row(number: int) -> RowPut:
-    """Return a row that holds a revision's number."""
+    """Return the row of a revision."""
     return RowPut('settings', 'newest', str(number).encode())
 
 
 def follow_revisions(domain: Domain, host: TestHost) -> RevisionFollower:
-    """Return what follows revisions at a host, from the first one on."""
+    """Return a follower of revisions at a host, with the first one written."""
     domain.rows.apply((), (revision_row(1),), ())
     revisions = RevisionFollower(
         store=domain.rows.client(host.name),
--- a/tests/test_unread_operators.py
+++ b/tests/test_unread_operators.py
@@ -1,7 +1,8 @@
-"""Leaders that cannot read what operators ask, and deployments that ask little.
+"""Tests of leaders that cannot read the operators' rows.
 
-A leader whose writes are served and whose readings are refused starts nothing;
-it must not hold its place while another host can read.
+A leader whose writes succeed and whose reads fail starts nothing, so it must
+not keep the leadership while another host can read. Without a bound for
+closings, starts do not depend on the reads.
 """
 
 import unittest
@@ -17,18 +18,19 @@
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.support import ManualClock
 
-#: Another host leads so soon, in seconds: four waits of a reading for news, of
-#: which knowledge in good health is two old, and one takeover.
+#: Another host leads within this time, in seconds: four waits of a read for
+#: changes, two of which are the age of the rows in normal operation, and one
+#: takeover.
 REPLACED_S = 5.5
 
 LONG = Step(width=2, needs=ONE_GPU, estimate_s=60.0)
 
 
 class UnreadTest(unittest.TestCase):
-    """Only one host, some or all cannot read the operators' rows."""
+    """One, some or all hosts cannot read the operators' rows."""
 
     def test_a_host_that_can_read_leads_in_its_place(self) -> None:
-        """The job that it may not start is started by the other."""
+        """The new leader starts the job that the blind one may not start."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -48,8 +50,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_leader_whose_readings_wait_for_news_leads_on(self) -> None:
-        """Nothing changes, so each reading is answered after its wait."""
+    def test_a_leader_without_changes_to_read_stays_leader(self) -> None:
+        """Nothing changes, so each read returns only after its wait."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -62,8 +64,8 @@
 
         in_domain(case)
 
-    def test_what_runs_goes_on_through_the_change(self) -> None:
-        """No run is stopped or lapses."""
+    def test_runs_continue_through_the_change(self) -> None:
+        """No run is stopped and no lease expires."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -82,8 +84,8 @@
 
         in_domain(case, run_s=12)
 
-    def test_it_leads_on_where_nobody_can_read(self) -> None:
-        """Somebody has to renew the leases, and one is as good as another."""
+    def test_the_leader_stays_if_no_host_can_read(self) -> None:
+        """The leases have to be renewed, and no other host would do better."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -98,10 +100,10 @@
 
         in_domain(case)
 
-    def test_a_silent_leader_is_replaced_also_by_one_that_cannot_read(
+    def test_a_lost_leader_is_replaced_even_by_a_host_that_cannot_read(
         self,
     ) -> None:
-        """Else all that runs would lapse."""
+        """Otherwise the leases of all runs would expire."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -119,11 +121,11 @@
         in_domain(case)
 
 
-class UnboundTest(unittest.TestCase):
-    """A deployment that names no bound for closing data centres."""
+class UnboundedTest(unittest.TestCase):
+    """A deployment without a bound for closing data centres."""
 
-    def test_starts_do_not_wait_for_readings(self) -> None:
-        """Nothing was read for a long time, and nothing is closed."""
+    def test_starts_do_not_depend_on_reads(self) -> None:
+        """Nothing was ever read, and nothing is closed."""
         clock = ManualClock()
         closed = ClosedDataCentres(
             clock=clock,
@@ -132,8 +134,8 @@
         )
         self.assertTrue(closed.allows_starts('dc'))
 
-    def test_the_settings_say_so(self) -> None:
-        """The bound is none unless the platform names one."""
+    def test_the_settings_default_to_no_bound(self) -> None:
+        """There is no bound unless the platform specifies one."""
         fields = {
             'node_name': 'h1',
             'zone': 'dc',
