--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -8,26 +8,26 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
 
-from curranthill.admission.outlook import (
-    MOST_OF_WORKSPACE,
-    MOST_WAITING,
-    OLD_S,
-    Outlook,
-    ServiceOutlook,
+from curranthill.admission.shedding import (
+    MAX_FORECAST_AGE_S,
+    MAX_WAITING,
+    MAX_WAITING_PER_WORKSPACE,
+    Forecast,
+    ServiceForecast,
 )
 from curranthill.placement import (
     ActiveJob,
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     late_jobs,
-    room_needed,
+    resources_needed,
 )
 from curranthill.tasks import JobProgress, Resources
 
 #: Shorter waits are not told of, in seconds: what must end sooner than that
 #: after its longest chain is told by nobody.
-TOLD_FROM_S: Final = 1.0
+MIN_FORECAST_WAIT_S: Final = 1.0
 
 #: Waiting jobs that are sampled for each priority: those of the earliest, the
 #: middle and the latest objective.
@@ -55,7 +55,7 @@
 PROBE: Final = 'probe'
 
 
-class ServiceRoom(NamedTuple):
+class ServiceResources(NamedTuple):
     """The room of one service's workers.
 
     :param total: all of it, used or not.
@@ -66,14 +66,14 @@
     free: Callable[[], Resources]
 
 
-def outlook_of(
+def make_forecast(
     jobs: Iterable[ActiveJob],
     *,
-    rooms: Mapping[str, ServiceRoom],
+    resources: Mapping[str, ServiceResources],
     guaranteed: Mapping[str, int],
     now_s: float,
     number: int,
-) -> Outlook | None:
+) -> Forecast | None:
     """Return what hosts should know, or nothing while nothing waits long.
 
     :param guaranteed: guaranteed accelerators by workspace.
@@ -84,11 +84,11 @@
     unbegun = [job for job in open_jobs if not job.begun]
     waiting = Counter(job.spec.workspace for job in unbegun)
     covered = covered_jobs(open_jobs, guaranteed)
-    services = _services(open_jobs, rooms, covered, now_s)
-    many = len(unbegun) >= TOLD_WAITING_SHARE * MOST_WAITING
+    services = _services(open_jobs, resources, covered, now_s)
+    many = len(unbegun) >= TOLD_WAITING_SHARE * MAX_WAITING
     if not services and not many:
         return None
-    return Outlook(
+    return Forecast(
         number=number,
         waiting=len(unbegun),
         services=services,
@@ -96,30 +96,32 @@
         full=tuple(
             workspace
             for workspace, count in waiting.most_common(TOLD_WORKSPACES)
-            if count >= MOST_OF_WORKSPACE
+            if count >= MAX_WAITING_PER_WORKSPACE
         ),
     )
 
 
 def _services(
     jobs: list[ActiveJob],
-    rooms: Mapping[str, ServiceRoom],
+    resources: Mapping[str, ServiceResources],
     covered: set[str],
     now_s: float,
-) -> tuple[ServiceOutlook, ...]:
+) -> tuple[ServiceForecast, ...]:
     """Return the services for which something waits long."""
     waiting: dict[str, list[ActiveJob]] = defaultdict(list)
     for job in jobs:
-        if job.spec.queue.service in rooms and _waits_whole(job):
+        if job.spec.queue.service in resources and _waits_whole(job):
             waiting[job.spec.queue.service].append(job)
     told = []
     for name, queue in waiting.items():
-        waits = _waits(queue, rooms[name].total, covered, now_s)
+        waits = _waits(queue, resources[name].total, covered, now_s)
         if waits:
             told.append((_longest_s(waits), name, waits))
     told.sort(key=lambda one: -one[0])
     return tuple(
-        ServiceOutlook(name, rooms[name].total, rooms[name].free(), waits)
+        ServiceForecast(
+            name, resources[name].total, resources[name].free(), waits
+        )
         for _, name, waits in told[:TOLD_SERVICES]
     )
 
@@ -129,7 +131,7 @@
 
     What runs in part or comes back at set times says nothing for sure.
     """
-    return not (job.runs or job.lasting or job.spec.times)
+    return not (job.runs or job.perpetual or job.spec.times)
 
 
 def _waits(
@@ -145,7 +147,7 @@
     for job in _as_served((*waiting, *probes), covered, now_s):
         if job in probes:
             wait_s = _drained_s(ahead, total)
-            if wait_s >= TOLD_FROM_S:
+            if wait_s >= MIN_FORECAST_WAIT_S:
                 due_s = round(job.objective_s - now_s, 1)
                 step = (due_s, round(wait_s, 1))
                 waits[job.spec.queue.priority].append(step)
@@ -162,8 +164,8 @@
     now_s: float,
 ) -> list[ActiveJob]:
     """Return jobs in the order in which the leader serves them."""
-    hopeless = hopeless_jobs(jobs, covered, now_s)
-    return in_order(jobs, covered, hopeless, late_jobs(jobs, now_s))
+    infeasible = infeasible_jobs(jobs, covered, now_s)
+    return in_service_order(jobs, covered, infeasible, late_jobs(jobs, now_s))
 
 
 def _probes(waiting: list[ActiveJob], now_s: float) -> list[ActiveJob]:
@@ -194,7 +196,7 @@
     for number, step in enumerate(job.spec.steps):
         if job.begun and job.step_done(0, number):
             continue
-        needs = room_needed(step)
+        needs = resources_needed(step)
         work_s = step.width * step.estimate_s
         work = _plus(
             work,
@@ -233,7 +235,7 @@
         run.estimate_s * (1 - run.done_percent / 100)
         for run in job.runs.values()
     ]
-    return bool(left_s) and max(left_s) <= OLD_S
+    return bool(left_s) and max(left_s) <= MAX_FORECAST_AGE_S
 
 
 def _patience_s(job: ActiveJob) -> float:
@@ -261,4 +263,4 @@
     return max(wait_s for steps in waits.values() for _, wait_s in steps)
 
 
-__all__ = ('TOLD_FROM_S', 'ServiceRoom', 'outlook_of')
+__all__ = ('MIN_FORECAST_WAIT_S', 'ServiceResources', 'make_forecast')
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -43,7 +43,7 @@
 )
 from curranthill.errors import WorkerError, WorkerUnreachableError
 from curranthill.placement import (
-    MARKED,
+    ASSIGNED,
     ORDERED,
     RUNNING,
     UNKNOWN,
@@ -216,7 +216,7 @@
         """Order one start; the run's state tells what became of it."""
         async with self._order_turn:
             await self._settled.wait()
-            if run.state != MARKED or self.runs.get(run.name) is not run:
+            if run.state != ASSIGNED or self.runs.get(run.name) is not run:
                 return
             if run.incarnation != self.incarnation:
                 # Placed by the room of a former incarnation.
@@ -232,7 +232,7 @@
                 # It was closed while the start waited for its turn.
                 self._list.vanish(run, 'data centre closed')
                 return
-            if not self._list.fits(run, self.entry.room):
+            if not self._list.fits(run, self.entry.capacity):
                 # Its room has shrunk while the start waited for its turn.
                 self._list.vanish(run, 'room shrunk')
                 return
@@ -258,7 +258,7 @@
             await self._settled.wait()
             if self.runs.get(run.name) is not run or self._worker is None:
                 return
-            if run.state == MARKED:
+            if run.state == ASSIGNED:
                 self._list.vanish(run, 'stopped before its start')
                 return
             run.stop_sent_s = self._clock.monotonic_s()
@@ -295,11 +295,11 @@
             self.raise_token()
         else:
             self._read_clock(clock_s, known_clock_s)
-            run.settled_s = self._clock.monotonic_s()
-            run.begin(clock_s)
+            run.confirmed_s = self._clock.monotonic_s()
+            run.set_start_clock(clock_s)
             self._list.start_answered(run)
-            metrics.start_order_s.record(run.settled_s - sent_s)
-            run.percent_changed_s = run.settled_s
+            metrics.start_order_s.record(run.confirmed_s - sent_s)
+            run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
                 run.state = RUNNING
             self._urgent.set()
@@ -401,7 +401,7 @@
         """
         if not self.synced or not self._list.ends.all_stored:
             return 0.0
-        if any(run.awaits_sign for run in self.runs.values()):
+        if any(run.awaits_progress for run in self.runs.values()):
             return FIRST_SIGN_WAIT_S
         return RENEWAL_WAIT_S if self.runs else 0.0
 
--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -5,10 +5,10 @@
 from typing import Any, Final, Protocol
 
 from curranthill.admission import (
-    Outlook,
+    Forecast,
     Refusal,
-    may_accept,
-    return_after_s,
+    check_admission,
+    retry_delay_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -69,7 +69,7 @@
 class OutlookSource(Protocol):
     """Provides the forecast of the leader."""
 
-    def newest(self) -> tuple[Outlook | None, float]:
+    def newest(self) -> tuple[Forecast | None, float]:
         """Return the latest forecast, if any, and its age in seconds."""
 
     def missed(self) -> None:
@@ -255,7 +255,7 @@
         :raises RefusedError: if the job is refused.
         """
         outlook, age_s = self._outlooks.newest()
-        refusal = may_accept(spec, outlook, age_s)
+        refusal = check_admission(spec, outlook, age_s)
         if refusal is None:
             return False
         try:
@@ -290,14 +290,14 @@
                 'reason': refusal.reason,
             },
         )
-        spread_s = random.uniform(0, refusal.spread_s)
+        spread_s = random.uniform(0, refusal.jitter_s)
         return RefusedError(
             f'Job {spec.job_id} is not accepted and does not run: '
             f'{refusal.reason}.',
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.return_s + spread_s,
+            retry_after_s=refusal.retry_delay_s + spread_s,
             peer='leader',
         )
 
@@ -322,9 +322,9 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=return_after_s(
+            retry_after_s=retry_delay_s(
                 spec,
-                spread_s=random.uniform(-RETRY_JITTER_S, RETRY_JITTER_S),
+                jitter_s=random.uniform(-RETRY_JITTER_S, RETRY_JITTER_S),
             ),
             peer=peer,
         )
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -9,20 +9,24 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
+from curranthill.placement.capacity import (
+    ServiceCapacity,
+    WorkerCapacity,
+    resources_needed,
+)
 from curranthill.placement.jobs import ActiveJob, ReadyStep
 from curranthill.placement.paces import ANY, Pace
-from curranthill.placement.rooms import Room, ServiceRooms, room_needed
 from curranthill.tasks import Resources, TaskKey
 
 #: A task waits so many of its estimated run times for room in the right rack:
 #: away from it, it runs longer by about as much.
-PATIENCE_FOR_RACK: Final = 2.0
+RACK_WAIT_FACTOR: Final = 2.0
 
 #: The clocks of the host that accepted a job and of the leader differ by no
 #: more than this unless one was set, in seconds.
-MOST_SKEW_S: Final = 5.0
+MAX_SKEW_S: Final = 5.0
 
-Fit = list[tuple[TaskKey, Room]]
+Fit = list[tuple[TaskKey, WorkerCapacity]]
 
 
 class _Rank(NamedTuple):
@@ -31,7 +35,7 @@
     :param position: its place in the list of workers.
     """
 
-    doubt: float
+    failure_score: float
     shared_with_suspect: bool
     speed: int
     left_gpus: int
@@ -42,47 +46,50 @@
 def waits_for_rack(job: ActiveJob, ready: ReadyStep, now_s: float) -> bool:
     """Return whether a job goes on waiting for the right rack."""
     waited_s = now_s - job.spec.accepted_at_s
-    if waited_s < -MOST_SKEW_S:
+    if waited_s < -MAX_SKEW_S:
         # Clocks that differ so much were set; nobody knows the wait.
         return False
-    return waited_s <= PATIENCE_FOR_RACK * ready.step.estimate_s
+    return waited_s <= RACK_WAIT_FACTOR * ready.step.estimate_s
 
 
 def groups_of(
     ready: ReadyStep,
-    rooms: ServiceRooms,
+    workers: ServiceCapacity,
     *,
-    patient: bool,
-) -> list[Sequence[Room]]:
+    wait_for_rack: bool,
+) -> list[Sequence[WorkerCapacity]]:
     """Return the sets of rooms that a step may be placed in, best first.
 
     Tasks that run longer away from a rack wait for it, unless it could never
     hold them.
 
-    :param patient: whether to go on waiting for the right rack.
+    :param wait_for_rack: whether to go on waiting for the right rack.
     """
-    racks = _near_racks(ready, rooms)
+    racks = _near_racks(ready, workers)
     if racks is None:
-        return [rooms.rooms]
-    groups: list[Sequence[Room]] = [rooms.in_rack(rack) for rack in racks]
-    if not groups or not patient:
-        groups.append(rooms.rooms)
+        return [workers.workers]
+    groups: list[Sequence[WorkerCapacity]] = [
+        workers.in_rack(rack) for rack in racks
+    ]
+    if not groups or not wait_for_rack:
+        groups.append(workers.workers)
     return groups
 
 
 def in_time(
-    groups: Sequence[Sequence[Room]],
+    groups: Sequence[Sequence[WorkerCapacity]],
     pace: Pace,
-) -> list[Sequence[Room]]:
+) -> list[Sequence[WorkerCapacity]]:
     """Return each group without the workers that would delay the gang."""
     return [
-        [room for room in group if not pace.holds_up(room)] for group in groups
+        [worker for worker in group if not pace.holds_up(worker)]
+        for group in groups
     ]
 
 
 def choose_group(
     ready: ReadyStep,
-    groups: Sequence[Sequence[Room]],
+    groups: Sequence[Sequence[WorkerCapacity]],
     pace: Pace = ANY,
 ) -> Fit:
     """Take rooms of one group: the first without fault, or the least faulty.
@@ -90,11 +97,13 @@
     A gang with one member on a worker that fails all it starts fails whole,
     each time it is put there, and with one on a slow worker it is late whole.
     """
-    best: tuple[float, Sequence[Room]] | None = None
+    best: tuple[float, Sequence[WorkerCapacity]] | None = None
     for group in groups:
         chosen = _choose_alike(ready, group, pace)
         # Recent failures and levels too slow: one of each weighs the same.
-        fault = sum(room.doubt + pace.excess(room) for _, room in chosen)
+        fault = sum(
+            worker.failure_score + pace.excess(worker) for _, worker in chosen
+        )
         if chosen and not fault:
             return chosen
         give_back(ready, chosen)
@@ -103,17 +112,17 @@
     return _choose_alike(ready, best[1], pace) if best else []
 
 
-def choose_rooms(
+def choose_workers(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     pace: Pace = ANY,
 ) -> Fit:
     """Take rooms for the tasks, in order; a gang takes all or none."""
-    needs = room_needed(ready.step)
+    needs = resources_needed(ready.step)
     queue = [
-        _rank(room, needs, index, pace)
-        for index, room in enumerate(rooms)
-        if _takes(room, ready, ready.tasks[0])
+        _rank(worker, needs, index, pace)
+        for index, worker in enumerate(workers)
+        if _takes(worker, ready, ready.tasks[0])
     ]
     heapq.heapify(queue)
     chosen: Fit = []
@@ -121,11 +130,11 @@
         if not queue:
             break
         index = heapq.heappop(queue).position
-        room = rooms[index]
-        room.place(key, ready.step, alone=ready.alone)
-        chosen.append((key, room))
-        if _takes(room, ready, key):
-            heapq.heappush(queue, _rank(room, needs, index, pace))
+        worker = workers[index]
+        worker.place(key, ready.step, exclusive=ready.exclusive)
+        chosen.append((key, worker))
+        if _takes(worker, ready, key):
+            heapq.heappush(queue, _rank(worker, needs, index, pace))
     whole = ready.step.gang or ready.step.same_rack
     if whole and len(chosen) < len(ready.tasks):
         give_back(ready, chosen)
@@ -133,13 +142,13 @@
     return chosen
 
 
-def _takes(room: Room, ready: ReadyStep, key: TaskKey) -> bool:
+def _takes(worker: WorkerCapacity, ready: ReadyStep, key: TaskKey) -> bool:
     """Return whether a room takes one more task of a step now."""
-    needs = room_needed(ready.step)
-    return room.fits_now(needs, starving=ready.starving) and room.allows(
+    needs = resources_needed(ready.step)
+    return worker.fits_now(needs, starving=ready.starving) and worker.allows(
         key,
         ready.step,
-        alone=ready.alone,
+        exclusive=ready.exclusive,
         # Two suspects side by side would not tell which one crashes.
         starving=ready.starving and not ready.suspect,
     )
@@ -147,7 +156,7 @@
 
 def _choose_alike(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     pace: Pace,
 ) -> Fit:
     """Take rooms; for a gang ones that are alike, where these have room.
@@ -155,42 +164,44 @@
     Its members end together: on fast workers they would wait for those on slow
     ones.
     """
-    chosen = choose_rooms(ready, rooms, pace)
-    held_up = {pace.holds_up(room) for _, room in chosen}
+    chosen = choose_workers(ready, workers, pace)
+    held_up = {pace.holds_up(worker) for _, worker in chosen}
     if len(held_up) < 2 or not ready.step.gang:
         return chosen
     give_back(ready, chosen)
     slow = [
-        room
-        for room in rooms
-        if pace.holds_up(room) and room.speed >= pace.needed
+        worker
+        for worker in workers
+        if pace.holds_up(worker) and worker.speed >= pace.needed
     ]
-    usual = [room for room in rooms if not pace.holds_up(room)]
+    usual = [worker for worker in workers if not pace.holds_up(worker)]
     return (
-        choose_rooms(ready, slow, pace)
-        or choose_rooms(ready, usual, pace)
-        or choose_rooms(ready, rooms, pace)
+        choose_workers(ready, slow, pace)
+        or choose_workers(ready, usual, pace)
+        or choose_workers(ready, workers, pace)
     )
 
 
-def _rank(room: Room, needs: Resources, index: int, pace: Pace) -> _Rank:
+def _rank(
+    worker: WorkerCapacity, needs: Resources, index: int, pace: Pace
+) -> _Rank:
     return _Rank(
-        doubt=room.doubt,
-        shared_with_suspect=room.shared_with_suspect,
-        speed=pace.rank(room),
-        left_gpus=room.free.gpus - needs.gpus,
-        left_cpu_millis=room.free.cpu_millis,
+        failure_score=worker.failure_score,
+        shared_with_suspect=worker.shared_with_suspect,
+        speed=pace.rank(worker),
+        left_gpus=worker.free.gpus - needs.gpus,
+        left_cpu_millis=worker.free.cpu_millis,
         position=index,
     )
 
 
 def give_back(ready: ReadyStep, chosen: Fit) -> None:
     """Give back the rooms that were taken for tasks."""
-    for key, room in chosen:
-        room.unplace(key, ready.step)
+    for key, worker in chosen:
+        worker.unplace(key, ready.step)
 
 
-def _near_racks(ready: ReadyStep, rooms: ServiceRooms) -> list[str] | None:
+def _near_racks(ready: ReadyStep, workers: ServiceCapacity) -> list[str] | None:
     """Return the racks in which a step runs fast; nothing if it does anywhere.
 
     Racks that could never hold what must start together are left out.
@@ -199,19 +210,19 @@
     together = step.gang or step.same_rack
     wanted = len(ready.tasks) if together else 1
     if step.near_rack:
-        fits = rooms.holds_in(step.near_rack, step, wanted)
+        fits = workers.holds_in(step.near_rack, step, wanted)
         return [step.near_rack] if fits else []
-    if step.same_rack and rooms.racks:
-        return rooms.racks_that_hold(step, wanted)
+    if step.same_rack and workers.racks:
+        return workers.racks_that_hold(step, wanted)
     return None
 
 
 __all__ = (
-    'MOST_SKEW_S',
-    'PATIENCE_FOR_RACK',
+    'MAX_SKEW_S',
+    'RACK_WAIT_FACTOR',
     'Fit',
     'choose_group',
-    'choose_rooms',
+    'choose_workers',
     'give_back',
     'groups_of',
     'in_time',
