--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -66,7 +66,7 @@
 RETRY_AFTER_S: Final = 1.0
 
 
-class OutlookSource(Protocol):
+class ForecastSource(Protocol):
     """Provides the forecast of the leader."""
 
     def newest(self) -> tuple[Forecast | None, float]:
@@ -85,11 +85,11 @@
         store: RowStore,
         clock: Clock,
         health: StoreHealth,
-        outlooks: OutlookSource,
+        outlooks: ForecastSource,
     ) -> None:
         """Initialize with the store and what admission depends on."""
         self._health = health
-        self._outlooks = outlooks
+        self._forecasts = outlooks
         self._store = store
         self._clock = clock
 
@@ -120,7 +120,7 @@
         if not stored:
             # The job may still be stored. This suspends load shedding, so that
             # a repeated request is not soon refused as not run.
-            self._outlooks.missed()
+            self._forecasts.missed()
             raise self._refusal(spec, None, uncertain=True)
         insertion.result()
 
@@ -254,8 +254,8 @@
 
         :raises RefusedError: if the job is refused.
         """
-        outlook, age_s = self._outlooks.newest()
-        refusal = check_admission(spec, outlook, age_s)
+        forecast, age_s = self._forecasts.newest()
+        refusal = check_admission(spec, forecast, age_s)
         if refusal is None:
             return False
         try:
@@ -290,14 +290,14 @@
                 'reason': refusal.reason,
             },
         )
-        spread_s = random.uniform(0, refusal.jitter_s)
+        jitter_s = random.uniform(0, refusal.jitter_s)
         return RefusedError(
             f'Job {spec.job_id} is not accepted and does not run: '
             f'{refusal.reason}.',
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.retry_delay_s + spread_s,
+            retry_after_s=refusal.retry_delay_s + jitter_s,
             peer='leader',
         )
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -323,7 +323,9 @@
         """Return the ejected workers."""
         return {name for name in self.names if self.ejector.is_ejected(name)}
 
-    def test_a_worker_that_fails_everything_is_ejected_for_a_while(self) -> None:
+    def test_a_worker_that_fails_everything_is_ejected_for_a_while(
+        self,
+    ) -> None:
         """After its ejection its limit grows until it is whole again."""
         self.feed({'a'})
         self.assertEqual(self.ejected(), {'a'})
