--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -331,7 +331,7 @@
 
     def _unreadable(self, name: str, reason: Any) -> RefusedError:
         return RefusedError(
-            f'The store does not answer for {name} now.',
+            f'The store does not respond to requests for {name}.',
             step='read',
             status=503,
             outcome=FAILED,
--- a/src/curranthill/routing/router.py
+++ b/src/curranthill/routing/router.py
@@ -142,7 +142,7 @@
         if ahead and wait_s + run_s > work.deadline_s:
             raise self._refusal(
                 work,
-                'The deadline cannot be met: too much waits ahead.',
+                'The deadline cannot be met: too many requests are queued.',
                 status=_TOO_MANY,
                 retry_after_s=wait_s,
             )
@@ -160,7 +160,7 @@
         except QueueFullError:
             raise self._refusal(
                 work,
-                'Too many requests of this workspace wait already.',
+                'The request queue of this workspace is full.',
                 status=_TOO_MANY,
                 retry_after_s=self._run_s.get(work.kind, _DEFAULT_RUN_S),
             ) from None
--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -37,7 +37,7 @@
         clock: Clock,
         rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
-        """Initialize without any write under way."""
+        """Initialize the committer, which keeps no state between commits."""
         self._rate_limiter = rate_limiter
         self._table = table
         self._clock = clock
--- a/src/curranthill/storage/follower.py
+++ b/src/curranthill/storage/follower.py
@@ -139,9 +139,9 @@
     def _next_wait_s(self) -> float:
         """Return how long the next read waits for changes, in seconds.
 
-        It does not wait after a failure, which may have hidden changes, nor
-        after changes if a caller needs confirmation: their response may have
-        been long on its way, and the table is known only up to its request.
+        It does not wait after a failure, which may have hidden changes. Nor
+        does it after changes if a caller needs confirmation: their response
+        may have been in transfer for long, and confirms only up to its request.
         """
         if self._failures or self._skips_wait:
             return 0.0
--- a/src/curranthill/storage/http.py
+++ b/src/curranthill/storage/http.py
@@ -92,7 +92,7 @@
 
     def _not_sent(self, path: str) -> NotSentError:
         return NotSentError(
-            'The platform did not take the call.',
+            'The platform refused the call or is unreachable.',
             step=path,
             peer=self._url,
         )
@@ -187,7 +187,7 @@
             return None
         if digest != content_digest(body):
             raise NotSentError(
-                'The object arrived damaged.',
+                'The digest of the received object differs.',
                 step='get',
                 peer=name,
             )
--- a/src/curranthill/storage/rate_limit.py
+++ b/src/curranthill/storage/rate_limit.py
@@ -34,7 +34,7 @@
         wait_s = full_s - now_s - 1
         if wait_s > MAX_WAIT_S:
             raise NotSentError(
-                'Too many writes wait in this process.',
+                'Too many writes are queued in this process.',
                 step='write budget',
             )
         self._full_s = full_s
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -248,7 +248,7 @@
         on_bench(case)
 
 
-class SilenceTest(unittest.TestCase):
+class StalledConnectionTest(unittest.TestCase):
     """Connections that stall during a large response."""
 
     def test_a_stalled_response_times_out(self) -> None:
