--- a/src/curranthill/dispatch/learning.py
+++ b/src/curranthill/dispatch/run_estimates.py
@@ -1,4 +1,4 @@
-"""What the leader learns of workers and of work from the runs' progress."""
+"""The speed and duration estimates that a leader derives from progress."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Final
@@ -19,27 +19,29 @@
     from curranthill.dispatch.session import WorkerSession
 
 
-#: How often what was noted is worked out, in seconds: reports come every 1.5 s
-#: when nothing ends.
+#: The interval at which the estimates are updated, in seconds: reports arrive
+#: every 1.5 s while no run ends.
 REFRESH_INTERVAL_S: Final = 0.5
 
 
-class Learning:
-    """Keeps what is learnt in a term.
+class RunEstimates:
+    """Collects the observations of a term.
 
-    :param durations: how long the work of each queue takes.
-    :param speeds: how fast each worker is.
+    :param durations: estimates how long the work of each queue takes.
+    :param speeds: estimates how fast each worker is.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Initialize the estimates without observations."""
         self.durations = DurationEstimator()
         self.speeds = SpeedEstimator(durations=self.durations)
         self._refreshed_s = 0.0
-        self._told: dict[str, int] = {}
+        self._logged_levels: dict[str, int] = {}
 
-    def note(self, session: 'WorkerSession', job: ActiveJob, run: Run) -> None:
-        """Learn from a run's pace, if its report tells of one."""
+    def record(
+        self, session: 'WorkerSession', job: ActiveJob, run: Run
+    ) -> None:
+        """Record a run's progress rate, if its report gives one."""
         if not run.progress_rate or run.incarnation != session.incarnation:
             return
         self.speeds.record(
@@ -57,32 +59,32 @@
         sessions: Iterable['WorkerSession'],
         now_s: float,
     ) -> None:
-        """Work out what was noted, every now and then."""
+        """Update the estimates, at most once per interval."""
         if now_s - self._refreshed_s < REFRESH_INTERVAL_S:
             return
         self._refreshed_s = now_s
         self.speeds.refresh()
-        present = [session for session in sessions if not session.gone]
+        present = [session for session in sessions if not session.removed]
         self.speeds.forget_except(one.worker_id for one in present)
-        self._tell_unlike(present)
+        self._log_deviating(present)
 
     def ratio_of(self, queue: str) -> float:
-        """Return run time over estimate in a queue."""
+        """Return the ratio of actual to estimated run time in a queue."""
         return self.durations.ratio_of(queue).factor
 
     def speed_of(self, session: 'WorkerSession') -> Speed:
-        """Return the speed of the present life of a worker."""
+        """Return the speed of a worker's current incarnation."""
         return self.speeds.speed_of(session.worker_id, session.incarnation)
 
-    def _tell_unlike(self, sessions: Iterable['WorkerSession']) -> None:
-        """Tell of each worker that is found to differ, or no more."""
-        unlike: dict[str, int] = {}
+    def _log_deviating(self, sessions: Iterable['WorkerSession']) -> None:
+        """Log each worker that starts or stops to deviate in speed."""
+        deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
             level = speed_level(speed.factor)
             if level:
-                unlike[session.worker_id] = level
-            if level != self._told.get(session.worker_id, 0):
+                deviating[session.worker_id] = level
+            if level != self._logged_levels.get(session.worker_id, 0):
                 events.log(
                     'worker_speed',
                     worker=session.worker_id,
@@ -90,10 +92,10 @@
                     spread=round(speed.spread, 2),
                     steps=speed.steps,
                 )
-        self._told = unlike
-        slow = sum(1 for level in unlike.values() if level < 0)
+        self._logged_levels = deviating
+        slow = sum(1 for level in deviating.values() if level < 0)
         metrics.workers_slow.set(slow)
-        metrics.workers_fast.set(len(unlike) - slow)
+        metrics.workers_fast.set(len(deviating) - slow)
 
 
-__all__ = ('Learning',)
+__all__ = ('RunEstimates',)
--- a/src/curranthill/scheduler/fifo.py
+++ b/src/curranthill/scheduler/fifo.py
@@ -1,48 +1,53 @@
-"""The baselines: first come, first served, into the first place that fits."""
+"""Baseline policies: first come, first served, with first-fit placement."""
 
-from curranthill.scheduler.board import Board, Decision, Waiting
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.search import first_fit
+from curranthill.scheduler.state import Decision, SchedulerState, WaitingJob
 
 
 class FifoFirstFit:
-    """Strict order of arrival; nobody is stopped for anybody.
+    """First-fit placement in order of arrival, without preemption.
 
-    :param skipping: let later jobs pass one that does not fit.
+    :param skipping: whether later jobs may pass one that does not fit.
     """
 
     def __init__(self, *, skipping: bool = False) -> None:
-        """Choose whether the head of the queue blocks the rest."""
+        """Initialize; by default the head of the queue blocks the rest."""
         self._skipping = skipping
 
-    def decide(self, board: Board, now_s: float) -> list[Decision]:
+    def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
         """Place jobs in order of arrival."""
         decisions: list[Decision] = []
         failed: set[tuple[int, str]] = set()
-        for waiting in sorted(board.queue, key=_arrival):
+        for waiting in sorted(state.queue, key=_arrival):
             job = waiting.job
             if (job.slots, job.adjacent) in failed:
                 continue
-            members = first_fit(board.cluster, job.slots, job.adjacent)
+            members = first_fit(state.cluster, job.slots, job.adjacent)
             if members is None:
                 if not self._skipping:
                     break
                 failed.add((job.slots, job.adjacent))
                 continue
             decisions.append(
-                board.place(
+                state.place(
                     waiting,
                     members,
-                    hard=True,
+                    non_preemptible=True,
                     now_s=now_s,
                     reason='first fit',
                 ),
             )
         return decisions
 
-    def explain(self, board: Board, job_id: str, now_s: float) -> list[str]:
-        """Say how many jobs stand before this one."""
-        order = sorted(board.queue, key=_arrival)
+    def explain(
+        self,
+        state: SchedulerState,
+        job_id: str,
+        now_s: float,
+    ) -> list[str]:
+        """Return a sentence on how many jobs arrived before this one."""
+        order = sorted(state.queue, key=_arrival)
         ahead = 0
         for waiting in order:
             if waiting.job.job_id == job_id:
@@ -53,7 +58,7 @@
 
 @policies.register('fifo_first_fit')
 def fifo_first_fit(preemptions: int) -> Policy:
-    """Return the baseline in which the first in line blocks the rest."""
+    """Return the baseline in which the head of the queue blocks the rest."""
     return FifoFirstFit()
 
 
@@ -63,7 +68,7 @@
     return FifoFirstFit(skipping=True)
 
 
-def _arrival(waiting: Waiting) -> float:
+def _arrival(waiting: WaitingJob) -> float:
     return waiting.since_s
 
 
