--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -29,7 +29,7 @@
 NOW_S: Final = 1_700_001_000.0
 SERVICE: Final = 'calc'
 WORKERS_PER_RACK: Final = 20
-ROOM: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
+WORKER_CAPACITY: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
 GPU_SIZES: Final = (1, 2, 4, 8, 8)
 SAME_RACK_SHARE: Final = 0.7
 NEAR_RACK_SHARE: Final = 0.1
@@ -93,7 +93,7 @@
     while refused < 8:
         job = _job(source, len(cluster.jobs))
         cluster.jobs.append(job)
-        if not _fill(source, cluster, free, job):
+        if not _place(source, cluster, free, job):
             refused += 1
     for _ in range(waiting):
         cluster.jobs.append(_job(source, len(cluster.jobs)))
@@ -102,7 +102,7 @@
 
 def plan_round(cluster: FullCluster) -> Plan:
     """Return what one round decides, from the runs as they are."""
-    rooms = [
+    workers = [
         WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
@@ -111,7 +111,7 @@
         for entry in cluster.entries
     ]
     planner = Planner(
-        workers={SERVICE: rooms},
+        workers={SERVICE: workers},
         guaranteed=cluster.guaranteed,
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -129,7 +129,7 @@
         service=SERVICE,
         address=f'10.0.0.1:{number}',
         data_centre='dc',
-        capacity=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', f'r{number // WORKERS_PER_RACK}'),
     )
 
@@ -174,7 +174,7 @@
     return ActiveJob(spec=spec, progress=JobProgress(queue=spec.queue.name))
 
 
-def _fill(
+def _place(
     source: random.Random,
     cluster: FullCluster,
     free: dict[str, Resources],
--- a/bench/door.py
+++ b/bench/load_shedding.py
@@ -1,6 +1,6 @@
 """Replays a day with the answer at the door, and one without it.
 
-``python -m bench.door --rate 3 --seeds 10`` prints how many jobs were turned
+``python -m bench.load_shedding --rate 3 --seeds 10`` prints how many jobs were turned
 away, what these earned on the same day without it, and what the day earned.
 """
 
@@ -21,17 +21,17 @@
 from curranthill.tasks import JobSpec, Resources
 
 #: How often an outlook is made, and how long it takes to the hosts, in seconds.
-MADE_EACH_S: Final = 1.0
-READ_AFTER_S: Final = 0.8
+FORECAST_INTERVAL_S: Final = 1.0
+FORECAST_DELAY_S: Final = 0.8
 
 #: Tries that callers make more when they are told to come back.
-MORE_TRIES: Final = 4
+RETRIES: Final = 4
 
 #: Several times as much comes as fits, and more urgent work for some seconds.
 OVERLOAD: Final = Load(rate=8.0, bursts=((5, 13, 2.5),))
 
 
-class DoorDay(Day):
+class SheddingDay(Day):
     """A day on which hosts refuse what is too late.
 
     :param refused: jobs that were turned away at each of their tries.
@@ -50,32 +50,34 @@
         self.refusals = 0
         self._forecast: Forecast | None = None
         self._read_s = 0.0
-        self._number = 0
+        self._forecast_number = 0
         self._tries: dict[str, int] = {}
-        self._at(0, self._make)
+        self._at(0, self._make_forecast)
 
-    def _make(self) -> None:
-        self._number += 1
+    def _make_forecast(self) -> None:
+        self._forecast_number += 1
         made = make_forecast(
             self._jobs.values(),
-            resources={SERVICE: self._room()},
+            resources={SERVICE: self._resources()},
             guaranteed={f't{team}': len(self._runs) for team in range(4)},
             now_s=NOW_S + self._now_s,
-            number=self._number,
+            number=self._forecast_number,
         )
-        self._at(self._now_s + READ_AFTER_S, partial(self._read, made))
-        self._at(self._now_s + MADE_EACH_S, self._make)
+        self._at(
+            self._now_s + FORECAST_DELAY_S, partial(self._read_forecast, made)
+        )
+        self._at(self._now_s + FORECAST_INTERVAL_S, self._make_forecast)
 
-    def _read(self, forecast: Forecast | None) -> None:
+    def _read_forecast(self, forecast: Forecast | None) -> None:
         self._forecast = forecast
         self._read_s = self._now_s
 
-    def _room(self) -> ServiceResources:
+    def _resources(self) -> ServiceResources:
         held = len(self._runs) - len(self._leaving)
         total = Resources(*(held * part for part in ROOM))
-        return ServiceResources(total, self._free_room)
+        return ServiceResources(total, self._largest_free)
 
-    def _free_room(self) -> Resources:
+    def _largest_free(self) -> Resources:
         free = [
             WorkerCapacity(
                 entry=self._entries[name], runs=runs, failure_score=0.0
@@ -97,10 +99,10 @@
         self.refused.add(spec.job_id)
         tries = self._tries.get(spec.job_id, 0) + 1
         self._tries[spec.job_id] = tries
-        if tries <= MORE_TRIES:
+        if tries <= RETRIES:
             jitter_s = refusal.jitter_s * self._source.random()
-            back_s = self._now_s + refusal.retry_after_s + jitter_s
-            self._at(back_s, partial(self._accept, spec))
+            retry_at_s = self._now_s + refusal.retry_after_s + jitter_s
+            self._at(retry_at_s, partial(self._accept, spec))
 
 
 class PlainDay(Day):
@@ -115,7 +117,7 @@
         return sum(1 for job_id in self._drawn if not self.earned(job_id))
 
 
-class DoorOutcome(NamedTuple):
+class SheddingOutcome(NamedTuple):
     """What one day brought with a door and without.
 
     :param refused: jobs turned away at all of their tries.
@@ -123,28 +125,28 @@
     :param worthless: jobs that earned nothing without a door.
     """
 
-    with_door: Outcome
-    without: Outcome
+    with_shedding: Outcome
+    without_shedding: Outcome
     refused: int
     refusals: int
     refused_worth: float
     worthless: int
 
 
-def play(load: Load, workers: int, seed: int) -> DoorOutcome:
+def play(load: Load, workers: int, seed: int) -> SheddingOutcome:
     """Play a day twice."""
-    door = DoorDay(load=load, workers=workers, seed=seed)
+    shedding = SheddingDay(load=load, workers=workers, seed=seed)
     plain = PlainDay(
         load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
     )
-    with_door = door.play()
-    without = plain.play()
-    return DoorOutcome(
-        with_door=with_door,
-        without=without,
-        refused=len(door.refused),
-        refusals=door.refusals,
-        refused_worth=sum(plain.earned(one) for one in door.refused),
+    with_shedding = shedding.play()
+    without_shedding = plain.play()
+    return SheddingOutcome(
+        with_shedding=with_shedding,
+        without_shedding=without_shedding,
+        refused=len(shedding.refused),
+        refusals=shedding.refusals,
+        refused_worth=sum(plain.earned(one) for one in shedding.refused),
         worthless=plain.infeasible(),
     )
 
@@ -159,12 +161,14 @@
     load = Load(rate=rate, bursts=((5, 13, burst),))
     days = [play(load, workers, seed) for seed in range(seeds)]
     mean, error = difference(
-        [day.with_door for day in days],
-        [day.without for day in days],
+        [day.with_shedding for day in days],
+        [day.without_shedding for day in days],
     )
     sums: dict[str, Any] = {
-        'worth with': statistics.fmean(day.with_door.worth for day in days),
-        'worth without': statistics.fmean(day.without.worth for day in days),
+        'worth with': statistics.fmean(day.with_shedding.worth for day in days),
+        'worth without': statistics.fmean(
+            day.without_shedding.worth for day in days
+        ),
         'difference': mean,
         'error': error,
         'jobs refused': sum(day.refused for day in days),
@@ -176,7 +180,7 @@
         print(f'{name:20} {figure:.4f}')
 
 
-__all__ = ('OVERLOAD', 'DoorDay', 'DoorOutcome', 'PlainDay', 'play')
+__all__ = ('OVERLOAD', 'SheddingDay', 'SheddingOutcome', 'PlainDay', 'play')
 
 if __name__ == '__main__':
     typer.run(main)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,13 +12,13 @@
 from tests.domain import ONE_GPU, make_spec
 
 #: Tries after the first one.
-TRIES: int = 4
+RETRIES: int = 4
 
 #: The longest outage that a job with time must get over, in seconds.
 OUTAGE_S = 8.0
 
 
-def patient_job() -> JobSpec:
+def job_with_slack() -> JobSpec:
     """Return a job whose objective leaves it nine seconds."""
     step = Step(width=1, needs=ONE_GPU, estimate_s=8.0)
     return make_spec('a1', step)
@@ -30,50 +30,50 @@
     return make_spec('b2', step, priority=0)
 
 
-def tries_s(spec: JobSpec, sent_s: float) -> list[float]:
+def attempt_times_s(spec: JobSpec, sent_s: float) -> list[float]:
     """Return the moments of all tries of a job that is refused each time."""
     moments = [sent_s]
-    for _ in range(TRIES):
-        wait_s = retry_after_s(spec, jitter_s=0.0)
-        moments.append(moments[-1] + max(1, round(wait_s)))
+    for _ in range(RETRIES):
+        delay_s = retry_after_s(spec, jitter_s=0.0)
+        moments.append(moments[-1] + max(1, round(delay_s)))
     return moments
 
 
 class OutageTest(unittest.TestCase):
     """Jobs handed in each tenth of a second of an outage."""
 
-    def test_jobs_with_time_get_over_it(self) -> None:
+    def test_jobs_with_slack_are_accepted_after_it(self) -> None:
         """And none of them misses its objective by the waits it is told."""
-        spec = patient_job()
+        spec = job_with_slack()
         slack_s = spec.objective_s - spec.accepted_at_s - spec.chain_s
         for tenth in range(int(OUTAGE_S * 10)):
-            moments = tries_s(spec, tenth / 10)
+            moments = attempt_times_s(spec, tenth / 10)
             accepted = [one for one in moments if one >= OUTAGE_S]
             self.assertTrue(accepted, f'sent at {tenth / 10} s')
             if tenth / 10 >= OUTAGE_S - slack_s:
                 self.assertLessEqual(accepted[0] - tenth / 10, slack_s)
 
-    def test_urgent_jobs_come_back_at_once(self) -> None:
+    def test_urgent_jobs_retry_at_once(self) -> None:
         """A second is what the header tells at least."""
-        self.assertEqual(tries_s(urgent_job(), 0.0), [0, 1, 2, 3, 4])
+        self.assertEqual(attempt_times_s(urgent_job(), 0.0), [0, 1, 2, 3, 4])
 
-    def test_waits_are_bounded_and_spread(self) -> None:
+    def test_delays_are_bounded_and_vary(self) -> None:
         """Whatever the objective; the spread tells callers apart."""
-        spec = patient_job()
+        spec = job_with_slack()
         huge = make_spec(
             'c3',
             Step(width=1, needs=ONE_GPU, estimate_s=9999.0),
         )
-        waits = {
+        delays = {
             retry_after_s(spec, jitter_s=jitter_s)
             for jitter_s in (-0.5, 0.0, 0.5)
         }
-        self.assertEqual(len(waits), 3)
+        self.assertEqual(len(delays), 3)
         for one in (spec, huge, urgent_job()):
             for jitter_s in (-0.5, 0.5):
-                wait_s = retry_after_s(one, jitter_s=jitter_s)
-                self.assertGreaterEqual(wait_s, 1.0)
-                self.assertLessEqual(wait_s, 3.0)
+                delay_s = retry_after_s(one, jitter_s=jitter_s)
+                self.assertGreaterEqual(delay_s, 1.0)
+                self.assertLessEqual(delay_s, 3.0)
 
 
 if __name__ == '__main__':
--- a/tests/test_fair_room.py
+++ b/tests/test_fair_capacity.py
@@ -18,8 +18,8 @@
 from tests.test_planner import (
     NOW_S,
     make_job,
-    make_room,
     make_run,
+    make_worker,
     needs,
     placed,
     plan,
@@ -27,12 +27,12 @@
 
 #: A task of a second: its job is late after three seconds from its
 #: acceptance, and earns nothing after nine.
-WHOLE = Step(width=1, needs=needs(8), estimate_s=1.0)
+WHOLE_WORKER = Step(width=1, needs=needs(8), estimate_s=1.0)
 INFEASIBLE_S = NOW_S - 20
-SERVED_AGAIN_S = NOW_S - 60
+AGED_S = NOW_S - 60
 
 
-def stopped(job: ActiveJob, stops: int) -> ActiveJob:
+def with_stops(job: ActiveJob, stops: int) -> ActiveJob:
     """Return a job that was stopped for others so often."""
     job.progress.stops = stops
     return job
@@ -50,7 +50,7 @@
     spec = make_spec(job_id, gang, priority=1, accepted_at_s=accepted_at_s)
     for run in runs:
         run.estimate_s = estimate_s
-    return stopped(make_job(spec, runs), stops)
+    return with_stops(make_job(spec, runs), stops)
 
 
 def victims(runs: Sequence[Run]) -> list[str]:
@@ -61,73 +61,79 @@
 class OrderTest(unittest.TestCase):
     """What can still earn goes before what cannot."""
 
-    def test_hopeless_work_goes_after_work_that_still_earns(self) -> None:
+    def test_infeasible_work_is_served_after_feasible_work(self) -> None:
         """Past three times its objective a job earns nothing any more."""
         decided = plan(
-            [make_room('a1', 'r1')],
-            make_spec('old', WHOLE, accepted_at_s=INFEASIBLE_S),
-            make_spec('new', WHOLE),
+            [make_worker('a1', 'r1')],
+            make_spec('old', WHOLE_WORKER, accepted_at_s=INFEASIBLE_S),
+            make_spec('new', WHOLE_WORKER),
         )
         self.assertEqual(placed(decided), {'new': ['a1']})
 
-    def test_hopeless_work_goes_after_lower_work_that_still_earns(self) -> None:
+    def test_infeasible_work_is_served_after_lower_feasible_work(self) -> None:
         """A priority tells who earns first, and it earns nothing."""
         decided = plan(
-            [make_room('a1', 'r1')],
-            make_spec('old', WHOLE, priority=1, accepted_at_s=INFEASIBLE_S),
-            make_spec('new', WHOLE, priority=2),
+            [make_worker('a1', 'r1')],
+            make_spec(
+                'old', WHOLE_WORKER, priority=1, accepted_at_s=INFEASIBLE_S
+            ),
+            make_spec('new', WHOLE_WORKER, priority=2),
         )
         self.assertEqual(placed(decided), {'new': ['a1']})
 
-    def test_what_can_be_in_time_goes_before_what_is_late(self) -> None:
+    def test_work_that_can_be_in_time_is_served_before_late_work(self) -> None:
         """Late work earns the same for long after its objective."""
         decided = plan(
-            [make_room('a1', 'r1')],
-            make_spec('late', WHOLE, accepted_at_s=NOW_S - 4),
-            make_spec('new', WHOLE),
+            [make_worker('a1', 'r1')],
+            make_spec('late', WHOLE_WORKER, accepted_at_s=NOW_S - 4),
+            make_spec('new', WHOLE_WORKER),
         )
         self.assertEqual(placed(decided), {'new': ['a1']})
 
-    def test_late_work_goes_before_lower_work(self) -> None:
+    def test_late_work_is_served_before_lower_work(self) -> None:
         """A priority holds between work that still earns."""
         decided = plan(
-            [make_room('a1', 'r1')],
-            make_spec('late', WHOLE, accepted_at_s=NOW_S - 4),
-            make_spec('new', WHOLE, priority=2),
+            [make_worker('a1', 'r1')],
+            make_spec('late', WHOLE_WORKER, accepted_at_s=NOW_S - 4),
+            make_spec('new', WHOLE_WORKER, priority=2),
         )
         self.assertEqual(placed(decided), {'late': ['a1']})
 
-    def test_hopeless_work_is_served_in_turn_again(self) -> None:
+    def test_infeasible_work_is_served_normally_after_aging(self) -> None:
         """Whoever was accepted ends."""
         decided = plan(
-            [make_room('a1', 'r1')],
-            make_spec('old', WHOLE, accepted_at_s=SERVED_AGAIN_S),
-            make_spec('new', WHOLE),
+            [make_worker('a1', 'r1')],
+            make_spec('old', WHOLE_WORKER, accepted_at_s=AGED_S),
+            make_spec('new', WHOLE_WORKER),
         )
         self.assertEqual(placed(decided), {'old': ['a1']})
 
-    def test_hopeless_urgent_work_stops_nothing(self) -> None:
+    def test_infeasible_urgent_work_preempts_nothing(self) -> None:
         """Work that still earns would be thrown away for it."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=0.1))]
-        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=INFEASIBLE_S)
-        self.assertEqual(plan(rooms, spec).victims, ())
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1))]
+        spec = make_spec(
+            'old', WHOLE_WORKER, priority=0, accepted_at_s=INFEASIBLE_S
+        )
+        self.assertEqual(plan(workers, spec).victims, ())
 
-    def test_a_guarantee_holds_for_hopeless_work(self) -> None:
+    def test_a_guarantee_holds_for_infeasible_work(self) -> None:
         """It starts within its bound, whatever it earns."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=60))]
-        spec = make_spec('old', WHOLE, priority=0, accepted_at_s=INFEASIBLE_S)
-        decided = plan(rooms, spec, guaranteed={'alpha': 8})
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
+        spec = make_spec(
+            'old', WHOLE_WORKER, priority=0, accepted_at_s=INFEASIBLE_S
+        )
+        decided = plan(workers, spec, guaranteed={'alpha': 8})
         self.assertEqual(victims(decided.victims), ['a1'])
 
-    def test_a_job_without_an_objective_is_never_hopeless(self) -> None:
+    def test_a_job_without_an_objective_is_never_infeasible(self) -> None:
         """There is nothing that it could miss."""
         step = Step(width=1, needs=needs(8))
         old = make_spec('old', step, accepted_at_s=INFEASIBLE_S)
         queue = old.queue._replace(target_s=0.0)
         decided = plan(
-            [make_room('a1', 'r1')],
+            [make_worker('a1', 'r1')],
             old._replace(queue=queue),
-            make_spec('new', WHOLE),
+            make_spec('new', WHOLE_WORKER),
         )
         self.assertEqual(placed(decided), {'old': ['a1']})
 
@@ -142,7 +148,7 @@
             max_size=12,
         ),
     )
-    def test_nobody_waits_for_ever(
+    def test_no_job_waits_for_ever(
         self,
         drawn: list[tuple[int, float, float]],
     ) -> None:
@@ -154,7 +160,7 @@
             make_job(
                 make_spec(
                     f'j{number}',
-                    WHOLE._replace(estimate_s=estimate_s),
+                    WHOLE_WORKER._replace(estimate_s=estimate_s),
                     priority=priority,
                     accepted_at_s=NOW_S - age_s,
                 ),
@@ -162,7 +168,7 @@
             for number, (priority, estimate_s, age_s) in enumerate(drawn)
         ]
         later_s = NOW_S + 300.0
-        newer = make_job(make_spec('new', WHOLE, accepted_at_s=later_s))
+        newer = make_job(make_spec('new', WHOLE_WORKER, accepted_at_s=later_s))
         known = [*jobs, newer]
         infeasible = infeasible_jobs(known, set(), later_s)
         late = late_jobs(known, later_s)
@@ -173,18 +179,21 @@
                 self.assertNotIn(job, after)
 
 
-class StopPriceTest(unittest.TestCase):
+class EvictionCostTest(unittest.TestCase):
     """Whose run is stopped: a stop costs more than the work thrown away."""
 
-    urgent = make_spec('u', WHOLE, priority=0)
+    urgent = make_spec('u', WHOLE_WORKER, priority=0)
 
     def test_a_job_that_was_stopped_before_is_spared(self) -> None:
         """The other has done a little more, and was never stopped."""
         first = make_run('a1', 8, priority=1, age_s=1.0, job_id='g')
         other = make_run('a2', 8, priority=1, age_s=1.2, job_id='h')
-        rooms = [make_room('a1', 'r1', first), make_room('a2', 'r1', other)]
+        workers = [
+            make_worker('a1', 'r1', first),
+            make_worker('a2', 'r1', other),
+        ]
         decided = plan(
-            rooms,
+            workers,
             self.urgent,
             running=[running('g', first, stops=2), running('h', other)],
         )
@@ -193,17 +202,17 @@
     def test_the_same_gang_is_not_stopped_over_and_over(self) -> None:
         """An urgent job beyond its guarantee waits instead."""
         run = make_run('a1', 8, priority=1, age_s=0.1, job_id='g')
-        rooms = [make_room('a1', 'r1', run)]
+        workers = [make_worker('a1', 'r1', run)]
         gang = running('g', run, stops=10)
-        decided = plan(rooms, self.urgent, running=[gang])
+        decided = plan(workers, self.urgent, running=[gang])
         self.assertEqual(decided.victims, ())
 
-    def test_a_guarantee_stops_it_all_the_same(self) -> None:
+    def test_a_guarantee_preempts_it_in_any_case(self) -> None:
         """A covered job starts within its bound at any moment."""
         run = make_run('a1', 8, priority=1, age_s=0.1, job_id='g')
-        rooms = [make_room('a1', 'r1', run)]
+        workers = [make_worker('a1', 'r1', run)]
         decided = plan(
-            rooms,
+            workers,
             self.urgent,
             guaranteed={'alpha': 8},
             running=[running('g', run, stops=10)],
@@ -214,9 +223,12 @@
         """The other is late whether it is stopped or not."""
         first = make_run('a1', 8, priority=1, age_s=1.0, job_id='g')
         other = make_run('a2', 8, priority=1, age_s=1.2, job_id='h')
-        rooms = [make_room('a1', 'r1', first), make_room('a2', 'r1', other)]
+        workers = [
+            make_worker('a1', 'r1', first),
+            make_worker('a2', 'r1', other),
+        ]
         decided = plan(
-            rooms,
+            workers,
             self.urgent,
             running=[
                 running('g', first, estimate_s=4, accepted_at_s=NOW_S - 5.5),
@@ -231,30 +243,36 @@
         ending.done_percent = 98
         ending.estimate_s = 10.0
         other = make_run('a2', 8, age_s=1.0, job_id='b')
-        rooms = [make_room('a1', 'r1', ending), make_room('a2', 'r1', other)]
-        self.assertEqual(plan(rooms, self.urgent).victims, ())
+        workers = [
+            make_worker('a1', 'r1', ending),
+            make_worker('a2', 'r1', other),
+        ]
+        self.assertEqual(plan(workers, self.urgent).victims, ())
 
-    def test_its_room_is_kept_for_who_waits(self) -> None:
+    def test_its_capacity_is_claimed_for_the_job_that_waits(self) -> None:
         """A second urgent job does not count on the same room."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
         other = make_run('a2', 8, age_s=1.0, job_id='b')
-        rooms = [make_room('a1', 'r1', ending), make_room('a2', 'r1', other)]
-        second = make_spec('v', WHOLE, priority=0)
-        decided = plan(rooms, self.urgent, second)
+        workers = [
+            make_worker('a1', 'r1', ending),
+            make_worker('a2', 'r1', other),
+        ]
+        second = make_spec('v', WHOLE_WORKER, priority=0)
+        decided = plan(workers, self.urgent, second)
         self.assertEqual(victims(decided.victims), ['a2'])
 
-    def test_a_run_that_stands_still_is_not_waited_for(self) -> None:
+    def test_a_stalled_run_is_not_waited_for(self) -> None:
         """Its percentage says that it is nearly done, and stays the same."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
         ending.percent_changed_s = 5.0
-        rooms = [make_room('a1', 'r1', ending)]
-        step = WHOLE._replace(estimate_s=60.0)
+        workers = [make_worker('a1', 'r1', ending)]
+        step = WHOLE_WORKER._replace(estimate_s=60.0)
         spec = make_spec('u', step, priority=0)
-        decided = plan(rooms, spec)
+        decided = plan(workers, spec)
         self.assertEqual(victims(decided.victims), ['a1'])
 
     def test_a_guarantee_does_not_wait_for_an_end(self) -> None:
@@ -262,20 +280,20 @@
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
-        rooms = [make_room('a1', 'r1', ending)]
-        decided = plan(rooms, self.urgent, guaranteed={'alpha': 8})
+        workers = [make_worker('a1', 'r1', ending)]
+        decided = plan(workers, self.urgent, guaranteed={'alpha': 8})
         self.assertEqual(victims(decided.victims), ['a1'])
 
-    def test_a_plan_tells_for_whom_it_stops(self) -> None:
+    def test_a_plan_lists_the_job_that_each_run_is_stopped_for(self) -> None:
         """One job for each run."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=0.1))]
-        self.assertEqual(plan(rooms, self.urgent).stopped_for, ('u',))
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1))]
+        self.assertEqual(plan(workers, self.urgent).stopped_for, ('u',))
 
 
-class StoredStopsTest(unittest.TestCase):
+class StoredPreemptionsTest(unittest.TestCase):
     """How often a job was stopped outlasts a leader."""
 
-    def test_a_row_of_an_earlier_program_counts_none(self) -> None:
+    def test_a_row_of_an_earlier_release_counts_none(self) -> None:
         """It ends before the field."""
         row = msgspec.json.encode(['queue', 'running', {}, 0.0, [], ''])
         self.assertEqual(decode(row, JobProgress).stops, 0)
@@ -290,7 +308,7 @@
             await host.accept(make_spec('low', wide, priority=1))
             first = TaskKey('low', 0, 0, 0)
             await domain.clock.until(lambda: bool(domain.starts(first)))
-            await host.accept(make_spec('u', WHOLE, priority=0))
+            await host.accept(make_spec('u', WHOLE_WORKER, priority=0))
             urgent = TaskKey('u', 0, 0, 0)
             await domain.clock.until(lambda: bool(domain.starts(urgent)))
             self.assertEqual(domain.progress('low').stops, 1)
--- a/tests/test_outlook.py
+++ b/tests/test_forecast.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bench.door import OVERLOAD, DoorDay, PlainDay
+from bench.load_shedding import OVERLOAD, PlainDay, SheddingDay
 from bench.replay import Load
 from curranthill.admission import (
     FULL,
@@ -34,10 +34,10 @@
 NONE_FREE = Resources()
 NOW_S = 1_700_001_000.0
 GANG = Step(width=2, needs=ONE_GPU._replace(gpus=8), estimate_s=4.0, gang=True)
-ROOMS = {SERVICE: ServiceResources(TOTAL, lambda: NONE_FREE)}
+RESOURCES = {SERVICE: ServiceResources(TOTAL, lambda: NONE_FREE)}
 
 
-def told(
+def forecast_of_wait(
     wait_s: float = 100.0,
     *,
     free: Resources = NONE_FREE,
@@ -84,7 +84,7 @@
     """Return what the leader tells of jobs that wait."""
     return make_forecast(
         jobs,
-        resources=ROOMS,
+        resources=RESOURCES,
         guaranteed={f'team-{number}': guaranteed for number in range(4)},
         now_s=NOW_S,
         number=7,
@@ -94,94 +94,100 @@
 class RefusalTest(unittest.TestCase):
     """One host, one outlook, one job."""
 
-    def test_what_cannot_earn_any_more_is_refused(self) -> None:
+    def test_a_job_that_can_earn_nothing_is_refused(self) -> None:
         """Its least wait alone puts its end past three objectives."""
-        refusal = refused(make_spec('a1', GANG), told(100.0))
+        refusal = refused(make_spec('a1', GANG), forecast_of_wait(100.0))
         self.assertEqual(refusal.reason, TOO_LATE)
         self.assertEqual(refusal.wait_s, 100.0)
 
-    def test_what_may_earn_is_accepted_by_a_margin(self) -> None:
+    def test_a_job_that_may_earn_is_accepted_with_a_margin(self) -> None:
         """Its objective is 9 s, so it earns until 27 s; it runs for 4 s."""
         spec = make_spec('a1', GANG)
-        self.assertIsNone(check_admission(spec, told(27.0), 0.5))
-        self.assertIsNone(check_admission(spec, told(38.0), 0.5))
-        self.assertIsNotNone(check_admission(spec, told(39.0), 0.5))
+        self.assertIsNone(check_admission(spec, forecast_of_wait(27.0), 0.5))
+        self.assertIsNone(check_admission(spec, forecast_of_wait(38.0), 0.5))
+        self.assertIsNotNone(check_admission(spec, forecast_of_wait(39.0), 0.5))
 
-    def test_nobody_is_refused_without_a_fresh_outlook(self) -> None:
+    def test_no_job_is_refused_without_a_fresh_forecast(self) -> None:
         """None is known, it is too old, or it is of another form."""
         spec = make_spec('a1', GANG)
-        newer = msgspec.structs.replace(told(), format_version=2)
+        newer = msgspec.structs.replace(forecast_of_wait(), format_version=2)
         self.assertIsNone(check_admission(spec, None, 0.0))
         self.assertIsNone(
-            check_admission(spec, told(), MAX_FORECAST_AGE_S + 0.1)
+            check_admission(spec, forecast_of_wait(), MAX_FORECAST_AGE_S + 0.1)
         )
         self.assertIsNone(check_admission(spec, newer, 0.0))
-        self.assertIsNotNone(check_admission(spec, told(), MAX_FORECAST_AGE_S))
+        self.assertIsNotNone(
+            check_admission(spec, forecast_of_wait(), MAX_FORECAST_AGE_S)
+        )
 
-    def test_what_fits_somewhere_now_is_accepted(self) -> None:
+    def test_a_job_that_fits_now_is_accepted(self) -> None:
         """However much else waits."""
         spec = make_spec('a1', GANG)
         self.assertIsNone(
-            check_admission(spec, told(free=WORKER_CAPACITY), 0.5)
+            check_admission(spec, forecast_of_wait(free=WORKER_CAPACITY), 0.5)
         )
         seven = WORKER_CAPACITY._replace(gpus=7)
-        self.assertIsNotNone(check_admission(spec, told(free=seven), 0.5))
+        self.assertIsNotNone(
+            check_admission(spec, forecast_of_wait(free=seven), 0.5)
+        )
 
-    def test_set_times_and_lasting_tasks_are_accepted(self) -> None:
+    def test_recurring_and_perpetual_jobs_are_accepted(self) -> None:
         """They earn by other measures."""
         spec = make_spec('a1', GANG)
         perpetual = make_spec('a2', GANG._replace(perpetual=True))
-        self.assertIsNone(check_admission(spec._replace(times=3), told(), 0.5))
-        self.assertIsNone(check_admission(perpetual, told(), 0.5))
+        self.assertIsNone(
+            check_admission(spec._replace(times=3), forecast_of_wait(), 0.5)
+        )
+        self.assertIsNone(check_admission(perpetual, forecast_of_wait(), 0.5))
 
-    def test_a_queue_without_an_objective_refuses_nobody_as_late(self) -> None:
+    def test_a_queue_without_an_objective_refuses_no_job_as_late(self) -> None:
         """Its configuration says nothing of ends in time."""
         plain = Queue('q', 'jobs.example', '/q/', SERVICE, priority=1)
         spec = make_spec('a1', GANG)._replace(queue=plain)
-        self.assertIsNone(check_admission(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
 
     def test_wide_steps_are_accepted(self) -> None:
         """They take longer than their chain says on idle workers too."""
         spec = make_spec('a1', GANG._replace(width=3))
-        self.assertIsNone(check_admission(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
 
-    def test_another_service_is_not_concerned(self) -> None:
+    def test_another_service_is_not_affected(self) -> None:
         """Nor a service that the outlook does not name."""
         spec = make_spec('a1', GANG)
         queue = spec.queue._replace(service='other')
         self.assertIsNone(
-            check_admission(spec._replace(queue=queue), told(), 0.5)
+            check_admission(spec._replace(queue=queue), forecast_of_wait(), 0.5)
         )
 
-    def test_what_a_guarantee_may_cover_is_accepted(self) -> None:
+    def test_a_job_that_a_guarantee_may_cover_is_accepted(self) -> None:
         """An urgent job, unless its workspace is known to use it up."""
         spec = make_spec('a1', GANG, priority=0)
-        self.assertIsNone(check_admission(spec, told(), 0.5))
+        self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
         for unused, accepted in ((16, True), (15, False)):
-            forecast = told(unused_guarantees={'alpha': unused})
+            forecast = forecast_of_wait(unused_guarantees={'alpha': unused})
             answer = check_admission(spec, forecast, 0.5)
             self.assertEqual(answer is None, accepted, unused)
-        others = told(unused_guarantees={'beta': 0})
+        others = forecast_of_wait(unused_guarantees={'beta': 0})
         self.assertIsNone(check_admission(spec, others, 0.5))
 
 
-class ReturnTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     """When refused callers come back."""
 
-    def test_the_earlier_the_objective_the_sooner(self) -> None:
+    def test_earlier_objectives_retry_sooner(self) -> None:
         """All of them within the time in which their jobs earn."""
-        returns_s = []
+        delays_s = []
         for estimate_s in (1.0, 2.0, 4.0, 8.0):
             spec = make_spec('a1', GANG._replace(estimate_s=estimate_s))
-            refusal = refused(spec, told(1000.0))
-            returns_s.append(refusal.retry_after_s)
+            refusal = refused(spec, forecast_of_wait(1000.0))
+            delays_s.append(refusal.retry_after_s)
             latest_s = refusal.retry_after_s + refusal.jitter_s
             left_s = 3 * (spec.objective_s - spec.accepted_at_s)
             self.assertLess(latest_s, left_s - spec.chain_s)
-        self.assertEqual(returns_s, sorted(returns_s))
-        self.assertEqual(len(set(returns_s)), len(returns_s))
+        self.assertEqual(delays_s, sorted(delays_s))
+        self.assertEqual(len(set(delays_s)), len(delays_s))
 
-    def test_nobody_comes_back_within_a_second(self) -> None:
+    def test_no_caller_retries_within_a_second(self) -> None:
         """The header has whole seconds."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         refusal = refused(make_spec(), forecast)
@@ -192,7 +198,7 @@
 class BoundsTest(unittest.TestCase):
     """A hundred times the usual load."""
 
-    def test_the_queue_is_bounded_in_all(self) -> None:
+    def test_the_whole_queue_is_bounded(self) -> None:
         """Whatever waits, whoever hands it in."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         self.assertEqual(refused(make_spec(), forecast).reason, FULL)
@@ -201,30 +207,30 @@
         fewer = Forecast(number=1, waiting=MAX_WAITING - 1)
         self.assertIsNone(check_admission(make_spec(), fewer, 0.5))
 
-    def test_one_workspace_leaves_room_for_the_others(self) -> None:
+    def test_one_workspace_can_not_fill_the_queue(self) -> None:
         """Half of the queue is the most that it may take."""
         jobs = waiting_jobs(MAX_WAITING_PER_WORKSPACE, workspaces=1)
         forecast = forecast_for(jobs)
         assert forecast is not None
-        spec = make_spec('a1', ROOM_STEP)._replace(workspace='team-0')
+        spec = make_spec('a1', WIDE_STEP)._replace(workspace='team-0')
         self.assertEqual(refused(spec, forecast).reason, WORKSPACE_FULL)
         other = spec._replace(workspace='team-1', times=2)
         self.assertIsNone(check_admission(other, forecast, 0.5))
 
-    def test_what_a_guarantee_covers_is_accepted_even_then(self) -> None:
+    def test_a_covered_job_is_accepted_even_then(self) -> None:
         """It takes no more than the guarantee."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         self.assertIsNone(check_admission(make_spec(priority=0), forecast, 0.5))
 
 
 #: Too wide to be refused for its wait.
-ROOM_STEP = GANG._replace(width=3)
+WIDE_STEP = GANG._replace(width=3)
 
 
 class ForecastTest(unittest.TestCase):
     """What the leader tells."""
 
-    def test_nothing_is_told_while_nothing_waits_long(self) -> None:
+    def test_nothing_is_published_while_no_job_waits_long(self) -> None:
         """The leader's row is as small as before."""
         self.assertIsNone(forecast_for([]))
         one = ActiveJob(spec=make_spec(), progress=JobProgress('q', tasks={}))
@@ -238,7 +244,7 @@
         self.assertEqual(wait_s, 20.0)
         self.assertEqual(forecast.waiting, 20)
 
-    def test_more_urgent_work_goes_ahead(self) -> None:
+    def test_more_urgent_work_is_served_before(self) -> None:
         """Less urgent work does not."""
         jobs = waiting_jobs(20, priority=0) + waiting_jobs(20, priority=1)
         forecast = forecast_for(jobs)
@@ -256,7 +262,7 @@
         self.assertEqual(forecast.services[0].wait_s(1, objective_s=9.0), 0.0)
         self.assertIsNone(check_admission(make_spec('a1', GANG), forecast, 0.5))
 
-    def test_what_guarantees_leave_is_told(self) -> None:
+    def test_unused_guarantees_are_published(self) -> None:
         """Only of workspaces of which urgent jobs wait beyond them."""
         jobs = waiting_jobs(40, priority=0)
         forecast = forecast_for(jobs, guaranteed=40)
@@ -275,7 +281,7 @@
         forecast = forecast_for(jobs, guaranteed=40)
         self.assertLess(len(msgspec.json.encode(forecast)), 300)
 
-    def test_it_is_read_as_it_was_written(self) -> None:
+    def test_it_is_decoded_as_it_was_encoded(self) -> None:
         """From a row that holds it among other fields."""
         forecast = forecast_for(waiting_jobs(40, priority=0), guaranteed=40)
         content = msgspec.json.decode(msgspec.json.encode(forecast))
@@ -286,10 +292,10 @@
 class ReplayedOverloadTest(unittest.TestCase):
     """Days drawn from seeds, with a door and without."""
 
-    def test_a_day_with_room_refuses_nobody(self) -> None:
+    def test_a_day_with_enough_capacity_refuses_no_job(self) -> None:
         """Nor one that is full at times."""
         for rate in (1.0, 1.6):
-            day = DoorDay(load=Load(rate=rate), workers=12, seed=1)
+            day = SheddingDay(load=Load(rate=rate), workers=12, seed=1)
             day.play()
             self.assertEqual(day.refusals, 0, rate)
 
@@ -299,18 +305,18 @@
         lost = 0.0
         gained = 0.0
         for seed in (0, 1):
-            day = DoorDay(load=OVERLOAD, workers=12, seed=seed)
+            day = SheddingDay(load=OVERLOAD, workers=12, seed=seed)
             plain = PlainDay(
                 load=OVERLOAD,
                 workers=12,
                 seed=seed,
                 disabled=NONE_DISABLED,
             )
-            with_door = day.play()
-            without = plain.play()
+            with_shedding = day.play()
+            without_shedding = plain.play()
             refused_jobs += len(day.refused)
             lost += sum(plain.earned(one) for one in day.refused)
-            gained += with_door.worth - without.worth
+            gained += with_shedding.worth - without_shedding.worth
         self.assertGreater(refused_jobs, 0)
         # Single days differ by as much for no reason.
         self.assertGreater(gained / 2, -0.02)
--- a/tests/test_door.py
+++ b/tests/test_load_shedding.py
@@ -44,13 +44,13 @@
     first = domain.start_host('h1')
     await domain.leader()
     second = domain.start_host('h2')
-    await hand_in_burst(first, domain)
+    await submit_burst(first, domain)
     # An outlook each second, a heartbeat, a reading.
     await domain.clock.advance(3.0)
     return first, second
 
 
-async def hand_in_burst(host: TestHost, domain: Domain) -> None:
+async def submit_burst(host: TestHost, domain: Domain) -> None:
     """Hand in all at once, before anybody can know."""
     burst = asyncio.gather(
         *(
@@ -70,7 +70,7 @@
     return False
 
 
-def told(domain: Domain) -> LeaderRow:
+def stored_leader_row(domain: Domain) -> LeaderRow:
     """Return the leader's row as it is stored."""
     row = domain.rows.rows[(tables.LEADER, tables.LEADER_KEY)]
     return leader_row_of(row)
@@ -79,7 +79,7 @@
 class OverloadTest(unittest.TestCase):
     """More than can be served in time."""
 
-    def test_what_is_too_late_is_refused_at_once_and_stored_nowhere(
+    def test_a_job_that_is_too_late_is_refused_at_once_and_not_stored(
         self,
     ) -> None:
         """By the leader's host and by any other."""
@@ -102,7 +102,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_repeat_of_an_accepted_job_is_no_refusal(self) -> None:
+    def test_a_repeat_of_an_accepted_job_is_not_refused(self) -> None:
         """It is stored: nobody may be told that it does not run."""
 
         async def case(domain: Domain) -> None:
@@ -114,7 +114,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_what_a_guarantee_covers_is_accepted(self) -> None:
+    def test_a_job_that_a_guarantee_covers_is_accepted(self) -> None:
         """Urgent, and within what its workspace is guaranteed."""
 
         async def case(domain: Domain) -> None:
@@ -124,14 +124,14 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_what_is_accepted_ends_and_the_door_opens_again(self) -> None:
+    def test_accepted_jobs_end_and_refusals_stop(self) -> None:
         """The queue drains; nothing is told of it any more."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             await domain.ended(f'w{OVERLOAD - 1}', within_s=200)
             self.assertFalse(await is_refused(second, gang('new', domain)))
-            self.assertIsNone(told(domain).forecast)
+            self.assertIsNone(stored_leader_row(domain).forecast)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
@@ -160,10 +160,10 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
 
-class CalmTest(unittest.TestCase):
+class NoOverloadTest(unittest.TestCase):
     """Room for all."""
 
-    def test_nothing_is_told_and_nobody_refused(self) -> None:
+    def test_no_forecast_is_published_and_no_job_refused(self) -> None:
         """The leader's row is as small as before."""
 
         async def case(domain: Domain) -> None:
@@ -173,11 +173,11 @@
                 await host.accept(gang(f'w{number}', domain))
             await domain.clock.advance(3.0)
             self.assertFalse(await is_refused(host, gang('new', domain)))
-            self.assertLess(len(encode(told(domain))), 120)
+            self.assertLess(len(encode(stored_leader_row(domain))), 120)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_it_can_be_switched_off(self) -> None:
+    def test_it_can_be_disabled(self) -> None:
         """By name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
@@ -204,7 +204,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_the_leader_is_gone(self) -> None:
+    def test_there_is_no_leader(self) -> None:
         """Nobody leads any more."""
 
         async def case(domain: Domain) -> None:
@@ -216,7 +216,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_new_leader_refuses_nobody_before_its_own_outlook(self) -> None:
+    def test_a_new_leader_refuses_no_job_before_its_own_forecast(self) -> None:
         """Then it knows what waits as its predecessor did."""
 
         async def case(domain: Domain) -> None:
@@ -230,7 +230,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_host_that_could_not_read_refuses_nobody(self) -> None:
+    def test_a_host_that_could_not_read_refuses_no_job(self) -> None:
         """The store refused it for a moment; what came before may land."""
 
         async def case(domain: Domain) -> None:
@@ -245,7 +245,7 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_try_without_an_answer_is_not_refused_when_it_comes_again(
+    def test_a_request_without_a_response_is_not_refused_on_retry(
         self,
     ) -> None:
         """It may yet be stored: the store holds it for five seconds."""
@@ -255,7 +255,7 @@
             await domain.leader()
             second = domain.start_host('h2')
             await domain.clock.advance(2.0)
-            await hand_in_burst(first, domain)
+            await submit_burst(first, domain)
             spec = gang('new', domain)
             calm_s = domain.rows.commit_s
             domain.rows.commit_s = 5.0
@@ -271,18 +271,18 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_suspended_host_goes_by_no_outlook_from_before(self) -> None:
+    def test_a_suspended_host_ignores_an_older_forecast(self) -> None:
         """Its age counts the pause."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             second.election.resign()
             self.assertTrue(await is_refused(second, gang('one', domain)))
-            watch = second.election.forecasts
+            reader = second.election.forecasts
             second.clock.suspend()
             await domain.clock.advance(4.0)
             second.clock.resume()
-            forecast, age_s = watch.newest()
+            forecast, age_s = reader.newest()
             self.assertGreaterEqual(age_s, 4.0)
             self.assertIsNone(
                 check_admission(gang('two', domain), forecast, age_s)
@@ -290,30 +290,30 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_another_form_of_outlook_harms_no_row(self) -> None:
+    def test_unknown_forecast_versions_leave_the_row_readable(self) -> None:
         """A newer one, one that is none at all, and a row without any."""
-        forms = (
+        contents = (
             [2, 5, 10, [], {}, [], 'more'],
             [1, 5, 10, 'roster'],
             {'waits': 3},
             7,
         )
-        for forecast in forms:
+        for forecast in contents:
             row = LeaderRow(holder='h', epoch=3, forecast=forecast)
             read = decode(encode(row), LeaderRow)
             self.assertEqual(read, row)
         older = decode(msgspec.json.encode(['h', 3, 'x', 0.0]), LeaderRow)
         self.assertIsNone(older.forecast)
 
-    def test_hosts_that_read_another_form_refuse_nobody(self) -> None:
+    def test_hosts_ignore_unknown_forecast_versions(self) -> None:
         """They accept as before."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            watch = host.election.forecasts
+            reader = host.election.forecasts
             for number, forecast in enumerate(([2, 5, 9999], 'none', 7)):
-                watch.update(90 + number, forecast)
+                reader.update(90 + number, forecast)
                 new = gang(f'new-{number}', domain)
                 with self.subTest(forecast=forecast):
                     self.assertFalse(await is_refused(host, new))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -60,7 +60,7 @@
     return run
 
 
-def make_room(
+def make_worker(
     worker_id: str,
     rack: str,
     *runs: Run,
@@ -79,7 +79,7 @@
 
 
 def plan(
-    rooms: list[WorkerCapacity],
+    workers: list[WorkerCapacity],
     *specs: JobSpec,
     guaranteed: dict[str, int] | None = None,
     running: Sequence[ActiveJob] = (),
@@ -87,7 +87,7 @@
 ) -> Plan:
     """Make one round."""
     planner = Planner(
-        workers={SERVICE: rooms},
+        workers={SERVICE: workers},
         guaranteed=guaranteed or {},
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -114,103 +114,105 @@
     }
 
 
-class DoubtTest(unittest.TestCase):
+class FailureScoreTest(unittest.TestCase):
     """Workers at which runs failed or stood still."""
 
-    def test_a_gang_goes_to_the_rack_without_doubt(self) -> None:
+    def test_a_gang_goes_to_the_rack_without_failures(self) -> None:
         """Both racks have room; one worker of the first failed a run."""
-        rooms = [
-            make_room('a1', 'r1', failure_score=1),
-            make_room('a2', 'r1'),
-            make_room('b1', 'r2'),
-            make_room('b2', 'r2'),
+        workers = [
+            make_worker('a1', 'r1', failure_score=1),
+            make_worker('a2', 'r1'),
+            make_worker('b1', 'r2'),
+            make_worker('b2', 'r2'),
         ]
         step = Step(width=2, needs=needs(8), gang=True, same_rack=True)
-        decided = plan(rooms, make_spec('a', step))
+        decided = plan(workers, make_spec('a', step))
         self.assertEqual(placed(decided), {'a': ['b1', 'b2']})
 
-    def test_doubt_is_better_than_no_room(self) -> None:
+    def test_a_worker_with_failures_is_better_than_none(self) -> None:
         """The one rack that fits has a worker with failures."""
-        rooms = [
-            make_room('a1', 'r1', failure_score=1),
-            make_room('a2', 'r1'),
-            make_room('b1', 'r2', make_run('b1', 8)),
+        workers = [
+            make_worker('a1', 'r1', failure_score=1),
+            make_worker('a2', 'r1'),
+            make_worker('b1', 'r2', make_run('b1', 8)),
         ]
         step = Step(width=2, needs=needs(8), gang=True, same_rack=True)
-        decided = plan(rooms, make_spec('a', step))
+        decided = plan(workers, make_spec('a', step))
         self.assertEqual(placed(decided), {'a': ['a2', 'a1']})
 
-    def test_room_is_made_where_there_is_no_doubt(self) -> None:
+    def test_runs_on_workers_without_failures_are_preempted(self) -> None:
         """Two workers would cost the same; one of them failed a run."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8), failure_score=1),
-            make_room('a2', 'r1', make_run('a2', 8, job_id='b')),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8), failure_score=1),
+            make_worker('a2', 'r1', make_run('a2', 8, job_id='b')),
         ]
         step = Step(width=1, needs=needs(8))
-        decided = plan(rooms, make_spec('a', step, priority=0))
+        decided = plan(workers, make_spec('a', step, priority=0))
         self.assertEqual([one.worker_id for one in decided.victims], ['a2'])
 
 
-class WasteTest(unittest.TestCase):
+class BoundedLossTest(unittest.TestCase):
     """What an urgent job may throw away."""
 
     step = Step(width=1, needs=needs(8), estimate_s=1.0)
 
-    def test_a_job_beyond_its_guarantee_does_not_stop_long_work(self) -> None:
+    def test_a_job_beyond_its_guarantee_does_not_preempt_long_work(
+        self,
+    ) -> None:
         """A minute of work for a second of it: the job waits."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=60))]
-        decided = plan(rooms, make_spec('a', self.step, priority=0))
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
+        decided = plan(workers, make_spec('a', self.step, priority=0))
         self.assertEqual(decided.victims, ())
 
-    def test_a_job_beyond_its_guarantee_stops_what_has_just_begun(self) -> None:
+    def test_a_job_beyond_its_guarantee_preempts_a_new_run(self) -> None:
         """Hardly any work is lost."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=0.1))]
-        decided = plan(rooms, make_spec('a', self.step, priority=0))
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1))]
+        decided = plan(workers, make_spec('a', self.step, priority=0))
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
-    def test_a_covered_job_stops_whatever_it_needs(self) -> None:
+    def test_a_covered_job_preempts_whatever_it_needs(self) -> None:
         """Its workspace's guarantee goes before any work of others."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=60))]
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         decided = plan(
-            rooms,
+            workers,
             make_spec('a', self.step, priority=0),
             guaranteed={'alpha': 8},
         )
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
 
-class LastingTest(unittest.TestCase):
+class PerpetualTest(unittest.TestCase):
     """Tasks that run until their job is cancelled."""
 
-    def test_a_lasting_task_makes_room_in_a_full_cluster(self) -> None:
+    def test_a_perpetual_task_preempts_in_a_full_cluster(self) -> None:
         """It must be at work again soon, however full the service is."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, priority=1))]
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, priority=1))]
         step = Step(width=1, needs=needs(1), perpetual=True)
-        decided = plan(rooms, make_spec('a', step, priority=2))
+        decided = plan(workers, make_spec('a', step, priority=2))
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
-    def test_a_lasting_task_is_never_stopped_for_others(self) -> None:
+    def test_a_perpetual_task_is_never_preempted(self) -> None:
         """An urgent job waits for the other worker instead."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, perpetual=True, age_s=0)),
-            make_room('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8, perpetual=True, age_s=0)),
+            make_worker('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
         ]
         step = Step(width=1, needs=needs(8))
-        decided = plan(rooms, make_spec('a', step, priority=0))
+        decided = plan(workers, make_spec('a', step, priority=0))
         self.assertEqual([one.worker_id for one in decided.victims], ['a2'])
 
-    def test_what_fills_stays_away_from_what_serves(self) -> None:
+    def test_best_effort_and_serving_tasks_share_no_worker(self) -> None:
         """Neither is put beside the other."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 1, kind=SERVING)),
-            make_room('a2', 'r1', make_run('a2', 1, kind=FILLING)),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 1, kind=SERVING)),
+            make_worker('a2', 'r1', make_run('a2', 1, kind=FILLING)),
         ]
         fills = Step(width=1, needs=needs(1), fills=True)
         serves = Step(width=1, needs=needs(1), target_ms=50, perpetual=True)
-        decided = plan(rooms, make_spec('f', fills), make_spec('s', serves))
+        decided = plan(workers, make_spec('f', fills), make_spec('s', serves))
         self.assertEqual(placed(decided), {'f': ['a2'], 's': ['a1']})
         both = plan(
-            [make_room('a1', 'r1')],
+            [make_worker('a1', 'r1')],
             make_spec('f', fills),
             make_spec('s', serves),
         )
@@ -222,49 +224,51 @@
 
     def test_a_gang_of_one_rack_is_placed_in_one_rack(self) -> None:
         """Two workers of one rack are free, and one of another."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8)),
-            make_room('a2', 'r1'),
-            make_room('b1', 'r2'),
-            make_room('b2', 'r2'),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8)),
+            make_worker('a2', 'r1'),
+            make_worker('b1', 'r2'),
+            make_worker('b2', 'r2'),
         ]
         step = Step(width=2, needs=needs(8), gang=True, same_rack=True)
-        decided = plan(rooms, make_spec('j1', step))
+        decided = plan(workers, make_spec('j1', step))
         self.assertEqual(placed(decided), {'j1': ['b1', 'b2']})
 
-    def test_an_urgent_gang_makes_room_in_one_rack(self) -> None:
+    def test_an_urgent_gang_preempts_in_one_rack(self) -> None:
         """It stops the cheaper run rather than run apart."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, age_s=5)),
-            make_room('a2', 'r1'),
-            make_room('b1', 'r2', make_run('b1', 8, age_s=50)),
-            make_room('b2', 'r2'),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8, age_s=5)),
+            make_worker('a2', 'r1'),
+            make_worker('b1', 'r2', make_run('b1', 8, age_s=50)),
+            make_worker('b2', 'r2'),
         ]
         step = Step(width=2, needs=needs(8), gang=True, same_rack=True)
-        decided = plan(rooms, make_spec('j1', step, priority=0))
+        decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(placed(decided), {})
         self.assertEqual([run.worker_id for run in decided.victims], ['a1'])
 
-    def test_a_gang_too_wide_for_any_rack_runs_apart(self) -> None:
+    def test_a_gang_too_wide_for_any_rack_runs_in_several(self) -> None:
         """Three workers' worth over racks of two."""
-        rooms = [
-            make_room('a1', 'r1'),
-            make_room('a2', 'r1'),
-            make_room('b1', 'r2'),
+        workers = [
+            make_worker('a1', 'r1'),
+            make_worker('a2', 'r1'),
+            make_worker('b1', 'r2'),
         ]
         step = Step(width=3, needs=needs(8), gang=True, same_rack=True)
-        decided = plan(rooms, make_spec('j1', step))
+        decided = plan(workers, make_spec('j1', step))
         self.assertEqual(len(placed(decided)['j1']), 3)
 
     def test_a_task_waits_for_its_data_and_then_goes_elsewhere(self) -> None:
         """It waits for as long as running away from the data would cost."""
         step = Step(width=1, needs=needs(8), near_rack='r1', estimate_s=10)
-        full = make_room('a1', 'r1', make_run('a1', 8))
+        full = make_worker('a1', 'r1', make_run('a1', 8))
         early = make_spec('j1', step)
-        self.assertEqual(placed(plan([full, make_room('b1', 'r2')], early)), {})
+        self.assertEqual(
+            placed(plan([full, make_worker('b1', 'r2')], early)), {}
+        )
         late = make_spec('j1', step, accepted_at_s=NOW_S - 21)
-        full = make_room('a1', 'r1', make_run('a1', 8))
-        decided = plan([full, make_room('b1', 'r2')], late)
+        full = make_worker('a1', 'r1', make_run('a1', 8))
+        decided = plan([full, make_worker('b1', 'r2')], late)
         self.assertEqual(placed(decided), {'j1': ['b1']})
 
 
@@ -279,11 +283,14 @@
             for rank in range(1, 4)
         ]
         lone = make_run('a2', 8, age_s=9)
-        rooms = [make_room('a1', 'r1', gang[0]), make_room('a2', 'r1', lone)]
-        rooms += [make_room(run.worker_id, 'r1', run) for run in gang[1:]]
+        workers = [
+            make_worker('a1', 'r1', gang[0]),
+            make_worker('a2', 'r1', lone),
+        ]
+        workers += [make_worker(run.worker_id, 'r1', run) for run in gang[1:]]
         step = Step(width=1, needs=needs(8))
         decided = plan(
-            rooms,
+            workers,
             make_spec('j1', step, priority=0),
             running=[
                 make_job(make_spec('g', Step(4, needs(8), gang=True)), gang)
@@ -291,105 +298,105 @@
         )
         self.assertEqual(decided.victims, (lone,))
 
-    def test_room_that_is_becoming_free_is_waited_for(self) -> None:
+    def test_capacity_that_is_becoming_free_is_waited_for(self) -> None:
         """A run that is being stopped needs no second victim."""
         stopping = make_run('a1', 8)
         stopping.stop_wanted = True
-        rooms = [
-            make_room('a1', 'r1', stopping),
-            make_room('a2', 'r1', make_run('a2', 8)),
+        workers = [
+            make_worker('a1', 'r1', stopping),
+            make_worker('a2', 'r1', make_run('a2', 8)),
         ]
         step = Step(width=1, needs=needs(8))
-        decided = plan(rooms, make_spec('j1', step, priority=0))
+        decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(decided.victims, ())
 
-    def test_urgent_runs_are_never_stopped(self) -> None:
+    def test_urgent_runs_are_never_preempted(self) -> None:
         """Nothing can be done but wait."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, priority=0))]
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, priority=0))]
         step = Step(width=1, needs=needs(8))
-        decided = plan(rooms, make_spec('j1', step, priority=0))
+        decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(decided.victims, ())
 
-    def test_nothing_is_stopped_for_a_gang_that_cannot_fit(self) -> None:
+    def test_nothing_is_preempted_for_a_gang_that_cannot_fit(self) -> None:
         """One room can be emptied, the other holds urgent work."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8)),
-            make_room('a2', 'r1', make_run('a2', 8, priority=0)),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8)),
+            make_worker('a2', 'r1', make_run('a2', 8, priority=0)),
         ]
         step = Step(width=2, needs=needs(8), gang=True)
-        decided = plan(rooms, make_spec('j1', step, priority=0))
+        decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(decided.victims, ())
 
 
 class OrderTest(unittest.TestCase):
     """Who goes first."""
 
-    def test_covered_urgent_jobs_go_before_others(self) -> None:
+    def test_covered_urgent_jobs_are_served_before_others(self) -> None:
         """A workspace beyond its guarantee waits for one within it."""
         step = Step(width=1, needs=needs(8))
         beyond = make_spec('j1', step, priority=0, workspace='beta')
         within = make_spec('j2', step, priority=0, accepted_at_s=NOW_S - 1)
         decided = plan(
-            [make_room('a1', 'r1')],
+            [make_worker('a1', 'r1')],
             beyond,
             within,
             guaranteed={'alpha': 8},
         )
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
-    def test_a_gang_that_waits_keeps_room(self) -> None:
+    def test_a_waiting_gang_reserves_capacity(self) -> None:
         """A later small job does not take what the gang waits for."""
-        rooms = [
-            make_room('a1', 'r1'),
-            make_room('a2', 'r1', make_run('a2', 8, priority=1)),
+        workers = [
+            make_worker('a1', 'r1'),
+            make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
         ]
         gang = Step(width=2, needs=needs(8), gang=True, estimate_s=1)
         small = Step(width=1, needs=needs(1), estimate_s=100)
         decided = plan(
-            rooms,
+            workers,
             make_spec('j1', gang, priority=1),
             make_spec('j2', small, priority=2),
         )
         self.assertEqual(placed(decided), {})
 
-    def test_a_doubted_worker_comes_last(self) -> None:
+    def test_a_worker_with_failures_is_chosen_last(self) -> None:
         """Its runs have failed of late."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 4), failure_score=2),
-            make_room('a2', 'r1'),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 4), failure_score=2),
+            make_worker('a2', 'r1'),
         ]
         step = Step(width=1, needs=needs(4))
-        decided = plan(rooms, make_spec('j1', step))
+        decided = plan(workers, make_spec('j1', step))
         self.assertEqual(placed(decided), {'j1': ['a2']})
 
 
 class LimitTest(unittest.TestCase):
     """What a step allows."""
 
-    def test_labels_and_most_per_worker_hold(self) -> None:
+    def test_labels_and_limits_per_worker_hold(self) -> None:
         """Only labelled workers, two tasks each."""
-        rooms = [make_room(f'a{one}', 'r1') for one in range(2)]
-        rooms.append(make_room('b1', 'r2'))
+        workers = [make_worker(f'a{one}', 'r1') for one in range(2)]
+        workers.append(make_worker('b1', 'r2'))
         step = Step(
             width=9,
             needs=needs(1),
             label='r1',
             max_per_worker=2,
         )
-        decided = plan(rooms, make_spec('j1', step, priority=0))
-        workers = placed(decided)['j1']
-        self.assertEqual(sorted(workers), ['a0', 'a0', 'a1', 'a1'])
+        decided = plan(workers, make_spec('j1', step, priority=0))
+        worker_ids = placed(decided)['j1']
+        self.assertEqual(sorted(worker_ids), ['a0', 'a0', 'a1', 'a1'])
 
-    def test_room_is_made_on_as_many_workers_as_a_step_needs(self) -> None:
+    def test_preemption_respects_the_limit_per_worker(self) -> None:
         """One task a worker: room for both on the cheaper one does not do."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, age_s=1)),
-            make_room('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8, age_s=1)),
+            make_worker('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
         ]
         step = Step(width=2, needs=needs(4), gang=True, max_per_worker=1)
-        decided = plan(rooms, make_spec('j1', step, priority=0))
-        workers = sorted(run.worker_id for run in decided.victims)
-        self.assertEqual(workers, ['a1', 'a2'])
+        decided = plan(workers, make_spec('j1', step, priority=0))
+        worker_ids = sorted(run.worker_id for run in decided.victims)
+        self.assertEqual(worker_ids, ['a1', 'a2'])
 
     @given(
         widths=st.lists(st.integers(1, 12), min_size=1, max_size=6),
@@ -397,7 +404,7 @@
         gangs=st.lists(st.booleans(), min_size=6, max_size=6),
         used=st.lists(st.integers(0, 8), min_size=4, max_size=4),
     )
-    def test_no_room_is_given_twice_and_gangs_stay_whole(
+    def test_no_capacity_is_allocated_twice_and_gangs_stay_whole(
         self,
         widths: list[int],
         gpus: list[int],
@@ -405,8 +412,8 @@
         used: list[int],
     ) -> None:
         """Whatever the jobs and what runs."""
-        rooms = [
-            make_room(f'w{one}', f'r{one % 2}', make_run(f'w{one}', taken))
+        workers = [
+            make_worker(f'w{one}', f'r{one % 2}', make_run(f'w{one}', taken))
             for one, taken in enumerate(used)
         ]
         specs = [
@@ -417,7 +424,7 @@
             )
             for one, width in enumerate(widths)
         ]
-        decided = plan(rooms, *specs)
+        decided = plan(workers, *specs)
         taken = {f'w{one}': gpus for one, gpus in enumerate(used)}
         for one in decided.placements:
             step = one.ready.step
@@ -428,40 +435,40 @@
         self.assertLessEqual(max(taken.values()), 8)
 
 
-class KeptRoomTest(unittest.TestCase):
+class ReservedForTest(unittest.TestCase):
     """For whom a round keeps room."""
 
     gang = Step(width=2, needs=needs(8), gang=True)
 
-    def test_a_gang_that_does_not_fit_is_named(self) -> None:
+    def test_a_gang_that_does_not_fit_is_listed(self) -> None:
         """The small job that waits for what is kept is not."""
-        rooms = [
-            make_room('a1', 'r1'),
-            make_room('a2', 'r1', make_run('a2', 8, priority=1)),
+        workers = [
+            make_worker('a1', 'r1'),
+            make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
         ]
         decided = plan(
-            rooms,
+            workers,
             make_spec('j1', self.gang, accepted_at_s=NOW_S - 99),
             make_spec('j2', Step(width=1, needs=needs(1)), priority=2),
         )
         self.assertEqual(placed(decided), {})
         self.assertEqual(decided.reserved_for, ('j1',))
 
-    def test_a_job_that_others_are_stopped_for_is_named_once(self) -> None:
+    def test_a_job_that_preempts_is_listed_once(self) -> None:
         """Both of its tasks keep what becomes free."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, age_s=0.1)),
-            make_room('a2', 'r1', make_run('a2', 8, age_s=0.1)),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1)),
+            make_worker('a2', 'r1', make_run('a2', 8, age_s=0.1)),
         ]
         step = Step(width=2, needs=needs(8), estimate_s=1.0)
-        decided = plan(rooms, make_spec('j1', step, priority=0))
+        decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(len(decided.victims), 2)
         self.assertEqual(decided.reserved_for, ('j1',))
 
-    def test_nobody_is_named_where_all_fits(self) -> None:
+    def test_no_job_is_listed_where_all_fits(self) -> None:
         """Nothing is kept."""
-        rooms = [make_room('a1', 'r1'), make_room('a2', 'r1')]
-        decided = plan(rooms, make_spec('j1', self.gang))
+        workers = [make_worker('a1', 'r1'), make_worker('a2', 'r1')]
+        decided = plan(workers, make_spec('j1', self.gang))
         self.assertEqual(placed(decided), {'j1': ['a1', 'a2']})
         self.assertEqual(decided.reserved_for, ())
 
@@ -469,39 +476,39 @@
 class MechanismTest(unittest.TestCase):
     """What can be switched off by name."""
 
-    def test_a_gang_keeps_no_room_without_reservations(self) -> None:
+    def test_a_gang_reserves_nothing_without_the_mechanism(self) -> None:
         """The small job takes what is free."""
-        rooms = [
-            make_room('a1', 'r1'),
-            make_room('a2', 'r1', make_run('a2', 8, priority=1)),
+        workers = [
+            make_worker('a1', 'r1'),
+            make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
         ]
         gang = Step(width=2, needs=needs(8), gang=True)
         decided = plan(
-            rooms,
+            workers,
             make_spec('j1', gang, priority=1, accepted_at_s=NOW_S - 99),
             make_spec('j2', Step(width=1, needs=needs(1)), priority=2),
             disabled=('reservation',),
         )
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
-    def test_a_task_waits_for_no_rack_without_patience(self) -> None:
+    def test_a_task_waits_for_no_rack_without_the_mechanism(self) -> None:
         """It goes where room is."""
-        rooms = [
-            make_room('a1', 'r1', make_run('a1', 8)),
-            make_room('b1', 'r2'),
+        workers = [
+            make_worker('a1', 'r1', make_run('a1', 8)),
+            make_worker('b1', 'r2'),
         ]
         step = Step(width=1, needs=needs(8), near_rack='r1', estimate_s=10)
         decided = plan(
-            rooms, make_spec('j1', step), disabled=('rack-patience',)
+            workers, make_spec('j1', step), disabled=('rack-patience',)
         )
         self.assertEqual(placed(decided), {'j1': ['b1']})
 
-    def test_an_urgent_job_stops_any_work_without_its_bound(self) -> None:
+    def test_an_urgent_job_preempts_any_work_without_the_bound(self) -> None:
         """A minute of work for a second of it."""
-        rooms = [make_room('a1', 'r1', make_run('a1', 8, age_s=60))]
+        workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         step = Step(width=1, needs=needs(8), estimate_s=1.0)
         decided = plan(
-            rooms,
+            workers,
             make_spec('a', step, priority=0),
             disabled=('bounded-loss',),
         )
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -10,7 +10,7 @@
 from curranthill.placement import Plan, Run, WorkerCapacity, resources_needed
 from curranthill.tasks import JobSpec, Resources, Step
 from tests.domain import WORKER_CAPACITY, make_spec
-from tests.test_planner import make_room, make_run, needs, plan
+from tests.test_planner import make_run, make_worker, needs, plan
 
 RACKS: Final = ('r1', 'r2', 'r3')
 WORKSPACES: Final = ('alpha', 'beta')
@@ -25,13 +25,15 @@
 class Case(NamedTuple):
     """A cluster with what runs on it, and jobs that wait."""
 
-    rooms: list[WorkerCapacity]
+    workers: list[WorkerCapacity]
     specs: list[JobSpec]
 
-    def room(self, worker_id: str) -> WorkerCapacity:
+    def worker(self, worker_id: str) -> WorkerCapacity:
         """Return the room of a worker."""
         return next(
-            room for room in self.rooms if room.entry.worker_id == worker_id
+            worker
+            for worker in self.workers
+            if worker.entry.worker_id == worker_id
         )
 
 
@@ -43,18 +45,18 @@
 
 
 @st.composite
-def rooms(draw: st.DrawFn) -> list[WorkerCapacity]:
+def drawn_workers(draw: st.DrawFn) -> list[WorkerCapacity]:
     """Draw workers in racks, each with runs that fit it."""
-    found = []
+    workers = []
     for rack in RACKS[: draw(st.integers(1, len(RACKS)))]:
         for number in range(draw(st.integers(1, 3))):
             worker_id = f'{rack}-w{number}'
             runs = draw(runs_on(worker_id))
             failure_score = draw(st.sampled_from((0.0, 0.0, 1.0)))
-            found.append(
-                make_room(worker_id, rack, *runs, failure_score=failure_score)
+            workers.append(
+                make_worker(worker_id, rack, *runs, failure_score=failure_score)
             )
-    return found
+    return workers
 
 
 @st.composite
@@ -120,24 +122,24 @@
     return specs
 
 
-CASES = st.builds(Case, rooms=rooms(), specs=jobs())
+CASES = st.builds(Case, workers=drawn_workers(), specs=jobs())
 GUARANTEES = st.fixed_dictionaries(
     {name: st.sampled_from((0, 4, 16)) for name in WORKSPACES},
 )
 
 
-def taken(room: WorkerCapacity, decided: Plan) -> Resources:
+def taken(worker: WorkerCapacity, decided: Plan) -> Resources:
     """Return what a worker has to give at once: all that runs, and starts."""
     total = Resources()
-    for run in room.runs:
+    for run in worker.runs:
         total = total.plus(run.needs)
     for run in decided.victims:
         # A run that is stopped takes its room until it has ended.
-        if run.worker_id == room.entry.worker_id:
+        if run.worker_id == worker.entry.worker_id:
             total = total.plus(run.needs)
     for placement in decided.placements:
         for _, worker_id in placement.workers:
-            if worker_id == room.entry.worker_id:
+            if worker_id == worker.entry.worker_id:
                 total = total.plus(resources_needed(placement.ready.step))
     return total
 
@@ -147,16 +149,16 @@
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
-    def test_no_worker_is_given_more_than_its_room(
+    def test_no_worker_exceeds_its_capacity(
         self,
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
         """What is being stopped still counts."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
-        for room in case.rooms:
-            total = taken(room, decided)
-            self.assertTrue(room.entry.capacity.covers(total), total)
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
+        for worker in case.workers:
+            total = taken(worker, decided)
+            self.assertTrue(worker.entry.capacity.covers(total), total)
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
@@ -166,7 +168,7 @@
         guaranteed: dict[str, int],
     ) -> None:
         """Never a part of it."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         for placement in decided.placements:
             step = placement.ready.step
             if not step.gang:
@@ -181,31 +183,31 @@
         guaranteed: dict[str, int],
     ) -> None:
         """Labels, tasks a worker, steps that come first, once each."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         started: Counter[str] = Counter()
         for placement in decided.placements:
             step = placement.ready.step
-            workers = [worker_id for _, worker_id in placement.workers]
+            worker_ids = [worker_id for _, worker_id in placement.workers]
             started.update(str(key) for key, _ in placement.workers)
             self.assertEqual(step.after, ())
             if step.max_per_worker:
-                most = max(Counter(workers).values())
-                self.assertLessEqual(most, step.max_per_worker)
+                expected = max(Counter(worker_ids).values())
+                self.assertLessEqual(expected, step.max_per_worker)
             if step.label:
-                for worker_id in workers:
-                    labels = case.room(worker_id).entry.labels
+                for worker_id in worker_ids:
+                    labels = case.worker(worker_id).entry.labels
                     self.assertIn(step.label, labels)
         self.assertTrue(all(count == 1 for count in started.values()))
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
-    def test_only_lower_work_is_stopped_and_each_run_once(
+    def test_only_lower_priorities_are_preempted_and_each_run_once(
         self,
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
         """Urgent work is never stopped for other work."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         names = [run.name for run in decided.victims]
         self.assertEqual(len(names), len(set(names)))
         for run in decided.victims:
@@ -213,26 +215,28 @@
             self.assertFalse(run.stop_wanted)
 
     @settings(max_examples=150)
-    @given(rooms(), st.sampled_from(SIZES), st.integers(0, 1))
-    def test_work_within_its_guarantee_gets_room_while_some_can_be_made(
+    @given(drawn_workers(), st.sampled_from(SIZES), st.integers(0, 1))
+    def test_guaranteed_work_starts_or_preempts_whenever_possible(
         self,
-        found: list[WorkerCapacity],
+        workers: list[WorkerCapacity],
         size: int,
         extra: int,
     ) -> None:
         """It is placed now, or what it needs is being stopped."""
         step = Step(width=1, needs=needs(size), estimate_s=0.5)
-        possible = any(movable(room).covers(step.needs) for room in found)
+        possible = any(
+            reclaimable(worker).covers(step.needs) for worker in workers
+        )
         # Stopped already: nothing more is to be stopped for it.
-        coming = any(room.unclaimed.covers(step.needs) for room in found)
+        coming = any(worker.unclaimed.covers(step.needs) for worker in workers)
         spec = make_spec('a', step, priority=0)
-        decided = plan(found, spec, guaranteed={'alpha': size + extra})
+        decided = plan(workers, spec, guaranteed={'alpha': size + extra})
         served = bool(decided.placements or decided.victims)
         self.assertEqual(served or coming, possible)
 
     @settings(max_examples=150)
     @given(st.lists(st.sampled_from(RACKS), min_size=1, max_size=6), STEPS)
-    def test_an_idle_cluster_takes_what_fits(
+    def test_an_idle_cluster_starts_what_fits(
         self,
         racks: list[str],
         step: Step,
@@ -240,28 +244,28 @@
         """Of a step without wishes something starts at once."""
         plain = step._replace(near_rack='', same_rack=False, label='')
         idle = [
-            make_room(f'w{number}', rack) for number, rack in enumerate(racks)
+            make_worker(f'w{number}', rack) for number, rack in enumerate(racks)
         ]
         decided = plan(idle, make_spec('a', plain, priority=2))
         wanted = resources_needed(plain)
-        a_worker = WORKER_CAPACITY.gpus // wanted.gpus
+        per_worker = WORKER_CAPACITY.gpus // wanted.gpus
         if wanted.cpu_millis:
-            a_worker = min(
-                a_worker, WORKER_CAPACITY.cpu_millis // wanted.cpu_millis
+            per_worker = min(
+                per_worker, WORKER_CAPACITY.cpu_millis // wanted.cpu_millis
             )
         if plain.max_per_worker:
-            a_worker = min(a_worker, plain.max_per_worker)
-        held = a_worker * len(idle)
+            per_worker = min(per_worker, plain.max_per_worker)
+        held = per_worker * len(idle)
         started = sum(len(one.workers) for one in decided.placements)
         whole = held >= plain.width
-        most = 0 if plain.gang and not whole else min(plain.width, held)
-        self.assertEqual(started, most)
+        expected = 0 if plain.gang and not whole else min(plain.width, held)
+        self.assertEqual(started, expected)
 
 
-def movable(room: WorkerCapacity) -> Resources:
+def reclaimable(worker: WorkerCapacity) -> Resources:
     """Return the room that is free, or held by what may stop or does."""
-    left = room.entry.capacity
-    for run in room.runs:
+    left = worker.entry.capacity
+    for run in worker.runs:
         if run.priority == 0 and not run.stop_wanted:
             left = left.minus(run.needs)
     return left
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -65,7 +65,7 @@
         often = Step(width=MOST_TASKS // 2, needs=ONE_GPU)
         self.assertFalse(faults_of('', (often,), times=4))
 
-    def test_tasks_of_a_done_step_take_no_room(self) -> None:
+    def test_tasks_of_a_done_step_are_not_stored(self) -> None:
         """Of a job that repeats, only what is not done is listed."""
         step = Step(width=2, needs=ONE_GPU)
         spec = make_spec('a1', step)._replace(times=2)
--- a/tests/test_recorded_rounds.py
+++ b/tests/test_recorded_rounds.py
@@ -15,7 +15,7 @@
     its commit says which plans differ.
     """
 
-    def test_plans_are_those_on_record(self) -> None:
+    def test_plans_equal_the_recorded_ones(self) -> None:
         """Clusters of 24, 60 and 176 workers, 10 to 40 waiting jobs."""
         for one in recorded():
             drawn = [one[name] for name in ('workers', 'waiting', 'seed')]
@@ -30,10 +30,10 @@
 class CostTest(unittest.TestCase):
     """What a round may cost, counted rather than timed."""
 
-    def test_the_loss_of_a_run_is_worked_out_a_few_times_only(self) -> None:
+    def test_the_loss_of_a_run_is_computed_a_few_times_only(self) -> None:
         """40 jobs wait for 176 workers; 59,000 sums took 265 ms."""
         cluster = draw(workers=176, waiting=40, seed=1)
-        runs = sum(len(found) for found in cluster.runs.values())
+        runs = sum(len(worker_runs) for worker_runs in cluster.runs.values())
         with patch.object(
             Run,
             'loss_core_s',
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -16,11 +16,11 @@
 class ReplayTest(unittest.TestCase):
     """What a played day tells."""
 
-    def test_a_seed_plays_the_same_day_again(self) -> None:
+    def test_a_seed_replays_the_same_day(self) -> None:
         """To the last digit."""
         self.assertEqual(play(LOADS['burst']), play(LOADS['burst']))
 
-    def test_nearly_all_is_earned_where_there_is_room_for_all(self) -> None:
+    def test_nearly_all_credit_is_earned_with_enough_capacity(self) -> None:
         """A quarter of the usual load; some runs fail by themselves."""
         outcome = play(Load(rate=0.25))
         self.assertGreater(outcome.credit, 0.9)
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -14,14 +14,14 @@
 
 #: Tasks of the drawn steps, and how far their estimates are off.
 WIDTH = 12
-OFF = 0.6
+ESTIMATE_ERROR = 0.6
 
 #: One task in so many takes several times as long.
 LONG_EVERY = 33
 LONG_FACTOR = 7.0
 
 
-def alike(number: int) -> list[float]:
+def equal_speeds(number: int) -> list[float]:
     """Return the speeds of so many workers that are alike."""
     return [1.0 for _ in range(number)]
 
@@ -40,17 +40,25 @@
         self._source = random.Random(seed)
         self._steps = 0
 
-    def run(self, steps: int, *, off: float = OFF, uneven: float = 0.3) -> None:
+    def run(
+        self,
+        steps: int,
+        *,
+        estimate_error: float = ESTIMATE_ERROR,
+        task_spread: float = 0.3,
+    ) -> None:
         """Run so many steps, each on some of the workers."""
         for _ in range(steps):
             self._steps += 1
-            mistake = self._source.gauss(0, off)
+            step_error = self._source.gauss(0, estimate_error)
             for rank in range(WIDTH):
                 number = self._source.randrange(len(self.speeds))
-                own = self._source.gauss(0, uneven)
+                task_error = self._source.gauss(0, task_spread)
                 if not self._source.randrange(LONG_EVERY):
-                    own += math.log(LONG_FACTOR)
-                progress_rate = self.speeds[number] * math.exp(-mistake - own)
+                    task_error += math.log(LONG_FACTOR)
+                progress_rate = self.speeds[number] * math.exp(
+                    -step_error - task_error
+                )
                 self.record(number, progress_rate, rank)
             self.estimator.refresh()
 
@@ -71,13 +79,13 @@
 class SpeedTest(unittest.TestCase):
     """What the runs of a worker tell of it."""
 
-    def test_nothing_is_known_of_a_new_worker(self) -> None:
+    def test_a_new_worker_counts_as_typical(self) -> None:
         """It counts as a typical one."""
         estimator = SpeedEstimator(durations=DurationEstimator())
         estimator.refresh()
         self.assertEqual(estimator.speed_of('w0', 1).factor, 1.0)
 
-    def test_workers_that_are_slow_for_good_are_known(self) -> None:
+    def test_lastingly_slow_workers_are_detected(self) -> None:
         """A quarter is half as fast; estimates are off by half."""
         load = Load([1.2 if one % 4 else 0.55 for one in range(40)], 1)
         load.run(60)
@@ -88,18 +96,20 @@
             else:
                 self.assertGreater(factor, 0.75)
 
-    def test_alike_workers_count_as_alike(self) -> None:
+    def test_equal_workers_count_as_equal(self) -> None:
         """Whatever their tasks and estimates did by chance."""
         for seed in range(5):
-            load = Load(alike(40), seed)
+            load = Load(equal_speeds(40), seed)
             load.run(60)
-            unlike = [one for one in range(40) if load.speed(one).factor != 1]
-            self.assertLessEqual(len(unlike), 1)
+            different = [
+                one for one in range(40) if load.speed(one).factor != 1
+            ]
+            self.assertLessEqual(len(different), 1)
 
     def test_a_long_task_makes_no_worker_slow(self) -> None:
         """Its worker did well before, and even one that is new."""
-        load = Load(alike(10), 3)
-        load.run(20, uneven=0.1)
+        load = Load(equal_speeds(10), 3)
+        load.run(20, task_spread=0.1)
         before = load.speed(0).estimate
         load.record(0, 1 / 20, 0, 'long')
         load.record(10, 1 / 20, 1, 'long')
@@ -110,18 +120,18 @@
 
     def test_a_step_that_was_estimated_short_makes_no_worker_slow(self) -> None:
         """Six steps in a row, on one worker alone, all take four times."""
-        load = Load(alike(10), 4)
-        load.run(20, off=0.9)
+        load = Load(equal_speeds(10), 4)
+        load.run(20, estimate_error=0.9)
         for number in range(3):
             for rank in range(8):
                 load.record(0, 0.25, rank, f'short{number}')
         load.estimator.refresh()
         self.assertGreater(load.speed(0).factor, 0.6)
 
-    def test_a_spell_of_seconds_is_not_for_good(self) -> None:
+    def test_a_short_slowdown_is_not_lasting(self) -> None:
         """A few steps at a fifth of the pace, after many at the usual."""
-        load = Load(alike(20), 5)
-        load.run(60, uneven=0.15)
+        load = Load(equal_speeds(20), 5)
+        load.run(60, task_spread=0.15)
         for number in range(4):
             load.record(0, 0.2, 0, f'spell{number}')
             for worker in range(1, 8):
@@ -129,7 +139,7 @@
         load.estimator.refresh()
         self.assertGreater(load.speed(0).estimate, 0.7)
 
-    def test_another_incarnation_is_not_known(self) -> None:
+    def test_another_incarnation_counts_as_typical(self) -> None:
         """A worker that started again may be another machine."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
@@ -141,16 +151,16 @@
         self.assertEqual(load.estimator.speed_of('w0', 2).factor, 1.0)
         self.assertEqual(load.speed(0).factor, 1.0)
 
-    def test_workers_that_are_gone_are_forgotten(self) -> None:
+    def test_removed_workers_are_dropped(self) -> None:
         """What is kept is bounded by the workers there are."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
         load.estimator.forget_except(['w1', 'w2', 'w3'])
         self.assertEqual(load.speed(0).steps, 0)
 
-    def test_the_ratio_of_a_queue_is_learnt(self) -> None:
+    def test_the_ratio_of_a_queue_is_learned(self) -> None:
         """Its work takes twice as long as estimated."""
-        load = Load(alike(20), 7)
+        load = Load(equal_speeds(20), 7)
         for number in range(30):
             for rank in range(WIDTH):
                 load.record(rank, 0.5, rank, f'half{number}')
@@ -159,7 +169,7 @@
         self.assertAlmostEqual(ratio.factor, 2.0, delta=0.3)
 
 
-class DrawnSpeedTest(unittest.TestCase):
+class RandomSpeedTest(unittest.TestCase):
     """Speeds as they come."""
 
     @settings(max_examples=25, deadline=None)
@@ -185,16 +195,16 @@
 
     @settings(max_examples=25, deadline=None)
     @given(
-        lie=st.sampled_from((0.01, 0.2, 5.0, 100.0)),
+        error_factor=st.sampled_from((0.01, 0.2, 5.0, 100.0)),
         seed=st.integers(0, 2**16),
     )
-    def test_a_worker_that_lies_misleads_about_no_other(
+    def test_wrong_reports_of_a_worker_affect_no_other(
         self,
-        lie: float,
+        error_factor: float,
         seed: int,
     ) -> None:
         """Its paces are off by any factor."""
-        load = Load([lie, *alike(15)], seed)
+        load = Load([error_factor, *equal_speeds(15)], seed)
         load.run(60)
         for number in range(1, 16):
             estimate = load.speed(number).estimate
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -16,8 +16,8 @@
 from tests.test_planner import (
     NOW_S,
     make_job,
-    make_room,
     make_run,
+    make_worker,
     needs,
     placed,
     plan,
@@ -33,11 +33,11 @@
 SMALL = Step(width=2, needs=needs(1), gang=True, estimate_s=1.0)
 
 #: How long what fits may wait for whoever is before it, in seconds.
-MOST_WAIT_S = 30.0
+MAX_WAIT_S = 30.0
 
 #: How long at most a job has nothing running while most room is free, in
 #: seconds.
-NOTHING_RUNNING_S = 3.0
+MAX_IDLE_S = 3.0
 
 #: A job that no worker may run.
 UNPLACED = make_spec('unplaced', Step(1, needs(1), label='none'))
@@ -97,33 +97,35 @@
     return [runs_of for _ in WORKERS]
 
 
-def rooms_with(runs_of: RunsOf) -> list[WorkerCapacity]:
+def workers_with(runs_of: RunsOf) -> list[WorkerCapacity]:
     """Return all workers' rooms."""
     return [
-        make_room(worker_id, f'r{worker_id[0]}', *runs_of(worker_id))
+        make_worker(worker_id, f'r{worker_id[0]}', *runs_of(worker_id))
         for worker_id in WORKERS
     ]
 
 
 def waited_s(
     runs_of: RunsOf,
-    in_front: Sequence[JobSpec],
+    ahead: Sequence[JobSpec],
     job: ActiveJob,
-    within_s: float = MOST_WAIT_S,
+    within_s: float = MAX_WAIT_S,
 ) -> float | None:
     """Return when a job starts, if it does while no run ends.
 
     Those in front are over once they could have run.
     """
-    front = {spec.job_id: make_job(spec) for spec in in_front}
-    over_s = dict.fromkeys(front, math.inf)
+    jobs_ahead = {spec.job_id: make_job(spec) for spec in ahead}
+    done_s = dict.fromkeys(jobs_ahead, math.inf)
     windows = ReservationWindows()
     backlog = BacklogCursor()
     for number in range(round(within_s / ROUND_S)):
         now_s = NOW_S + number * ROUND_S
-        waiting = [one for name, one in front.items() if now_s < over_s[name]]
+        waiting = [
+            one for name, one in jobs_ahead.items() if now_s < done_s[name]
+        ]
         planner = Planner(
-            workers={SERVICE: rooms_with(runs_of)},
+            workers={SERVICE: workers_with(runs_of)},
             guaranteed={},
             now_s=now_s,
             tickets=lambda ready_job, ready: {},
@@ -136,7 +138,7 @@
         for one in waiting:
             name = one.spec.job_id
             if name in found:
-                over_s[name] = min(over_s[name], now_s + one.chain_s)
+                done_s[name] = min(done_s[name], now_s + one.chain_s)
     return None
 
 
@@ -172,37 +174,37 @@
 class ReservationTest(unittest.TestCase):
     """A gang that does not fit keeps room only if it can get it."""
 
-    def test_a_gang_larger_than_the_cluster_keeps_nothing(self) -> None:
+    def test_a_gang_larger_than_the_cluster_reserves_nothing(self) -> None:
         """Nine whole workers will not come, however long it waits."""
         gang = Step(width=9, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
-            rooms_with(nothing),
+            workers_with(nothing),
             make_spec('wide', gang),
             make_spec('small', SMALL, priority=2),
         )
         self.assertIn('small', placed(decided))
 
-    def test_a_gang_keeps_no_workers_that_its_label_rules_out(self) -> None:
+    def test_a_gang_reserves_no_workers_without_its_label(self) -> None:
         """Nobody has its label, so nothing that ends lets it start."""
         gang = Step(8, needs(8), gang=True, label='none', estimate_s=1.0)
         decided = plan(
-            rooms_with(nothing),
+            workers_with(nothing),
             make_spec('labelled', gang),
             make_spec('small', SMALL, priority=2),
         )
         self.assertIn('small', placed(decided))
 
-    def test_a_gang_keeps_no_room_beside_runs_that_last(self) -> None:
+    def test_a_gang_reserves_nothing_beside_perpetual_runs(self) -> None:
         """A whole worker with a lasting run never gets empty."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
-            rooms_with(perpetual),
+            workers_with(perpetual),
             make_spec('wide', gang),
             make_spec('small', SMALL, priority=2),
         )
         self.assertIn('small', placed(decided))
 
-    def test_a_gang_does_not_keep_room_for_ever(self) -> None:
+    def test_a_gang_does_not_reserve_for_ever(self) -> None:
         """Runs that do not end as estimated hold up the gang, not others."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         for runs_of in (overdue, overdue_and_full):
@@ -210,14 +212,14 @@
             started_s = waited_s(runs_of, [make_spec('wide', gang)], job)
             self.assertIsNotNone(started_s)
 
-    def test_gangs_that_take_turns_leave_room_to_others(self) -> None:
+    def test_several_gangs_leave_capacity_to_others(self) -> None:
         """Each of them waits for runs that do not end."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         wide = [make_spec(f'wide{number}', gang) for number in range(3)]
         started_s = waited_s(overdue_and_full, wide, small_job())
         self.assertIsNotNone(started_s)
 
-    def test_a_gang_keeps_room_while_what_it_waits_for_ends(self) -> None:
+    def test_a_gang_reserves_while_the_runs_it_waits_for_end(self) -> None:
         """Small jobs do not take it after the first moments."""
 
         def running(worker_id: str) -> Sequence[Run]:
@@ -238,14 +240,14 @@
 class RackTest(unittest.TestCase):
     """Waits for a rack that never has the room."""
 
-    def test_a_gang_waits_for_no_rack_with_a_run_that_lasts(self) -> None:
+    def test_a_gang_waits_for_no_rack_with_a_perpetual_run(self) -> None:
         """One lasts in each rack; the gang needs four whole workers."""
 
         def runs(worker_id: str) -> Sequence[Run]:
             return perpetual(worker_id) if worker_id[1] == '0' else ()
 
         gang = Step(4, needs(8), gang=True, same_rack=True, estimate_s=60.0)
-        decided = plan(rooms_with(runs), make_spec('gang', gang))
+        decided = plan(workers_with(runs), make_spec('gang', gang))
         self.assertIn('gang', placed(decided))
 
 
@@ -255,7 +257,7 @@
     def test_a_suspect_does_not_wait_for_the_time_set_back(self) -> None:
         """No worker is empty; it starts beside others after its patience."""
         gang = Step(7, needs(1), gang=True, estimate_s=9.0)
-        self.check_starts(suspect_job('s1', gang), rooms_with(overdue))
+        self.check_starts(suspect_job('s1', gang), workers_with(overdue))
 
     def test_a_task_does_not_wait_for_its_rack_for_the_time_set_back(
         self,
@@ -267,13 +269,15 @@
 
         step = Step(1, needs(1), near_rack='ra', estimate_s=1.0)
         job = make_job(make_spec('near', step, accepted_at_s=NOW_S))
-        self.check_starts(job, rooms_with(runs))
+        self.check_starts(job, workers_with(runs))
 
-    def check_starts(self, job: ActiveJob, rooms: list[WorkerCapacity]) -> None:
+    def check_starts(
+        self, job: ActiveJob, workers: list[WorkerCapacity]
+    ) -> None:
         """Check that a job starts within 10 s after the clock was set."""
         for passed_s in (0.0, 1.0, -3600.0, -3595.0, -3590.0):
             planner = Planner(
-                workers={SERVICE: rooms},
+                workers={SERVICE: workers},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda waiting, ready: {},
@@ -283,27 +287,27 @@
         self.fail('not within 10 s')
 
 
-class TurnTest(unittest.TestCase):
+class WindowTest(unittest.TestCase):
     """A gang keeps room by turns."""
 
-    def test_a_turn_lasts_for_as_long_as_the_wait_asks_for(self) -> None:
+    def test_a_window_is_as_long_as_the_wait_requires(self) -> None:
         """A short pause follows, and then another turn."""
         windows = ReservationWindows()
         job = small_job()
-        kept_s = [
+        reserved_s = [
             second
             for second in range(20)
             if may_reserve(windows, job, NOW_S + second, 4.0)
         ]
-        self.assertEqual(kept_s, [*range(8), *range(10, 18)])
+        self.assertEqual(reserved_s, [*range(8), *range(10, 18)])
 
-    def test_a_pause_holds_for_all_gangs_of_a_service(self) -> None:
+    def test_a_cooldown_applies_to_all_gangs_of_a_service(self) -> None:
         """Others would keep the room in it."""
         windows = ReservationWindows()
         may_reserve(windows, small_job(), NOW_S, 0.0)
         self.assertFalse(may_reserve(windows, small_job(), NOW_S + 6, 0.0))
 
-    def test_a_gang_that_starts_passes_the_turn_on_at_once(self) -> None:
+    def test_a_window_ends_when_its_gang_starts(self) -> None:
         """The next one has as long."""
         windows = ReservationWindows()
         first = small_job()
@@ -312,7 +316,7 @@
         self.assertTrue(may_reserve(windows, small_job(), NOW_S + 4, 0.0))
         self.assertTrue(may_reserve(windows, small_job(), NOW_S + 8, 0.0))
 
-    def test_a_clock_that_is_set_back_does_not_prolong_a_pause(self) -> None:
+    def test_a_clock_that_is_set_back_does_not_prolong_a_cooldown(self) -> None:
         """The time passed is not known; another turn begins."""
         windows = ReservationWindows()
         job = small_job()
@@ -322,32 +326,32 @@
         self.assertFalse(may_reserve(windows, job, NOW_S - 54.0, 0.0))
 
 
-class SuspectRoomTest(unittest.TestCase):
+class ExclusiveSuspectTest(unittest.TestCase):
     """Suspects have workers for themselves for a bounded time and share."""
 
-    def test_suspects_that_have_worked_let_others_in(self) -> None:
+    def test_others_start_beside_suspects_after_the_trial(self) -> None:
         """Seven eighths of all room are free."""
         decided = plan(
-            rooms_with(suspect(20.0)),
+            workers_with(suspect(20.0)),
             make_spec('small', SMALL, priority=2),
         )
         self.assertIn('small', placed(decided))
 
-    def test_a_suspect_that_has_just_started_is_alone(self) -> None:
+    def test_a_suspect_on_trial_runs_exclusively(self) -> None:
         """A crash would hit what starts beside it."""
         decided = plan(
-            [make_room('a1', 'r1', *suspect(SUSPECT_TRIAL_S / 2)('a1'))],
+            [make_worker('a1', 'r1', *suspect(SUSPECT_TRIAL_S / 2)('a1'))],
             make_spec('small', SMALL, priority=2),
         )
         self.assertEqual(placed(decided), {})
 
-    def test_a_worker_without_a_suspect_goes_first(self) -> None:
+    def test_a_worker_without_a_suspect_is_preferred(self) -> None:
         """It may crash late; a fuller worker would be taken otherwise."""
-        rooms = [
-            make_room('a1', 'r1', *suspect(20.0)('a1')),
-            make_room('a2', 'r1'),
+        workers = [
+            make_worker('a1', 'r1', *suspect(20.0)('a1')),
+            make_worker('a2', 'r1'),
         ]
-        decided = plan(rooms, make_spec('small', SMALL, priority=2))
+        decided = plan(workers, make_spec('small', SMALL, priority=2))
         self.assertEqual(placed(decided), {'small': ['a2', 'a2']})
 
     def test_a_suspect_does_not_wait_long_for_an_empty_worker(self) -> None:
@@ -356,14 +360,14 @@
             gang = Step(width, needs(1), gang=True, estimate_s=9.0)
             started_s = waited_s(overdue, [UNPLACED], suspect_job('s1', gang))
             self.assertIsNotNone(started_s)
-            self.assertLess(started_s or 0.0, NOTHING_RUNNING_S)
+            self.assertLess(started_s or 0.0, MAX_IDLE_S)
 
     def test_suspects_do_not_take_all_workers(self) -> None:
         """Many that start together leave workers to others."""
         step = Step(1, needs(1), estimate_s=9.0)
         suspects = [suspect_job(f's{number}', step) for number in range(8)]
         decided = plan(
-            rooms_with(nothing),
+            workers_with(nothing),
             make_spec('small', SMALL, priority=2),
             running=suspects,
         )
@@ -384,7 +388,7 @@
     def check_gang(self, *, width: int, every_s: float) -> None:
         """Check that a gang of whole workers starts within 60 s."""
         gang = Step(width, needs(8), gang=True, estimate_s=5.0)
-        front = make_job(make_spec('front', gang))
+        large = make_job(make_spec('front', gang))
         small = Step(
             1, WORKER_CAPACITY._replace(gpus=1), gang=True, estimate_s=5.0
         )
@@ -392,33 +396,35 @@
         for index, name in enumerate(WORKERS):
             running[name][0].age_s = 15.0 + index / 2
         waiting: list[ActiveJob] = []
-        came = 0
+        arrived = 0
         windows = ReservationWindows()
         for number in range(round(60.0 / ROUND_S)):
             passed_s = number * ROUND_S
-            while came * every_s <= passed_s:
+            while arrived * every_s <= passed_s:
                 accepted_at_s = NOW_S + passed_s
-                spec = make_spec(f's{came}', small, accepted_at_s=accepted_at_s)
+                spec = make_spec(
+                    f's{arrived}', small, accepted_at_s=accepted_at_s
+                )
                 waiting.append(make_job(spec))
-                came += 1
+                arrived += 1
             for name in WORKERS:
                 for run in running[name]:
                     run.age_s += ROUND_S
                 left = [run for run in running[name] if run.remaining_s > 0]
                 running[name] = left
             planner = Planner(
-                workers={SERVICE: rooms_with(running.__getitem__)},
+                workers={SERVICE: workers_with(running.__getitem__)},
                 guaranteed={},
                 now_s=NOW_S + passed_s,
                 tickets=lambda job, ready: {},
                 windows=windows,
             )
-            found = placed(planner.plan([front, *waiting]))
+            found = placed(planner.plan([large, *waiting]))
             if 'front' in found:
                 return
-            for workers in found.values():
-                run = processor_full(workers[0], 15.0)[0]
-                running[workers[0]] = [run]
+            for worker_ids in found.values():
+                run = processor_full(worker_ids[0], 15.0)[0]
+                running[worker_ids[0]] = [run]
             waiting = [one for one in waiting if one.spec.job_id not in found]
         self.fail('not within 60 s')
 
@@ -426,7 +432,7 @@
 class BacklogTest(unittest.TestCase):
     """More jobs wait than a round looks at."""
 
-    def test_a_job_behind_many_that_do_not_fit_starts(self) -> None:
+    def test_a_job_after_many_that_do_not_fit_starts(self) -> None:
         """Its turn to be looked at comes."""
         unplaced = [
             make_spec(
@@ -439,10 +445,10 @@
         self.assertIsNotNone(started_s)
 
 
-class MostRoomFreeTest(unittest.TestCase):
+class MostlyFreeTest(unittest.TestCase):
     """While most room is free nobody waits long with nothing running."""
 
-    def test_room_that_is_kept_is_open_to_who_waits_with_most_of_it_free(
+    def test_a_starving_job_may_use_reserved_capacity(
         self,
     ) -> None:
         """Three workers are empty, and a gang waits for a fourth."""
@@ -453,9 +459,9 @@
         gang = Step(width=4, needs=needs(8), gang=True, estimate_s=5.0)
         started_s = waited_s(runs, [make_spec('front', gang)], small_job())
         self.assertIsNotNone(started_s)
-        self.assertLess(started_s or 0.0, NOTHING_RUNNING_S)
+        self.assertLess(started_s or 0.0, MAX_IDLE_S)
 
-    def test_a_suspects_worker_is_open_to_who_waits_with_most_room_free(
+    def test_a_starving_job_may_start_beside_a_suspect(
         self,
     ) -> None:
         """New suspects start there all the time."""
@@ -467,9 +473,9 @@
 
         started_s = waited_s(runs, [UNPLACED], small_job())
         self.assertIsNotNone(started_s)
-        self.assertLess(started_s or 0.0, NOTHING_RUNNING_S)
+        self.assertLess(started_s or 0.0, MAX_IDLE_S)
 
-    def test_two_suspects_do_not_start_side_by_side(self) -> None:
+    def test_two_suspects_do_not_share_a_worker(self) -> None:
         """Each worker has one that has just started."""
         step = Step(1, needs(1), estimate_s=9.0)
         job = suspect_job('s1', step)
@@ -482,14 +488,14 @@
         job.reset_wait(member_of(job))
         self.assertEqual(job.idle_s(NOW_S + 9.0), 0.0)
 
-    def test_a_clock_that_is_set_back_begins_the_wait_anew(self) -> None:
+    def test_a_clock_that_is_set_back_resets_the_wait(self) -> None:
         """It would last for as long as the clock was set back."""
         job = small_job()
         job.idle_s(NOW_S)
         job.idle_s(NOW_S - 60.0)
         self.assertEqual(job.idle_s(NOW_S - 57.0), 3.0)
 
-    def test_a_full_processor_is_no_free_room(self) -> None:
+    def test_a_used_up_processor_is_no_free_capacity(self) -> None:
         """One of eight workers is empty, and kept for a gang of two."""
 
         def runs(worker_id: str) -> Sequence[Run]:
@@ -506,7 +512,7 @@
         )
         self.assertIsNone(started_s)
 
-    def test_room_stays_kept_in_a_full_cluster(self) -> None:
+    def test_capacity_stays_reserved_in_a_full_cluster(self) -> None:
         """The gang would never get its fourth worker otherwise."""
 
         def runs(worker_id: str) -> Sequence[Run]:
@@ -552,7 +558,7 @@
     @example(everywhere(overdue), 8, 8, False, False)
     @example(everywhere(overdue_and_full), 8, 8, False, False)
     @example(everywhere(suspect(20.0)), 1, 1, False, False)
-    def test_what_fits_starts_whatever_waits_in_front(
+    def test_a_job_that_fits_starts_whatever_waits_before_it(
         self,
         drawn: list[RunsOf],
         width: int,
@@ -561,15 +567,15 @@
         labelled: bool,  # noqa: FBT001
     ) -> None:
         """Runs are as old as the time that passes makes them."""
-        began = {
+        initial = {
             worker_id: runs_of(worker_id)
             for worker_id, runs_of in zip(WORKERS, drawn, strict=True)
         }
 
         def runs(worker_id: str) -> Sequence[Run]:
-            for run in began[worker_id]:
+            for run in initial[worker_id]:
                 run.age_s += ROUND_S
-            return began[worker_id]
+            return initial[worker_id]
 
         gang = Step(
             width,
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -9,7 +9,7 @@
 from curranthill.tasks import Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.test_dispatch import started
-from tests.test_unlike_workers import SLOW_S, USUAL_S, busy
+from tests.test_unlike_workers import SLOW_S, USUAL_S, run_many_steps
 
 #: The time left until the objective of the jobs here.
 LEFT_S = 10.0
@@ -44,7 +44,7 @@
 class MoveTest(unittest.TestCase):
     """Expected ends here and elsewhere."""
 
-    def test_a_run_on_a_worker_found_to_be_slow_is_moved(self) -> None:
+    def test_a_run_on_a_slow_worker_is_moved(self) -> None:
         """It has only just begun, and would go on for 18 s."""
         found = move_of(a_run(age_s=2.0, done_percent=10), 0.45, LEFT_S)
         assert found is not None
@@ -52,7 +52,7 @@
         self.assertAlmostEqual(found.here_s, 18.0)
         self.assertAlmostEqual(found.elsewhere_s, 9.3)
 
-    def test_a_run_that_ends_in_time_all_the_same_stays(self) -> None:
+    def test_a_run_that_still_ends_in_time_stays(self) -> None:
         """Its job has much slack."""
         self.assertIsNone(move_of(a_run(age_s=2, done_percent=10), 0.45, 20))
 
@@ -60,7 +60,7 @@
         """Nothing would be gained."""
         self.assertIsNone(move_of(a_run(age_s=2, done_percent=10), 0.45, 9))
 
-    def test_a_run_that_has_come_far_stays(self) -> None:
+    def test_a_run_with_much_progress_stays(self) -> None:
         """All of its work would be done again."""
         self.assertIsNone(
             move_of(a_run(age_s=9, done_percent=45), 0.45, LEFT_S)
@@ -93,7 +93,7 @@
         )
         self.assertIsNone(move_of(run, 1.0, LEFT_S))
 
-    def test_what_lasts_and_what_ends_soon_stays(self) -> None:
+    def test_perpetual_and_almost_done_runs_stay(self) -> None:
         """On however slow a worker."""
         perpetual = a_run(age_s=2.0, done_percent=10, perpetual=True)
         self.assertIsNone(move_of(perpetual, 0.3, LEFT_S))
@@ -104,7 +104,7 @@
             move_of(a_run(age_s=9.0, done_percent=100), 0.3, LEFT_S)
         )
 
-    def test_a_run_that_stands_still_is_moved_once_that_costs_as_much(
+    def test_a_stalled_run_is_moved_once_that_costs_as_much(
         self,
     ) -> None:
         """It did all its work in the first second."""
@@ -120,13 +120,13 @@
 class MovedTest(unittest.TestCase):
     """A leader that finds a worker to be slow."""
 
-    def test_a_task_leaves_a_slow_worker_for_a_free_one(self) -> None:
+    def test_a_task_is_moved_from_a_slow_worker_to_a_free_one(self) -> None:
         """It was started there while the others were full."""
 
         async def case(domain: Domain) -> None:
             slow = domain.workers['w3']
             slow.run_s = SLOW_S
-            await busy(domain)
+            await run_many_steps(domain)
             host = domain.hosts['h1']
             for worker in domain.workers.values():
                 worker.run_s = 20.0 if worker is slow else 9.0
--- a/tests/test_unlike_workers.py
+++ b/tests/test_unlike_workers.py
@@ -13,8 +13,8 @@
 from tests.test_planner import (
     NOW_S,
     make_job,
-    make_room,
     make_run,
+    make_worker,
     needs,
     placed,
     plan,
@@ -29,7 +29,7 @@
 STEPS = 12
 
 
-async def busy(domain: Domain) -> None:
+async def run_many_steps(domain: Domain) -> None:
     """Have all workers run tasks of several jobs, one after the other."""
     host = domain.start_host('h1')
     await domain.leader()
@@ -50,14 +50,14 @@
 class LearningTest(unittest.TestCase):
     """A leader learns from the reports alone."""
 
-    def test_a_slow_worker_is_known_after_some_steps(self) -> None:
+    def test_a_slow_worker_is_detected_after_some_steps(self) -> None:
         """One of eight takes over twice as long."""
 
         async def case(domain: Domain) -> None:
             domain.workers['w3'].run_s = SLOW_S
-            await busy(domain)
-            known = speed_of(domain, 'w3').factor
-            self.assertAlmostEqual(known, USUAL_S / SLOW_S, delta=0.1)
+            await run_many_steps(domain)
+            factor = speed_of(domain, 'w3').factor
+            self.assertAlmostEqual(factor, USUAL_S / SLOW_S, delta=0.1)
             for name in ('w0', 'w1', 'w7'):
                 self.assertEqual(speed_of(domain, name).factor, 1.0)
 
@@ -69,19 +69,19 @@
         async def case(domain: Domain) -> None:
             domain.renewal_delay_s = 0.5
             domain.workers['w3'].run_s = SLOW_S
-            await busy(domain)
-            known = speed_of(domain, 'w3').factor
-            self.assertAlmostEqual(known, USUAL_S / SLOW_S, delta=0.1)
+            await run_many_steps(domain)
+            factor = speed_of(domain, 'w3').factor
+            self.assertAlmostEqual(factor, USUAL_S / SLOW_S, delta=0.1)
             self.assertEqual(speed_of(domain, 'w0').factor, 1.0)
 
         in_domain(case, workers=8, run_s=USUAL_S)
 
-    def test_a_worker_that_started_again_is_not_known(self) -> None:
+    def test_a_restarted_worker_counts_as_typical(self) -> None:
         """Another machine may answer under its id."""
 
         async def case(domain: Domain) -> None:
             domain.workers['w3'].run_s = SLOW_S
-            await busy(domain)
+            await run_many_steps(domain)
             self.assertLess(speed_of(domain, 'w3').factor, 0.6)
             domain.restart_worker('w3')
             await domain.clock.advance(3)
@@ -90,9 +90,11 @@
         in_domain(case, workers=8, run_s=USUAL_S)
 
 
-def unlike_room(worker_id: str, speed: float, *runs: Run) -> WorkerCapacity:
+def make_worker_of_speed(
+    worker_id: str, speed: float, *runs: Run
+) -> WorkerCapacity:
     """Return the room of a worker of a speed; all stand in one rack."""
-    entry = make_room(worker_id, 'r1').entry
+    entry = make_worker(worker_id, 'r1').entry
     return WorkerCapacity(
         entry=entry, runs=runs, failure_score=0.0, speed=speed
     )
@@ -100,10 +102,10 @@
 
 #: An urgent gang that starts in time earns its worth on workers of 0.65 of a
 #: typical speed and faster.
-HASTY = Step(width=3, needs=needs(2), estimate_s=4.0, gang=True)
+URGENT_GANG = Step(width=3, needs=needs(2), estimate_s=4.0, gang=True)
 
 
-def urgent(job_id: str, step: Step = HASTY) -> JobSpec:
+def urgent(job_id: str, step: Step = URGENT_GANG) -> JobSpec:
     """Return an urgent job that was accepted just now."""
     return make_spec(job_id, step, priority=0)._replace(
         queue=make_queue(0)._replace(slack_factor=1.5, target_s=0.2),
@@ -111,7 +113,7 @@
     )
 
 
-def patient(job_id: str, step: Step) -> JobSpec:
+def with_slack(job_id: str, step: Step) -> JobSpec:
     """Return a job of low priority with slack, accepted just now."""
     return make_spec(job_id, step, priority=2)._replace(
         queue=make_queue(2)._replace(slack_factor=3.0, target_s=1.0),
@@ -122,136 +124,166 @@
 class FittingTest(unittest.TestCase):
     """Where the tasks of a step start when workers differ."""
 
-    def test_an_urgent_gang_keeps_off_workers_that_make_it_late(self) -> None:
+    def test_an_urgent_gang_avoids_workers_that_make_it_late(self) -> None:
         """The slow worker has just the room that it fills best."""
-        slow = unlike_room('a', 0.45, make_run('a', 6))
-        usual = [unlike_room('b', 1.0), unlike_room('c', 1.0)]
+        slow = make_worker_of_speed('a', 0.45, make_run('a', 6))
+        usual = [make_worker_of_speed('b', 1.0), make_worker_of_speed('c', 1.0)]
         decided = plan([slow, *usual], urgent('j'))
         self.assertEqual(set(placed(decided)['j']) - {'b', 'c'}, set())
 
-    def test_a_worker_that_is_fast_enough_is_filled_best(self) -> None:
+    def test_the_best_fit_is_chosen_among_fast_enough_workers(self) -> None:
         """It is slower than others, and the gang is in time there."""
-        slower = unlike_room('a', 0.8, make_run('a', 2))
-        usual = [unlike_room('b', 1.0), unlike_room('c', 1.25)]
+        slower = make_worker_of_speed('a', 0.8, make_run('a', 2))
+        usual = [
+            make_worker_of_speed('b', 1.0),
+            make_worker_of_speed('c', 1.25),
+        ]
         decided = plan([*usual, slower], urgent('j'))
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
-    def test_late_on_a_slow_worker_is_better_than_no_room(self) -> None:
+    def test_late_on_a_slow_worker_is_better_than_waiting(self) -> None:
         """There is no other one."""
-        rooms = [
-            unlike_room('a', 0.45),
-            unlike_room('b', 1.0, make_run('b', 8)),
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0, make_run('b', 8)),
         ]
-        rooms[1].runs[0].priority = 0
-        decided = plan(rooms, urgent('j'))
+        workers[1].runs[0].priority = 0
+        decided = plan(workers, urgent('j'))
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
     def test_work_with_slack_leaves_fast_workers_to_others(self) -> None:
         """Its objective is three times its run time away."""
-        rooms = [
-            unlike_room('a', 1.0, make_run('a', 6)),
-            unlike_room('b', 0.45),
-            unlike_room('c', 1.3),
+        workers = [
+            make_worker_of_speed('a', 1.0, make_run('a', 6)),
+            make_worker_of_speed('b', 0.45),
+            make_worker_of_speed('c', 1.3),
         ]
         step = Step(width=8, needs=needs(1), estimate_s=6.0)
-        decided = plan(rooms, patient('j', step))
+        decided = plan(workers, with_slack('j', step))
         self.assertEqual(set(placed(decided)['j']), {'b'})
 
-    def test_work_with_slack_takes_no_worker_that_is_too_slow(self) -> None:
+    def test_work_with_slack_avoids_workers_that_are_too_slow(self) -> None:
         """It has waited for long."""
-        rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0)]
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0),
+        ]
         step = Step(width=4, needs=needs(1), estimate_s=6.0)
-        spec = patient('j', step)._replace(accepted_at_s=NOW_S - 10)
-        decided = plan(rooms, spec)
+        spec = with_slack('j', step)._replace(accepted_at_s=NOW_S - 10)
+        decided = plan(workers, spec)
         self.assertEqual(set(placed(decided)['j']), {'b'})
 
-    def test_a_gang_with_slack_is_put_on_workers_that_are_alike(self) -> None:
+    def test_a_gang_with_slack_is_placed_on_equal_workers(self) -> None:
         """Two of four members would fit on the slow worker."""
-        slow = unlike_room('a', 0.45, make_run('a', 4))
-        rooms = [slow, unlike_room('b', 1.0), unlike_room('c', 1.0)]
+        slow = make_worker_of_speed('a', 0.45, make_run('a', 4))
+        workers = [
+            slow,
+            make_worker_of_speed('b', 1.0),
+            make_worker_of_speed('c', 1.0),
+        ]
         step = Step(width=4, needs=needs(2), estimate_s=6.0, gang=True)
-        decided = plan(rooms, patient('j', step))
+        decided = plan(workers, with_slack('j', step))
         self.assertNotIn('a', placed(decided)['j'])
 
-    def test_a_time_of_day_that_jumped_changes_nothing(self) -> None:
+    def test_a_clock_that_was_set_changes_nothing(self) -> None:
         """Forward or back by forty minutes: urgent plans are as of old."""
         for jump_s in (-2400, 2400):
             spec = urgent('j')._replace(accepted_at_s=NOW_S + jump_s)
-            slow = unlike_room('a', 0.3, make_run('a', 2))
-            decided = plan([slow, unlike_room('b', 1.0)], spec)
+            slow = make_worker_of_speed('a', 0.3, make_run('a', 2))
+            decided = plan([slow, make_worker_of_speed('b', 1.0)], spec)
             self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
             self.assertEqual(decided.victims, ())
 
     def test_a_later_step_has_less_time(self) -> None:
         """What follows it takes as long again."""
         step = Step(width=1, needs=needs(8), estimate_s=6.0)
-        spec = patient('j', step)
+        spec = with_slack('j', step)
         spec = spec._replace(
             steps=(step, step._replace(after=(0,), estimate_s=60.0)),
             accepted_at_s=NOW_S - 128,
         )
-        rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0)]
-        self.assertEqual(placed(plan(rooms, spec))['j'], ['b'])
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0),
+        ]
+        self.assertEqual(placed(plan(workers, spec))['j'], ['b'])
 
 
-def copies(case: Case, speed: float) -> Iterator[WorkerCapacity]:
+def at_speed(case: Case, speed: float) -> Iterator[WorkerCapacity]:
     """Yield the rooms of a case as they are, at one speed."""
-    for room in case.rooms:
+    for worker in case.workers:
         yield WorkerCapacity(
-            entry=room.entry,
-            runs=room.runs,
-            failure_score=room.failure_score,
+            entry=worker.entry,
+            runs=worker.runs,
+            failure_score=worker.failure_score,
             speed=speed,
         )
 
 
-class MakingWayTest(unittest.TestCase):
+class PreemptionForSpeedTest(unittest.TestCase):
     """A slow free worker against stopping somebody on a faster one."""
 
-    def test_little_work_is_stopped_for_a_gang_that_would_be_late(self) -> None:
+    def test_little_work_is_preempted_for_a_gang_that_would_be_late(
+        self,
+    ) -> None:
         """What runs on the usual worker has only just begun."""
         fresh = make_run('b', 8, age_s=0.5)
-        rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0, fresh)]
-        decided = plan(rooms, urgent('j'))
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0, fresh),
+        ]
+        decided = plan(workers, urgent('j'))
         self.assertEqual(decided.victims, (fresh,))
         self.assertEqual(placed(decided), {})
 
-    def test_more_work_than_its_own_is_not_stopped(self) -> None:
+    def test_more_work_than_its_own_is_not_preempted(self) -> None:
         """It has run for long."""
         old = make_run('b', 8, age_s=60.0)
-        rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0, old)]
-        decided = plan(rooms, urgent('j'))
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0, old),
+        ]
+        decided = plan(workers, urgent('j'))
         self.assertEqual(decided.victims, ())
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
-    def test_others_are_stopped_once_for_a_step(self) -> None:
+    def test_a_step_preempts_only_once(self) -> None:
         """The room went to somebody else meanwhile."""
         job = make_job(urgent('j'))
         for victims, starts in ((1, 0), (0, 1)):
             fresh = make_run('b', 8, age_s=0.5)
-            rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0, fresh)]
-            decided = plan(rooms, running=[job])
+            workers = [
+                make_worker_of_speed('a', 0.45),
+                make_worker_of_speed('b', 1.0, fresh),
+            ]
+            decided = plan(workers, running=[job])
             self.assertEqual(len(decided.victims), victims)
             self.assertEqual(len(decided.placements), starts)
 
-    def test_room_is_made_where_a_gang_ends_in_time(self) -> None:
+    def test_runs_are_preempted_where_a_gang_ends_in_time(self) -> None:
         """The slow worker's run has done less, but the gang would be late."""
         fresh = make_run('a', 8, age_s=0.1)
         older = make_run('b', 8, age_s=4.0)
-        rooms = [unlike_room('a', 0.45, fresh), unlike_room('b', 1.0, older)]
-        self.assertEqual(plan(rooms, urgent('j')).victims, (older,))
+        workers = [
+            make_worker_of_speed('a', 0.45, fresh),
+            make_worker_of_speed('b', 1.0, older),
+        ]
+        self.assertEqual(plan(workers, urgent('j')).victims, (older,))
 
-    def test_a_gang_that_is_late_anyway_stops_nobody(self) -> None:
+    def test_a_gang_that_is_late_anyway_preempts_nothing(self) -> None:
         """It has waited for too long."""
         fresh = make_run('b', 8, age_s=0.5)
-        rooms = [unlike_room('a', 0.45), unlike_room('b', 1.0, fresh)]
+        workers = [
+            make_worker_of_speed('a', 0.45),
+            make_worker_of_speed('b', 1.0, fresh),
+        ]
         spec = urgent('j')._replace(accepted_at_s=NOW_S - 3)
-        decided = plan(rooms, spec)
+        decided = plan(workers, spec)
         self.assertEqual(decided.victims, ())
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
 
-class AlikeTest(unittest.TestCase):
+class EqualSpeedTest(unittest.TestCase):
     """Where no speed is known to differ, plans are what they were."""
 
     @settings(max_examples=50, deadline=None)
@@ -262,8 +294,8 @@
         speed: float,
     ) -> None:
         """Whatever it is."""
-        before = plan(list(copies(case, 1.0)), *case.specs)
-        after = plan(list(copies(case, speed)), *case.specs)
+        before = plan(list(at_speed(case, 1.0)), *case.specs)
+        after = plan(list(at_speed(case, speed)), *case.specs)
         self.assertEqual(placed(after), placed(before))
         self.assertEqual(
             [run.name for run in after.victims],
@@ -271,7 +303,7 @@
         )
 
 
-class NeverEndingTest(unittest.TestCase):
+class StalledEverywhereTest(unittest.TestCase):
     """A task that stands still wherever it runs."""
 
     def test_it_is_not_moved_for_ever(self) -> None:
@@ -293,7 +325,7 @@
 
         in_domain(case, workers=4)
 
-    def test_a_takeover_moves_it_no_second_time(self) -> None:
+    def test_a_takeover_does_not_move_it_again(self) -> None:
         """The next leader reads that it was moved."""
 
         async def case(domain: Domain) -> None:
@@ -318,7 +350,7 @@
 class TakeoverTest(unittest.TestCase):
     """A new leader learns from the runs that it finds."""
 
-    def test_speeds_are_known_within_seconds(self) -> None:
+    def test_speeds_are_estimated_within_seconds(self) -> None:
         """Four reports of four steps at each worker."""
 
         async def case(domain: Domain) -> None:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -26,7 +26,7 @@
     in_domain,
     make_spec,
 )
-from tests.test_door import GANG, RUN_S, gang, is_refused, overload
+from tests.test_load_shedding import GANG, RUN_S, gang, is_refused, overload
 
 
 def worker(gpus: int, rack: str = 'r1') -> WorkerCapacity:
