--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -1,4 +1,4 @@
-"""A full cluster with jobs that wait: what a round of placement meets.
+"""A full cluster with waiting jobs, as input of a round of placement.
 
 Drawn from a seed, so that the same round can be planned again: gangs and
 plain tasks hold nearly all accelerators, some runs are being stopped, some
@@ -38,7 +38,7 @@
 
 
 class Kind(NamedTuple):
-    """A kind of job, as drawn.
+    """A kind of random jobs.
 
     :param widths: the mean number of tasks of a step.
     """
@@ -60,7 +60,7 @@
 
 
 class FullCluster(NamedTuple):
-    """One drawn moment.
+    """The state of a random cluster at one moment.
 
     :param runs: the runs of each worker.
     :param failure_scores: by worker.
@@ -75,7 +75,7 @@
 
 
 def draw(*, workers: int, waiting: int, seed: int) -> FullCluster:
-    """Return a cluster that is nearly full, with so many jobs that wait."""
+    """Return a cluster that is nearly full, with so many waiting jobs."""
     source = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
     free = {entry.worker_id: entry.capacity for entry in entries}
@@ -101,7 +101,7 @@
 
 
 def plan_round(cluster: FullCluster) -> Plan:
-    """Return what one round decides, from the runs as they are."""
+    """Return the decisions of one round."""
     workers = [
         WorkerCapacity(
             entry=entry,
@@ -180,7 +180,7 @@
     free: dict[str, Resources],
     job: ActiveJob,
 ) -> bool:
-    """Let a job run wherever there is room; return whether all of it does."""
+    """Place a job's tasks wherever they fit; return whether all of them do."""
     step = job.spec.steps[0]
     age_s = source.uniform(0, step.estimate_s)
     stopped = _is_drawn(source, STOPPED_SHARE)
--- a/bench/load_shedding.py
+++ b/bench/load_shedding.py
@@ -1,7 +1,8 @@
-"""Replays a day with the answer at the door, and one without it.
+"""Replays the same day with and without load shedding.
 
-``python -m bench.load_shedding --rate 3 --seeds 10`` prints how many jobs were turned
-away, what these earned on the same day without it, and what the day earned.
+``python -m bench.load_shedding --rate 3 --seeds 10`` prints how many jobs were
+refused, what these earned on the same day without load shedding, and what the
+days earned.
 """
 
 import statistics
@@ -20,26 +21,27 @@
 from curranthill.placement import NONE_DISABLED, WorkerCapacity
 from curranthill.tasks import JobSpec, Resources
 
-#: How often an outlook is made, and how long it takes to the hosts, in seconds.
+#: How often a forecast is made, and how long it takes to reach the hosts, in
+#: seconds.
 FORECAST_INTERVAL_S: Final = 1.0
 FORECAST_DELAY_S: Final = 0.8
 
-#: Tries that callers make more when they are told to come back.
+#: Further attempts that refused callers make.
 RETRIES: Final = 4
 
-#: Several times as much comes as fits, and more urgent work for some seconds.
+#: The demand is several times the capacity, with a burst of urgent work.
 OVERLOAD: Final = Load(rate=8.0, bursts=((5, 13, 2.5),))
 
 
 class SheddingDay(Day):
-    """A day on which hosts refuse what is too late.
+    """A day on which hosts refuse jobs that would be too late.
 
-    :param refused: jobs that were turned away at each of their tries.
-    :param refusals: how many tries were turned away.
+    :param refused: jobs that were refused at each attempt.
+    :param refusals: how many attempts were refused.
     """
 
     def __init__(self, *, load: Load, workers: int, seed: int) -> None:
-        """Draw the same day as without a door."""
+        """Draw the same day as without load shedding."""
         super().__init__(
             load=load,
             workers=workers,
@@ -106,7 +108,7 @@
 
 
 class PlainDay(Day):
-    """A day without a door that tells what each job earned."""
+    """A day without load shedding, with the credit of each job."""
 
     def earned(self, job_id: str) -> float:
         """Return what a job earned."""
@@ -118,11 +120,11 @@
 
 
 class SheddingOutcome(NamedTuple):
-    """What one day brought with a door and without.
+    """The results of one day with and without load shedding.
 
-    :param refused: jobs turned away at all of their tries.
-    :param refused_worth: what these earned without a door.
-    :param worthless: jobs that earned nothing without a door.
+    :param refused: jobs refused at all of their attempts.
+    :param refused_worth: what these earned without load shedding.
+    :param worthless: jobs that earned nothing without load shedding.
     """
 
     with_shedding: Outcome
@@ -134,7 +136,7 @@
 
 
 def play(load: Load, workers: int, seed: int) -> SheddingOutcome:
-    """Play a day twice."""
+    """Replay a day twice."""
     shedding = SheddingDay(load=load, workers=workers, seed=seed)
     plain = PlainDay(
         load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
@@ -157,7 +159,7 @@
     workers: int = 24,
     seeds: int = 10,
 ) -> None:
-    """Play days with and without a door."""
+    """Replay days with and without load shedding."""
     load = Load(rate=rate, bursts=((5, 13, burst),))
     days = [play(load, workers, seed) for seed in range(seeds)]
     mean, error = difference(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Both measures on both example deployments, against the baselines.
+"""Both measures on both example deployments, compared with the baselines.
 
 ``python -m bench.placement`` runs every policy on the same seeds, in real
 processes, and writes ``bench/results/placement.json``.
@@ -81,7 +81,7 @@
 
 
 def summarise(runs: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return the mean and the spread of the figures over the seeds."""
+    """Return mean, minimum and maximum of the figures over the seeds."""
     figures = {
         'gang_p95_multiple': [run['gang_multiple']['p95'] for run in runs],
         'long_p95_multiple': [run['long_multiple']['p95'] for run in runs],
--- a/bench/record_rounds.py
+++ b/bench/record_rounds.py
@@ -1,7 +1,7 @@
-"""Records what rounds over drawn full clusters decide.
+"""Records the decisions of rounds over random full clusters.
 
 ``python -m bench.record_rounds`` writes ``tests/data/recorded_rounds.json``
-anew, after a change of policy; the commit says which plans differ and why.
+again, after a change of policy; the commit says which plans differ and why.
 """
 
 import hashlib
@@ -31,13 +31,13 @@
 
 
 def recorded() -> list[dict[str, Any]]:
-    """Return the rounds on record."""
+    """Return the recorded rounds."""
     rounds: list[dict[str, Any]] = json.loads(RECORD.read_text('utf-8'))
     return rounds
 
 
 def main() -> None:
-    """Plan each round on record again and write what it decides now."""
+    """Plan each recorded round again and write its present decisions."""
     lines = []
     for one in recorded():
         drawn = {name: one[name] for name in ('workers', 'waiting', 'seed')}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,8 +1,8 @@
-"""When callers come back whose jobs were turned away.
+"""When callers retry whose jobs were refused during an outage.
 
-A replayed outage: callers hand jobs in all through it, make four tries more
-and come back when they are told to. Told to come back after a second, whoever
-came in the first part of a long outage gave up before the store was back.
+Callers submit jobs all through an outage of the store, and retry four times
+after the given delays. With a fixed delay of one second, those who called in
+the first part of a long outage gave up before the store was back.
 """
 
 import unittest
@@ -11,27 +11,27 @@
 from curranthill.tasks import JobSpec, Step
 from tests.domain import ONE_GPU, make_spec
 
-#: Tries after the first one.
+#: Attempts after the first one.
 RETRIES: int = 4
 
-#: The longest outage that a job with time must get over, in seconds.
+#: The longest outage that a job with slack must survive, in seconds.
 OUTAGE_S = 8.0
 
 
 def job_with_slack() -> JobSpec:
-    """Return a job whose objective leaves it nine seconds."""
+    """Return a job whose objective leaves nine seconds of slack."""
     step = Step(width=1, needs=ONE_GPU, estimate_s=8.0)
     return make_spec('a1', step)
 
 
 def urgent_job() -> JobSpec:
-    """Return a job whose objective leaves it two seconds."""
+    """Return a job whose objective leaves two seconds of slack."""
     step = Step(width=1, needs=ONE_GPU, estimate_s=1.0)
     return make_spec('b2', step, priority=0)
 
 
 def attempt_times_s(spec: JobSpec, sent_s: float) -> list[float]:
-    """Return the moments of all tries of a job that is refused each time."""
+    """Return the times of all attempts of a job that is always refused."""
     moments = [sent_s]
     for _ in range(RETRIES):
         delay_s = retry_after_s(spec, jitter_s=0.0)
@@ -40,10 +40,10 @@
 
 
 class OutageTest(unittest.TestCase):
-    """Jobs handed in each tenth of a second of an outage."""
+    """Jobs submitted in each tenth of a second of an outage."""
 
     def test_jobs_with_slack_are_accepted_after_it(self) -> None:
-        """And none of them misses its objective by the waits it is told."""
+        """And none of them misses its objective because of the delays."""
         spec = job_with_slack()
         slack_s = spec.objective_s - spec.accepted_at_s - spec.chain_s
         for tenth in range(int(OUTAGE_S * 10)):
@@ -54,11 +54,11 @@
                 self.assertLessEqual(accepted[0] - tenth / 10, slack_s)
 
     def test_urgent_jobs_retry_at_once(self) -> None:
-        """A second is what the header tells at least."""
+        """One second is the least that the header can express."""
         self.assertEqual(attempt_times_s(urgent_job(), 0.0), [0, 1, 2, 3, 4])
 
     def test_delays_are_bounded_and_vary(self) -> None:
-        """Whatever the objective; the spread tells callers apart."""
+        """For any objective; the jitter separates callers."""
         spec = job_with_slack()
         huge = make_spec(
             'c3',
--- a/tests/test_fair_capacity.py
+++ b/tests/test_fair_capacity.py
@@ -1,4 +1,4 @@
-"""Who goes first and who is stopped when there is too little room."""
+"""Which jobs are served first and which runs are evicted under overload."""
 
 import unittest
 from collections.abc import Sequence
@@ -25,15 +25,15 @@
     plan,
 )
 
-#: A task of a second: its job is late after three seconds from its
-#: acceptance, and earns nothing after nine.
+#: A task of one second: its job is late three seconds after its acceptance, and
+#: earns nothing after nine.
 WHOLE_WORKER = Step(width=1, needs=needs(8), estimate_s=1.0)
 INFEASIBLE_S = NOW_S - 20
 AGED_S = NOW_S - 60
 
 
 def with_stops(job: ActiveJob, stops: int) -> ActiveJob:
-    """Return a job that was stopped for others so often."""
+    """Return a job that was preempted so often."""
     job.progress.stops = stops
     return job
 
@@ -45,7 +45,7 @@
     accepted_at_s: float = NOW_S,
     stops: int = 0,
 ) -> ActiveJob:
-    """Return a gang with the runs that it has."""
+    """Return a gang with some runs."""
     gang = Step(len(runs), needs(8), estimate_s=estimate_s, gang=True)
     spec = make_spec(job_id, gang, priority=1, accepted_at_s=accepted_at_s)
     for run in runs:
@@ -54,15 +54,15 @@
 
 
 def victims(runs: Sequence[Run]) -> list[str]:
-    """Return the workers of runs that are stopped."""
+    """Return the workers of the runs that are stopped."""
     return [run.worker_id for run in runs]
 
 
 class OrderTest(unittest.TestCase):
-    """What can still earn goes before what cannot."""
+    """Jobs that can still earn credit are served before others."""
 
     def test_infeasible_work_is_served_after_feasible_work(self) -> None:
-        """Past three times its objective a job earns nothing any more."""
+        """After three times its objective a job earns no credit."""
         decided = plan(
             [make_worker('a1', 'r1')],
             make_spec('old', WHOLE_WORKER, accepted_at_s=INFEASIBLE_S),
@@ -71,7 +71,7 @@
         self.assertEqual(placed(decided), {'new': ['a1']})
 
     def test_infeasible_work_is_served_after_lower_feasible_work(self) -> None:
-        """A priority tells who earns first, and it earns nothing."""
+        """A priority counts among jobs that can earn, and it can't."""
         decided = plan(
             [make_worker('a1', 'r1')],
             make_spec(
@@ -82,7 +82,7 @@
         self.assertEqual(placed(decided), {'new': ['a1']})
 
     def test_work_that_can_be_in_time_is_served_before_late_work(self) -> None:
-        """Late work earns the same for long after its objective."""
+        """Late work earns the same until long after its objective."""
         decided = plan(
             [make_worker('a1', 'r1')],
             make_spec('late', WHOLE_WORKER, accepted_at_s=NOW_S - 4),
@@ -91,7 +91,7 @@
         self.assertEqual(placed(decided), {'new': ['a1']})
 
     def test_late_work_is_served_before_lower_work(self) -> None:
-        """A priority holds between work that still earns."""
+        """A priority counts among jobs that can still earn."""
         decided = plan(
             [make_worker('a1', 'r1')],
             make_spec('late', WHOLE_WORKER, accepted_at_s=NOW_S - 4),
@@ -100,7 +100,7 @@
         self.assertEqual(placed(decided), {'late': ['a1']})
 
     def test_infeasible_work_is_served_normally_after_aging(self) -> None:
-        """Whoever was accepted ends."""
+        """Every accepted job ends."""
         decided = plan(
             [make_worker('a1', 'r1')],
             make_spec('old', WHOLE_WORKER, accepted_at_s=AGED_S),
@@ -109,7 +109,7 @@
         self.assertEqual(placed(decided), {'old': ['a1']})
 
     def test_infeasible_urgent_work_preempts_nothing(self) -> None:
-        """Work that still earns would be thrown away for it."""
+        """Work that can still earn would be lost for it."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1))]
         spec = make_spec(
             'old', WHOLE_WORKER, priority=0, accepted_at_s=INFEASIBLE_S
@@ -117,7 +117,7 @@
         self.assertEqual(plan(workers, spec).victims, ())
 
     def test_a_guarantee_holds_for_infeasible_work(self) -> None:
-        """It starts within its bound, whatever it earns."""
+        """It starts within its time bound, whatever it earns."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         spec = make_spec(
             'old', WHOLE_WORKER, priority=0, accepted_at_s=INFEASIBLE_S
@@ -126,7 +126,7 @@
         self.assertEqual(victims(decided.victims), ['a1'])
 
     def test_a_job_without_an_objective_is_never_infeasible(self) -> None:
-        """There is nothing that it could miss."""
+        """It has no objective to miss."""
         step = Step(width=1, needs=needs(8))
         old = make_spec('old', step, accepted_at_s=INFEASIBLE_S)
         queue = old.queue._replace(target_s=0.0)
@@ -152,9 +152,9 @@
         self,
         drawn: list[tuple[int, float, float]],
     ) -> None:
-        """In the end the oldest objective of the first priority is served.
+        """Eventually the oldest objective of the first priority is served.
 
-        Whatever comes meanwhile, no newer job of its priority goes first.
+        No newer job of its priority is served before it, whatever arrives.
         """
         jobs = [
             make_job(
@@ -180,12 +180,12 @@
 
 
 class EvictionCostTest(unittest.TestCase):
-    """Whose run is stopped: a stop costs more than the work thrown away."""
+    """Which run is evicted: a stop costs more than the work that is lost."""
 
     urgent = make_spec('u', WHOLE_WORKER, priority=0)
 
     def test_a_job_that_was_stopped_before_is_spared(self) -> None:
-        """The other has done a little more, and was never stopped."""
+        """The other has done slightly more, and was never stopped."""
         first = make_run('a1', 8, priority=1, age_s=1.0, job_id='g')
         other = make_run('a2', 8, priority=1, age_s=1.2, job_id='h')
         workers = [
@@ -208,7 +208,7 @@
         self.assertEqual(decided.victims, ())
 
     def test_a_guarantee_preempts_it_in_any_case(self) -> None:
-        """A covered job starts within its bound at any moment."""
+        """A covered job starts within its time bound at any moment."""
         run = make_run('a1', 8, priority=1, age_s=0.1, job_id='g')
         workers = [make_worker('a1', 'r1', run)]
         decided = plan(
@@ -220,7 +220,7 @@
         self.assertEqual(victims(decided.victims), ['a1'])
 
     def test_what_would_miss_its_objective_is_spared(self) -> None:
-        """The other is late whether it is stopped or not."""
+        """The other is late in any case."""
         first = make_run('a1', 8, priority=1, age_s=1.0, job_id='g')
         other = make_run('a2', 8, priority=1, age_s=1.2, job_id='h')
         workers = [
@@ -238,7 +238,7 @@
         self.assertEqual(victims(decided.victims), ['a2'])
 
     def test_a_run_that_ends_at_once_is_waited_for(self) -> None:
-        """A stop would take as long; nothing else is stopped either."""
+        """A stop would take as long; no other run is stopped either."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
@@ -250,7 +250,7 @@
         self.assertEqual(plan(workers, self.urgent).victims, ())
 
     def test_its_capacity_is_claimed_for_the_job_that_waits(self) -> None:
-        """A second urgent job does not count on the same room."""
+        """A second urgent job does not wait for the same capacity."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
@@ -264,7 +264,7 @@
         self.assertEqual(victims(decided.victims), ['a2'])
 
     def test_a_stalled_run_is_not_waited_for(self) -> None:
-        """Its percentage says that it is nearly done, and stays the same."""
+        """Its percentage is nearly at the end and does not change."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
@@ -276,7 +276,7 @@
         self.assertEqual(victims(decided.victims), ['a1'])
 
     def test_a_guarantee_does_not_wait_for_an_end(self) -> None:
-        """Reports may be late; the bound counts."""
+        """Reports may be late, and the time bound counts."""
         ending = make_run('a1', 8, age_s=10.0)
         ending.done_percent = 98
         ending.estimate_s = 10.0
@@ -291,15 +291,15 @@
 
 
 class StoredPreemptionsTest(unittest.TestCase):
-    """How often a job was stopped outlasts a leader."""
+    """The count of a job's preemptions survives a change of leader."""
 
     def test_a_row_of_an_earlier_release_counts_none(self) -> None:
-        """It ends before the field."""
+        """The row ends before that field."""
         row = msgspec.json.encode(['queue', 'running', {}, 0.0, [], ''])
         self.assertEqual(decode(row, JobProgress).stops, 0)
 
     def test_a_preemption_is_counted_once_for_a_gang(self) -> None:
-        """The next leader reads it in the job's row."""
+        """The next leader reads the count in the job's row."""
         wide = Step(width=2, needs=needs(8), estimate_s=60.0, gang=True)
 
         async def case(domain: Domain) -> None:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Who is refused at the door, and what the leader tells of what waits."""
+"""Which jobs are refused, and the leader's forecast of the wait."""
 
 import unittest
 
@@ -43,7 +43,7 @@
     free: Resources = NONE_FREE,
     unused_guarantees: dict[str, int] | None = None,
 ) -> Forecast:
-    """Return an outlook with the same wait for whoever comes."""
+    """Return a forecast with the same wait for all jobs."""
     steps: tuple[tuple[float, float], ...] = ((0.0, wait_s),)
     waits = {priority: steps for priority in (0, 1, 2)}
     return Forecast(
@@ -67,7 +67,7 @@
 def waiting_jobs(
     count: int, step: Step = GANG, **options: int
 ) -> list[ActiveJob]:
-    """Return jobs that came within the last seconds and wait."""
+    """Return jobs that arrived within the last seconds and wait."""
     jobs = []
     for number in range(count):
         accepted_at_s = NOW_S - 4.0 * number / count
@@ -81,7 +81,7 @@
 
 
 def forecast_for(jobs: list[ActiveJob], guaranteed: int = 0) -> Forecast | None:
-    """Return what the leader tells of jobs that wait."""
+    """Return the leader's forecast for some waiting jobs."""
     return make_forecast(
         jobs,
         resources=RESOURCES,
@@ -92,10 +92,10 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """One host, one outlook, one job."""
+    """One job on one host with one forecast."""
 
     def test_a_job_that_can_earn_nothing_is_refused(self) -> None:
-        """Its least wait alone puts its end past three objectives."""
+        """Its least wait alone exceeds three times its objective."""
         refusal = refused(make_spec('a1', GANG), forecast_of_wait(100.0))
         self.assertEqual(refusal.reason, TOO_LATE)
         self.assertEqual(refusal.wait_s, 100.0)
@@ -108,7 +108,7 @@
         self.assertIsNotNone(check_admission(spec, forecast_of_wait(39.0), 0.5))
 
     def test_no_job_is_refused_without_a_fresh_forecast(self) -> None:
-        """None is known, it is too old, or it is of another form."""
+        """There is none, it is too old, or it has another format version."""
         spec = make_spec('a1', GANG)
         newer = msgspec.structs.replace(forecast_of_wait(), format_version=2)
         self.assertIsNone(check_admission(spec, None, 0.0))
@@ -121,7 +121,7 @@
         )
 
     def test_a_job_that_fits_now_is_accepted(self) -> None:
-        """However much else waits."""
+        """However long others wait."""
         spec = make_spec('a1', GANG)
         self.assertIsNone(
             check_admission(spec, forecast_of_wait(free=WORKER_CAPACITY), 0.5)
@@ -132,7 +132,7 @@
         )
 
     def test_recurring_and_perpetual_jobs_are_accepted(self) -> None:
-        """They earn by other measures."""
+        """Their credit depends on other measures."""
         spec = make_spec('a1', GANG)
         perpetual = make_spec('a2', GANG._replace(perpetual=True))
         self.assertIsNone(
@@ -141,18 +141,18 @@
         self.assertIsNone(check_admission(perpetual, forecast_of_wait(), 0.5))
 
     def test_a_queue_without_an_objective_refuses_no_job_as_late(self) -> None:
-        """Its configuration says nothing of ends in time."""
+        """Its configuration sets no objective."""
         plain = Queue('q', 'jobs.example', '/q/', SERVICE, priority=1)
         spec = make_spec('a1', GANG)._replace(queue=plain)
         self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
 
     def test_wide_steps_are_accepted(self) -> None:
-        """They take longer than their chain says on idle workers too."""
+        """They take longer than their chain even on idle workers."""
         spec = make_spec('a1', GANG._replace(width=3))
         self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
 
     def test_another_service_is_not_affected(self) -> None:
-        """Nor a service that the outlook does not name."""
+        """The forecast does not contain it."""
         spec = make_spec('a1', GANG)
         queue = spec.queue._replace(service='other')
         self.assertIsNone(
@@ -160,7 +160,7 @@
         )
 
     def test_a_job_that_a_guarantee_may_cover_is_accepted(self) -> None:
-        """An urgent job, unless its workspace is known to use it up."""
+        """An urgent job, unless its workspace has used its guarantee up."""
         spec = make_spec('a1', GANG, priority=0)
         self.assertIsNone(check_admission(spec, forecast_of_wait(), 0.5))
         for unused, accepted in ((16, True), (15, False)):
@@ -172,10 +172,10 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """When refused callers come back."""
+    """When refused callers retry."""
 
     def test_earlier_objectives_retry_sooner(self) -> None:
-        """All of them within the time in which their jobs earn."""
+        """All of them retry within the time in which their jobs earn credit."""
         delays_s = []
         for estimate_s in (1.0, 2.0, 4.0, 8.0):
             spec = make_spec('a1', GANG._replace(estimate_s=estimate_s))
@@ -196,10 +196,10 @@
 
 
 class BoundsTest(unittest.TestCase):
-    """A hundred times the usual load."""
+    """Limits of the queue, as under a hundred times the usual load."""
 
     def test_the_whole_queue_is_bounded(self) -> None:
-        """Whatever waits, whoever hands it in."""
+        """For all kinds of jobs and callers."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         self.assertEqual(refused(make_spec(), forecast).reason, FULL)
         perpetual = make_spec('a2', GANG._replace(perpetual=True))
@@ -208,7 +208,7 @@
         self.assertIsNone(check_admission(make_spec(), fewer, 0.5))
 
     def test_one_workspace_can_not_fill_the_queue(self) -> None:
-        """Half of the queue is the most that it may take."""
+        """It may use at most half of the queue."""
         jobs = waiting_jobs(MAX_WAITING_PER_WORKSPACE, workspaces=1)
         forecast = forecast_for(jobs)
         assert forecast is not None
@@ -218,7 +218,7 @@
         self.assertIsNone(check_admission(other, forecast, 0.5))
 
     def test_a_covered_job_is_accepted_even_then(self) -> None:
-        """It takes no more than the guarantee."""
+        """It uses no more than the guarantee."""
         forecast = Forecast(number=1, waiting=MAX_WAITING)
         self.assertIsNone(check_admission(make_spec(priority=0), forecast, 0.5))
 
@@ -228,7 +228,7 @@
 
 
 class ForecastTest(unittest.TestCase):
-    """What the leader tells."""
+    """The content of the leader's forecast."""
 
     def test_nothing_is_published_while_no_job_waits_long(self) -> None:
         """The leader's row is as small as before."""
@@ -237,7 +237,7 @@
         self.assertIsNone(forecast_for([one]))
 
     def test_the_wait_is_that_of_the_work_ahead(self) -> None:
-        """Twenty gangs of 64 accelerator-seconds before 64 accelerators."""
+        """Twenty gangs of 64 accelerator-seconds wait for 64 accelerators."""
         forecast = forecast_for(waiting_jobs(20))
         assert forecast is not None
         wait_s = forecast.services[0].wait_s(1, objective_s=9.0)
@@ -255,7 +255,7 @@
         self.assertEqual(service.wait_s(2, objective_s=9.0), 0.0)
 
     def test_an_earlier_objective_waits_less(self) -> None:
-        """Long jobs of the same priority are overtaken."""
+        """It is served before long jobs of the same priority."""
         long = GANG._replace(estimate_s=40.0)
         forecast = forecast_for(waiting_jobs(10, long))
         assert forecast is not None
@@ -263,7 +263,7 @@
         self.assertIsNone(check_admission(make_spec('a1', GANG), forecast, 0.5))
 
     def test_unused_guarantees_are_published(self) -> None:
-        """Only of workspaces of which urgent jobs wait beyond them."""
+        """Only of workspaces with urgent jobs beyond them."""
         jobs = waiting_jobs(40, priority=0)
         forecast = forecast_for(jobs, guaranteed=40)
         assert forecast is not None
@@ -272,7 +272,7 @@
         self.assertEqual(forecast.unused_guarantees, expected)
 
     def test_it_is_small(self) -> None:
-        """It stands in a row that each host reads three times a second."""
+        """It is stored in a row that each host reads three times a second."""
         jobs = [
             job
             for priority in (0, 1, 2)
@@ -282,7 +282,7 @@
         self.assertLess(len(msgspec.json.encode(forecast)), 300)
 
     def test_it_is_decoded_as_it_was_encoded(self) -> None:
-        """From a row that holds it among other fields."""
+        """From a row that contains it among other fields."""
         forecast = forecast_for(waiting_jobs(40, priority=0), guaranteed=40)
         content = msgspec.json.decode(msgspec.json.encode(forecast))
         read = msgspec.convert(content, Forecast, str_keys=True)
@@ -290,17 +290,17 @@
 
 
 class ReplayedOverloadTest(unittest.TestCase):
-    """Days drawn from seeds, with a door and without."""
+    """Random days with and without load shedding."""
 
     def test_a_day_with_enough_capacity_refuses_no_job(self) -> None:
-        """Nor one that is full at times."""
+        """Nor does one that is full at times."""
         for rate in (1.0, 1.6):
             day = SheddingDay(load=Load(rate=rate), workers=12, seed=1)
             day.play()
             self.assertEqual(day.refusals, 0, rate)
 
     def test_hardly_anything_that_would_have_earned_is_refused(self) -> None:
-        """Over several times as much as fits; hardly anything is lost by it."""
+        """Demand is several times the capacity; hardly any credit is lost."""
         refused_jobs = 0
         lost = 0.0
         gained = 0.0
@@ -318,7 +318,7 @@
             lost += sum(plain.earned(one) for one in day.refused)
             gained += with_shedding.worth - without_shedding.worth
         self.assertGreater(refused_jobs, 0)
-        # Single days differ by as much for no reason.
+        # Single days differ by as much at random.
         self.assertGreater(gained / 2, -0.02)
         # A twentieth of what as many jobs would have earned in time.
         self.assertLessEqual(lost, 0.05 * refused_jobs * 3)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -1,7 +1,7 @@
-"""What hosts refuse while a cluster is full, and what they do not.
+"""Which jobs hosts refuse while the cluster is overloaded.
 
-A replayed overload: four workers, gangs that take one each for ten seconds,
-and more of them than can end within three times their objective.
+Four workers run gangs that use one worker each for ten seconds, and there are
+more of them than can end within three times their objective.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
     gang=True,
 )
 
-#: Four run at a time; one more would wait for 110 s, and earns for 63 s.
+#: Four run at a time; one more would wait for 110 s, and earns credit for 63 s.
 OVERLOAD = 48
 
 
 def gang(job_id: str, domain: Domain, priority: int = 1) -> JobSpec:
-    """Return a gang that is handed in now."""
+    """Return a gang that is submitted now."""
     return make_spec(
         job_id,
         GANG,
@@ -40,18 +40,18 @@
 
 
 async def overload(domain: Domain) -> tuple[TestHost, TestHost]:
-    """Hand in more than can end in time; return the leader and another."""
+    """Submit more than can end in time; return the leader and another."""
     first = domain.start_host('h1')
     await domain.leader()
     second = domain.start_host('h2')
     await submit_burst(first, domain)
-    # An outlook each second, a heartbeat, a reading.
+    # The time for a forecast each second, a heartbeat and a read.
     await domain.clock.advance(3.0)
     return first, second
 
 
 async def submit_burst(host: TestHost, domain: Domain) -> None:
-    """Hand in all at once, before anybody can know."""
+    """Submit all jobs at once, before a forecast shows them."""
     burst = asyncio.gather(
         *(
             host.handler.accept(gang(f'w{number}', domain), 3.0)
@@ -62,7 +62,7 @@
 
 
 async def is_refused(host: TestHost, spec: JobSpec) -> bool:
-    """Hand a job in; return whether it was refused as not run."""
+    """Submit a job; return whether it was refused as not run."""
     try:
         await host.accept(spec)
     except RefusedError as refused:
@@ -71,18 +71,18 @@
 
 
 def stored_leader_row(domain: Domain) -> LeaderRow:
-    """Return the leader's row as it is stored."""
+    """Return the leader's stored row."""
     row = domain.rows.rows[(tables.LEADER, tables.LEADER_KEY)]
     return leader_row_of(row)
 
 
 class OverloadTest(unittest.TestCase):
-    """More than can be served in time."""
+    """More jobs than can end in time."""
 
     def test_a_job_that_is_too_late_is_refused_at_once_and_not_stored(
         self,
     ) -> None:
-        """By the leader's host and by any other."""
+        """On the leader's host and on any other."""
 
         async def case(domain: Domain) -> None:
             hosts = await overload(domain)
@@ -103,7 +103,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_a_repeat_of_an_accepted_job_is_not_refused(self) -> None:
-        """It is stored: nobody may be told that it does not run."""
+        """It is stored, so its caller must not be told that it does not run."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -115,7 +115,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_a_job_that_a_guarantee_covers_is_accepted(self) -> None:
-        """Urgent, and within what its workspace is guaranteed."""
+        """It is urgent and within the guarantee of its workspace."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -125,7 +125,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_accepted_jobs_end_and_refusals_stop(self) -> None:
-        """The queue drains; nothing is told of it any more."""
+        """Once the queue has drained, no forecast is published."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -136,7 +136,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_the_queue_is_bounded(self) -> None:
-        """Whatever is handed in, covered work aside."""
+        """For all jobs except those that a guarantee covers."""
 
         async def case(domain: Domain) -> None:
             first = domain.start_host('h1')
@@ -161,7 +161,7 @@
 
 
 class NoOverloadTest(unittest.TestCase):
-    """Room for all."""
+    """Enough capacity for all jobs."""
 
     def test_no_forecast_is_published_and_no_job_refused(self) -> None:
         """The leader's row is as small as before."""
@@ -178,7 +178,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_it_can_be_disabled(self) -> None:
-        """By name, like every mechanism."""
+        """By its name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
             domain.disabled = validate_mechanisms(('turning-away',))
@@ -189,7 +189,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    """An outlook that may be wrong refuses nobody."""
+    """A forecast that may be wrong refuses no job."""
 
     def test_the_row_is_too_old(self) -> None:
         """The store refuses the leader's writes only."""
@@ -205,7 +205,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_there_is_no_leader(self) -> None:
-        """Nobody leads any more."""
+        """The leader was killed and no host takes over."""
 
         async def case(domain: Domain) -> None:
             first, second = await overload(domain)
@@ -217,7 +217,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_a_new_leader_refuses_no_job_before_its_own_forecast(self) -> None:
-        """Then it knows what waits as its predecessor did."""
+        """After that it refuses like its predecessor."""
 
         async def case(domain: Domain) -> None:
             first, second = await overload(domain)
@@ -231,7 +231,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_a_host_that_could_not_read_refuses_no_job(self) -> None:
-        """The store refused it for a moment; what came before may land."""
+        """Reads failed for a moment; an earlier job may still be stored."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -248,7 +248,7 @@
     def test_a_request_without_a_response_is_not_refused_on_retry(
         self,
     ) -> None:
-        """It may yet be stored: the store holds it for five seconds."""
+        """It may still be stored: the store delays it for five seconds."""
 
         async def case(domain: Domain) -> None:
             first = domain.start_host('h1')
@@ -272,7 +272,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_a_suspended_host_ignores_an_older_forecast(self) -> None:
-        """Its age counts the pause."""
+        """The age of the forecast includes the suspension."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -291,7 +291,7 @@
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_unknown_forecast_versions_leave_the_row_readable(self) -> None:
-        """A newer one, one that is none at all, and a row without any."""
+        """A newer version, invalid content, and a row without a forecast."""
         contents = (
             [2, 5, 10, [], {}, [], 'more'],
             [1, 5, 10, 'roster'],
@@ -306,7 +306,7 @@
         self.assertIsNone(older.forecast)
 
     def test_hosts_ignore_unknown_forecast_versions(self) -> None:
-        """They accept as before."""
+        """They accept jobs as without a forecast."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -28,7 +28,7 @@
 
 
 def needs(gpus: int) -> Resources:
-    """Return a task's needs."""
+    """Return the resources that a task needs."""
     return Resources(cpu_millis=1000, memory_mb=1024, gpus=gpus)
 
 
@@ -43,7 +43,7 @@
     perpetual: bool = False,
     kind: RunKind = PLAIN,
 ) -> Run:
-    """Return a run that takes accelerators of a worker."""
+    """Return a run that uses accelerators of a worker."""
     run = Run(
         key=TaskKey(job_id, 0, 0, rank),
         attempt=1,
@@ -66,7 +66,7 @@
     *runs: Run,
     failure_score: float = 0.0,
 ) -> WorkerCapacity:
-    """Return a worker's room."""
+    """Return the capacity of a worker with some runs."""
     entry = WorkerEntry(
         worker_id=worker_id,
         service=SERVICE,
@@ -85,7 +85,7 @@
     running: Sequence[ActiveJob] = (),
     disabled: Sequence[str] = (),
 ) -> Plan:
-    """Make one round."""
+    """Return the decisions of one round."""
     planner = Planner(
         workers={SERVICE: workers},
         guaranteed=guaranteed or {},
@@ -97,7 +97,7 @@
 
 
 def make_job(spec: JobSpec, runs: Sequence[Run] = ()) -> ActiveJob:
-    """Return a job with the runs that it has."""
+    """Return a job with some runs."""
     job = ActiveJob(
         spec=spec,
         progress=JobProgress(queue=spec.queue.name, tasks={}),
@@ -115,10 +115,10 @@
 
 
 class FailureScoreTest(unittest.TestCase):
-    """Workers at which runs failed or stood still."""
+    """Workers with recent failed or stalled runs."""
 
     def test_a_gang_goes_to_the_rack_without_failures(self) -> None:
-        """Both racks have room; one worker of the first failed a run."""
+        """Both racks are free; one worker of the first failed a run."""
         workers = [
             make_worker('a1', 'r1', failure_score=1),
             make_worker('a2', 'r1'),
@@ -130,7 +130,7 @@
         self.assertEqual(placed(decided), {'a': ['b1', 'b2']})
 
     def test_a_worker_with_failures_is_better_than_none(self) -> None:
-        """The one rack that fits has a worker with failures."""
+        """The only rack that fits has a worker with failures."""
         workers = [
             make_worker('a1', 'r1', failure_score=1),
             make_worker('a2', 'r1'),
@@ -141,7 +141,7 @@
         self.assertEqual(placed(decided), {'a': ['a2', 'a1']})
 
     def test_runs_on_workers_without_failures_are_preempted(self) -> None:
-        """Two workers would cost the same; one of them failed a run."""
+        """Two workers would lose as much work; one of them failed a run."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8), failure_score=1),
             make_worker('a2', 'r1', make_run('a2', 8, job_id='b')),
@@ -152,26 +152,26 @@
 
 
 class BoundedLossTest(unittest.TestCase):
-    """What an urgent job may throw away."""
+    """How much work may be lost for an urgent job."""
 
     step = Step(width=1, needs=needs(8), estimate_s=1.0)
 
     def test_a_job_beyond_its_guarantee_does_not_preempt_long_work(
         self,
     ) -> None:
-        """A minute of work for a second of it: the job waits."""
+        """A minute of work would be lost for one second: the job waits."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         decided = plan(workers, make_spec('a', self.step, priority=0))
         self.assertEqual(decided.victims, ())
 
     def test_a_job_beyond_its_guarantee_preempts_a_new_run(self) -> None:
-        """Hardly any work is lost."""
+        """Hardly any work is lost by it."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1))]
         decided = plan(workers, make_spec('a', self.step, priority=0))
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
     def test_a_covered_job_preempts_whatever_it_needs(self) -> None:
-        """Its workspace's guarantee goes before any work of others."""
+        """Its workspace's guarantee outweighs any work of others."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         decided = plan(
             workers,
@@ -185,7 +185,7 @@
     """Tasks that run until their job is cancelled."""
 
     def test_a_perpetual_task_preempts_in_a_full_cluster(self) -> None:
-        """It must be at work again soon, however full the service is."""
+        """It must run again soon, however full the service is."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, priority=1))]
         step = Step(width=1, needs=needs(1), perpetual=True)
         decided = plan(workers, make_spec('a', step, priority=2))
@@ -202,7 +202,7 @@
         self.assertEqual([one.worker_id for one in decided.victims], ['a2'])
 
     def test_best_effort_and_serving_tasks_share_no_worker(self) -> None:
-        """Neither is put beside the other."""
+        """Neither is placed beside the other."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 1, kind=SERVING)),
             make_worker('a2', 'r1', make_run('a2', 1, kind=FILLING)),
@@ -220,7 +220,7 @@
 
 
 class RackTest(unittest.TestCase):
-    """Tasks that run longer apart stay together."""
+    """Tasks that run faster together are placed in one rack."""
 
     def test_a_gang_of_one_rack_is_placed_in_one_rack(self) -> None:
         """Two workers of one rack are free, and one of another."""
@@ -235,7 +235,7 @@
         self.assertEqual(placed(decided), {'j1': ['b1', 'b2']})
 
     def test_an_urgent_gang_preempts_in_one_rack(self) -> None:
-        """It stops the cheaper run rather than run apart."""
+        """It preempts the cheaper run instead of using both racks."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8, age_s=5)),
             make_worker('a2', 'r1'),
@@ -248,7 +248,7 @@
         self.assertEqual([run.worker_id for run in decided.victims], ['a1'])
 
     def test_a_gang_too_wide_for_any_rack_runs_in_several(self) -> None:
-        """Three workers' worth over racks of two."""
+        """It needs three workers, and racks have two."""
         workers = [
             make_worker('a1', 'r1'),
             make_worker('a2', 'r1'),
@@ -259,7 +259,7 @@
         self.assertEqual(len(placed(decided)['j1']), 3)
 
     def test_a_task_waits_for_its_data_and_then_goes_elsewhere(self) -> None:
-        """It waits for as long as running away from the data would cost."""
+        """It waits for as long as the run time far from the data would add."""
         step = Step(width=1, needs=needs(8), near_rack='r1', estimate_s=10)
         full = make_worker('a1', 'r1', make_run('a1', 8))
         early = make_spec('j1', step)
@@ -273,10 +273,10 @@
 
 
 class EvictionTest(unittest.TestCase):
-    """Urgent work makes room at the least loss."""
+    """Urgent work preempts the runs with the least loss."""
 
     def test_a_whole_gang_counts_as_lost(self) -> None:
-        """A lone older run is stopped rather than one of four fellows."""
+        """A single older run is stopped rather than one of a gang of four."""
         gang = [make_run('a1', 8, job_id='g', rank=0, age_s=4)]
         gang += [
             make_run(f'c{rank}', 8, job_id='g', rank=rank, age_s=4)
@@ -311,14 +311,14 @@
         self.assertEqual(decided.victims, ())
 
     def test_urgent_runs_are_never_preempted(self) -> None:
-        """Nothing can be done but wait."""
+        """The job must wait."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, priority=0))]
         step = Step(width=1, needs=needs(8))
         decided = plan(workers, make_spec('j1', step, priority=0))
         self.assertEqual(decided.victims, ())
 
     def test_nothing_is_preempted_for_a_gang_that_cannot_fit(self) -> None:
-        """One room can be emptied, the other holds urgent work."""
+        """One worker can be emptied, the other runs urgent work."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8)),
             make_worker('a2', 'r1', make_run('a2', 8, priority=0)),
@@ -329,7 +329,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Who goes first."""
+    """Which jobs and workers are first."""
 
     def test_covered_urgent_jobs_are_served_before_others(self) -> None:
         """A workspace beyond its guarantee waits for one within it."""
@@ -345,7 +345,7 @@
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
     def test_a_waiting_gang_reserves_capacity(self) -> None:
-        """A later small job does not take what the gang waits for."""
+        """A later small job does not use what the gang waits for."""
         workers = [
             make_worker('a1', 'r1'),
             make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
@@ -360,7 +360,7 @@
         self.assertEqual(placed(decided), {})
 
     def test_a_worker_with_failures_is_chosen_last(self) -> None:
-        """Its runs have failed of late."""
+        """Its runs have failed lately."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 4), failure_score=2),
             make_worker('a2', 'r1'),
@@ -371,10 +371,10 @@
 
 
 class LimitTest(unittest.TestCase):
-    """What a step allows."""
+    """The constraints of a step."""
 
     def test_labels_and_limits_per_worker_hold(self) -> None:
-        """Only labelled workers, two tasks each."""
+        """Only workers with the label, two tasks each."""
         workers = [make_worker(f'a{one}', 'r1') for one in range(2)]
         workers.append(make_worker('b1', 'r2'))
         step = Step(
@@ -388,7 +388,7 @@
         self.assertEqual(sorted(worker_ids), ['a0', 'a0', 'a1', 'a1'])
 
     def test_preemption_respects_the_limit_per_worker(self) -> None:
-        """One task a worker: room for both on the cheaper one does not do."""
+        """One task per worker: capacity for both on one worker is no help."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8, age_s=1)),
             make_worker('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
@@ -411,7 +411,7 @@
         gangs: list[bool],
         used: list[int],
     ) -> None:
-        """Whatever the jobs and what runs."""
+        """For random jobs and runs."""
         workers = [
             make_worker(f'w{one}', f'r{one % 2}', make_run(f'w{one}', taken))
             for one, taken in enumerate(used)
@@ -436,12 +436,12 @@
 
 
 class ReservedForTest(unittest.TestCase):
-    """For whom a round keeps room."""
+    """The jobs that a round reserves or claims capacity for."""
 
     gang = Step(width=2, needs=needs(8), gang=True)
 
     def test_a_gang_that_does_not_fit_is_listed(self) -> None:
-        """The small job that waits for what is kept is not."""
+        """The small job that could use what is reserved is not."""
         workers = [
             make_worker('a1', 'r1'),
             make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
@@ -455,7 +455,7 @@
         self.assertEqual(decided.reserved_for, ('j1',))
 
     def test_a_job_that_preempts_is_listed_once(self) -> None:
-        """Both of its tasks keep what becomes free."""
+        """Both of its tasks claim what becomes free."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8, age_s=0.1)),
             make_worker('a2', 'r1', make_run('a2', 8, age_s=0.1)),
@@ -466,7 +466,7 @@
         self.assertEqual(decided.reserved_for, ('j1',))
 
     def test_no_job_is_listed_where_all_fits(self) -> None:
-        """Nothing is kept."""
+        """Nothing is reserved."""
         workers = [make_worker('a1', 'r1'), make_worker('a2', 'r1')]
         decided = plan(workers, make_spec('j1', self.gang))
         self.assertEqual(placed(decided), {'j1': ['a1', 'a2']})
@@ -474,10 +474,10 @@
 
 
 class MechanismTest(unittest.TestCase):
-    """What can be switched off by name."""
+    """The mechanisms that can be disabled by name."""
 
     def test_a_gang_reserves_nothing_without_the_mechanism(self) -> None:
-        """The small job takes what is free."""
+        """The small job uses what is free."""
         workers = [
             make_worker('a1', 'r1'),
             make_worker('a2', 'r1', make_run('a2', 8, priority=1)),
@@ -492,7 +492,7 @@
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
     def test_a_task_waits_for_no_rack_without_the_mechanism(self) -> None:
-        """It goes where room is."""
+        """It starts where capacity is free."""
         workers = [
             make_worker('a1', 'r1', make_run('a1', 8)),
             make_worker('b1', 'r2'),
@@ -504,7 +504,7 @@
         self.assertEqual(placed(decided), {'j1': ['b1']})
 
     def test_an_urgent_job_preempts_any_work_without_the_bound(self) -> None:
-        """A minute of work for a second of it."""
+        """A minute of work is lost for one second."""
         workers = [make_worker('a1', 'r1', make_run('a1', 8, age_s=60))]
         step = Step(width=1, needs=needs(8), estimate_s=1.0)
         decided = plan(
@@ -515,6 +515,6 @@
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
     def test_an_unknown_name_is_refused(self) -> None:
-        """The error names those that are known."""
+        """The error lists the known names."""
         with self.assertRaisesRegex(SettingsError, 'rack-patience'):
             validate_mechanisms(['rack-patients'])
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -1,4 +1,4 @@
-"""What one round of placement keeps to, whatever the cluster and the jobs."""
+"""Properties of one round of placement, for random clusters and jobs."""
 
 import unittest
 from collections import Counter
@@ -15,21 +15,21 @@
 RACKS: Final = ('r1', 'r2', 'r3')
 WORKSPACES: Final = ('alpha', 'beta')
 
-#: Accelerators that a task may take; a worker has eight.
+#: Accelerators that a task may need; a worker has eight.
 SIZES: Final = (1, 2, 4, 8)
 
-#: Processor that a task may take; a worker has 32,000.
+#: Millicores that a task may need; a worker has 32,000.
 PROCESSORS: Final = (1000, 12_000)
 
 
 class Case(NamedTuple):
-    """A cluster with what runs on it, and jobs that wait."""
+    """A cluster with its runs, and waiting jobs."""
 
     workers: list[WorkerCapacity]
     specs: list[JobSpec]
 
     def worker(self, worker_id: str) -> WorkerCapacity:
-        """Return the room of a worker."""
+        """Return a worker by its id."""
         return next(
             worker
             for worker in self.workers
@@ -46,7 +46,7 @@
 
 @st.composite
 def drawn_workers(draw: st.DrawFn) -> list[WorkerCapacity]:
-    """Draw workers in racks, each with runs that fit it."""
+    """Draw workers in racks, each with runs that fit."""
     workers = []
     for rack in RACKS[: draw(st.integers(1, len(RACKS)))]:
         for number in range(draw(st.integers(1, 3))):
@@ -61,7 +61,7 @@
 
 @st.composite
 def runs_on(draw: st.DrawFn, worker_id: str) -> list[Run]:
-    """Draw runs that a worker has, some of them being stopped."""
+    """Draw the runs of a worker, some of them being stopped."""
     runs: list[Run] = []
     free = WORKER_CAPACITY
     for rank, wanted in enumerate(draw(st.lists(NEEDS))):
@@ -105,7 +105,7 @@
 
 @st.composite
 def jobs(draw: st.DrawFn) -> list[JobSpec]:
-    """Draw jobs of one step, or of two of which one waits for the other."""
+    """Draw jobs of one step, or of two steps in sequence."""
     specs = []
     for number in range(draw(st.integers(1, 5))):
         steps = [draw(STEPS)]
@@ -129,12 +129,12 @@
 
 
 def taken(worker: WorkerCapacity, decided: Plan) -> Resources:
-    """Return what a worker has to give at once: all that runs, and starts."""
+    """Return the resources that all runs and starts on a worker need."""
     total = Resources()
     for run in worker.runs:
         total = total.plus(run.needs)
     for run in decided.victims:
-        # A run that is stopped takes its room until it has ended.
+        # A run that is stopped uses its resources until it has ended.
         if run.worker_id == worker.entry.worker_id:
             total = total.plus(run.needs)
     for placement in decided.placements:
@@ -145,7 +145,7 @@
 
 
 class RoundPropertiesTest(unittest.TestCase):
-    """Random clusters, random jobs, one round."""
+    """One round with a random cluster and random jobs."""
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
@@ -154,7 +154,7 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """What is being stopped still counts."""
+        """Runs that are being stopped still count."""
         decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         for worker in case.workers:
             total = taken(worker, decided)
@@ -167,7 +167,7 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Never a part of it."""
+        """All of its members or none."""
         decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         for placement in decided.placements:
             step = placement.ready.step
@@ -182,7 +182,7 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Labels, tasks a worker, steps that come first, once each."""
+        """Labels, tasks per worker, preceding steps; each task starts once."""
         decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         started: Counter[str] = Counter()
         for placement in decided.placements:
@@ -206,7 +206,7 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Urgent work is never stopped for other work."""
+        """Urgent work is never preempted."""
         decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         names = [run.name for run in decided.victims]
         self.assertEqual(len(names), len(set(names)))
@@ -222,12 +222,12 @@
         size: int,
         extra: int,
     ) -> None:
-        """It is placed now, or what it needs is being stopped."""
+        """It is placed now, or enough runs are being stopped for it."""
         step = Step(width=1, needs=needs(size), estimate_s=0.5)
         possible = any(
             reclaimable(worker).covers(step.needs) for worker in workers
         )
-        # Stopped already: nothing more is to be stopped for it.
+        # Enough is being stopped already: nothing more must be stopped.
         coming = any(worker.unclaimed.covers(step.needs) for worker in workers)
         spec = make_spec('a', step, priority=0)
         decided = plan(workers, spec, guaranteed={'alpha': size + extra})
@@ -241,7 +241,7 @@
         racks: list[str],
         step: Step,
     ) -> None:
-        """Of a step without wishes something starts at once."""
+        """Tasks of a step without constraints start at once."""
         plain = step._replace(near_rack='', same_rack=False, label='')
         idle = [
             make_worker(f'w{number}', rack) for number, rack in enumerate(racks)
@@ -263,7 +263,7 @@
 
 
 def reclaimable(worker: WorkerCapacity) -> Resources:
-    """Return the room that is free, or held by what may stop or does."""
+    """Return the capacity that is free, evictable or being stopped."""
     left = worker.entry.capacity
     for run in worker.runs:
         if run.priority == 0 and not run.stop_wanted:
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""How a job's progress is stored."""
+"""Storage of a job's progress."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 from curranthill.tasks.checks import MOST_STEPS, MOST_TASKS
 from tests.domain import ONE_GPU, make_spec
 
-#: The most bytes that a row of the platform holds.
+#: The maximum size of a row of the platform, in bytes.
 ROW_BYTES = 65_536
 
 
@@ -24,7 +24,7 @@
     """Progress stays within one row."""
 
     def test_the_widest_job_with_checkpoints_fits_a_row(self) -> None:
-        """Checkpoints as random as they come, 176 workers."""
+        """Random checkpoints, 176 workers."""
         draw = random.Random(1)
         tasks = {
             f'0.0.{rank}': TaskProgress(
@@ -40,7 +40,7 @@
         self.assertEqual(decode(content, JobProgress), progress)
 
     def test_the_longest_job_fits_a_row(self) -> None:
-        """As many steps as may be, each after one of the first."""
+        """The maximum number of steps, each after the first one."""
         steps = tuple(
             Step(
                 width=1,
@@ -66,7 +66,7 @@
         self.assertFalse(faults_of('', (often,), times=4))
 
     def test_tasks_of_a_done_step_are_not_stored(self) -> None:
-        """Of a job that repeats, only what is not done is listed."""
+        """Of a recurring job only the occurrences that are not done are."""
         step = Step(width=2, needs=ONE_GPU)
         spec = make_spec('a1', step)._replace(times=2)
         progress = JobProgress(queue='batch', tasks={})
--- a/tests/test_recorded_rounds.py
+++ b/tests/test_recorded_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds over full clusters: the plans on record, and what they may cost."""
+"""Rounds over full clusters: the recorded plans, and the cost of planning."""
 
 import unittest
 from unittest.mock import PropertyMock, patch
@@ -9,10 +9,10 @@
 
 
 class RecordedRoundsTest(unittest.TestCase):
-    """A change of how a round is worked out must not change what it decides.
+    """A change of the implementation must not change the decisions.
 
-    A change of policy records anew (``python -m bench.record_rounds``), and
-    its commit says which plans differ.
+    After a change of policy the rounds are recorded again (``python -m
+    bench.record_rounds``), and the commit says which plans differ.
     """
 
     def test_plans_equal_the_recorded_ones(self) -> None:
@@ -28,7 +28,7 @@
 
 
 class CostTest(unittest.TestCase):
-    """What a round may cost, counted rather than timed."""
+    """The cost of a round, counted rather than timed."""
 
     def test_the_loss_of_a_run_is_computed_a_few_times_only(self) -> None:
         """40 jobs wait for 176 workers; 59,000 sums took 265 ms."""
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""The replay of loads against the decisions of ``placement``."""
+"""The replay of loads with the decisions of ``placement``."""
 
 import unittest
 
@@ -14,20 +14,20 @@
 
 
 class ReplayTest(unittest.TestCase):
-    """What a played day tells."""
+    """The results of a replayed day."""
 
     def test_a_seed_replays_the_same_day(self) -> None:
-        """To the last digit."""
+        """The results are equal to the last digit."""
         self.assertEqual(play(LOADS['burst']), play(LOADS['burst']))
 
     def test_nearly_all_credit_is_earned_with_enough_capacity(self) -> None:
-        """A quarter of the usual load; some runs fail by themselves."""
+        """A quarter of the usual load; some runs fail at random."""
         outcome = play(Load(rate=0.25))
         self.assertGreater(outcome.credit, 0.9)
         self.assertLess(outcome.wasted_share, 0.05)
 
     def test_too_much_load_costs_the_lower_priorities_first(self) -> None:
-        """Urgent jobs take their room."""
+        """Urgent jobs use their capacity."""
         outcome = play(Load(rate=4.0))
         self.assertLess(outcome.credit, 0.95)
         self.assertGreater(outcome.urgent, outcome.middle)
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""What is learnt of workers' speeds and of how long work takes."""
+"""Estimation of workers' speeds and of run times."""
 
 import math
 import random
@@ -12,28 +12,29 @@
 from curranthill.placement.speeds import Observation, Speed, SpeedEstimator
 from curranthill.tasks import TaskKey
 
-#: Tasks of the drawn steps, and how far their estimates are off.
+#: The number of tasks of the random steps, and the spread of their estimates
+#: as a logarithm.
 WIDTH = 12
 ESTIMATE_ERROR = 0.6
 
-#: One task in so many takes several times as long.
+#: One task in so many takes LONG_FACTOR times as long.
 LONG_EVERY = 33
 LONG_FACTOR = 7.0
 
 
 def equal_speeds(number: int) -> list[float]:
-    """Return the speeds of so many workers that are alike."""
+    """Return the speeds of so many equal workers."""
     return [1.0 for _ in range(number)]
 
 
 class Load:
-    """Runs on workers of drawn speeds, as a book is told of them.
+    """Records random runs on workers of given speeds in an estimator.
 
     :param speeds: by worker.
     """
 
     def __init__(self, speeds: Sequence[float], seed: int) -> None:
-        """Start with nothing run."""
+        """Initialize without any run."""
         self.speeds = speeds
         self.durations = DurationEstimator()
         self.estimator = SpeedEstimator(durations=self.durations)
@@ -65,28 +66,28 @@
     def record(
         self, number: int, progress_rate: float, rank: int, job: str = ''
     ) -> None:
-        """Tell of one run."""
+        """Record one run."""
         key = TaskKey(job or f'j{self._steps}', 0, 0, rank)
         self.estimator.record(
             Observation(f'w{number}', 1, 'batch', key, progress_rate)
         )
 
     def speed(self, number: int) -> Speed:
-        """Return what is known of a worker."""
+        """Return the estimated speed of a worker."""
         return self.estimator.speed_of(f'w{number}', 1)
 
 
 class SpeedTest(unittest.TestCase):
-    """What the runs of a worker tell of it."""
+    """Estimates from the runs of workers."""
 
     def test_a_new_worker_counts_as_typical(self) -> None:
-        """It counts as a typical one."""
+        """Its factor is 1."""
         estimator = SpeedEstimator(durations=DurationEstimator())
         estimator.refresh()
         self.assertEqual(estimator.speed_of('w0', 1).factor, 1.0)
 
     def test_lastingly_slow_workers_are_detected(self) -> None:
-        """A quarter is half as fast; estimates are off by half."""
+        """A quarter is half as fast; estimates are wrong by half."""
         load = Load([1.2 if one % 4 else 0.55 for one in range(40)], 1)
         load.run(60)
         for number, speed in enumerate(load.speeds):
@@ -97,7 +98,7 @@
                 self.assertGreater(factor, 0.75)
 
     def test_equal_workers_count_as_equal(self) -> None:
-        """Whatever their tasks and estimates did by chance."""
+        """Despite random tasks and estimates."""
         for seed in range(5):
             load = Load(equal_speeds(40), seed)
             load.run(60)
@@ -107,7 +108,7 @@
             self.assertLessEqual(len(different), 1)
 
     def test_a_long_task_makes_no_worker_slow(self) -> None:
-        """Its worker did well before, and even one that is new."""
+        """Neither a worker with earlier runs, nor a new one."""
         load = Load(equal_speeds(10), 3)
         load.run(20, task_spread=0.1)
         before = load.speed(0).estimate
@@ -119,7 +120,7 @@
         self.assertEqual(load.speed(10).factor, 1.0)
 
     def test_a_step_that_was_estimated_short_makes_no_worker_slow(self) -> None:
-        """Six steps in a row, on one worker alone, all take four times."""
+        """Three steps in a row, on one worker only, all take four times."""
         load = Load(equal_speeds(10), 4)
         load.run(20, estimate_error=0.9)
         for number in range(3):
@@ -129,7 +130,7 @@
         self.assertGreater(load.speed(0).factor, 0.6)
 
     def test_a_short_slowdown_is_not_lasting(self) -> None:
-        """A few steps at a fifth of the pace, after many at the usual."""
+        """A few steps at a fifth of the rate, after many at the usual one."""
         load = Load(equal_speeds(20), 5)
         load.run(60, task_spread=0.15)
         for number in range(4):
@@ -140,7 +141,7 @@
         self.assertGreater(load.speed(0).estimate, 0.7)
 
     def test_another_incarnation_counts_as_typical(self) -> None:
-        """A worker that started again may be another machine."""
+        """A restarted worker may be another machine."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
         self.assertLess(load.speed(0).factor, 0.6)
@@ -152,7 +153,7 @@
         self.assertEqual(load.speed(0).factor, 1.0)
 
     def test_removed_workers_are_dropped(self) -> None:
-        """What is kept is bounded by the workers there are."""
+        """The stored data is bounded by the number of workers."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
         load.estimator.forget_except(['w1', 'w2', 'w3'])
@@ -170,7 +171,7 @@
 
 
 class RandomSpeedTest(unittest.TestCase):
-    """Speeds as they come."""
+    """Random speeds."""
 
     @settings(max_examples=25, deadline=None)
     @given(
@@ -184,7 +185,7 @@
         share: int,
         seed: int,
     ) -> None:
-        """After some sixteen steps a worker, the slow ones come first."""
+        """After some sixteen steps per worker the slow ones rank first."""
         speeds = [1.0 if one % share else slow for one in range(24)]
         load = Load(speeds, seed)
         load.run(60)
@@ -203,7 +204,7 @@
         error_factor: float,
         seed: int,
     ) -> None:
-        """Its paces are off by any factor."""
+        """Its progress rates are wrong by any factor."""
         load = Load([error_factor, *equal_speeds(15)], seed)
         load.run(60)
         for number in range(1, 16):
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,4 +1,4 @@
-"""Work that fits starts in bounded time, whatever waits or runs before it."""
+"""Jobs that fit start in bounded time, whatever waits or runs before them."""
 
 import math
 import unittest
@@ -29,13 +29,13 @@
 #: Workers that some tests leave empty.
 EMPTY = WORKERS[:3]
 
-#: What fits beside most of what may stand in front of it.
+#: A step that fits beside most jobs that may be ahead of it.
 SMALL = Step(width=2, needs=needs(1), gang=True, estimate_s=1.0)
 
-#: How long what fits may wait for whoever is before it, in seconds.
+#: How long a job that fits may wait for jobs ahead of it, in seconds.
 MAX_WAIT_S = 30.0
 
-#: How long at most a job has nothing running while most room is free, in
+#: How long a job may have nothing running while most capacity is free, in
 #: seconds.
 MAX_IDLE_S = 3.0
 
@@ -60,21 +60,21 @@
 
 
 def overdue(worker_id: str) -> Sequence[Run]:
-    """Return a run that goes on for far longer than was estimated."""
+    """Return a run that takes far longer than estimated."""
     run = make_run(worker_id, 1, age_s=90.0)
     run.estimate_s = 3.0
     return (run,)
 
 
 def overdue_and_full(worker_id: str) -> Sequence[Run]:
-    """Return a run like that, with more than half of a worker."""
+    """Return such a run that uses more than half of a worker."""
     run = make_run(worker_id, 5, age_s=90.0)
     run.estimate_s = 3.0
     return (run,)
 
 
 def processor_full(worker_id: str, age_s: float) -> Sequence[Run]:
-    """Return a run that leaves accelerators free, and no processor."""
+    """Return a run that leaves accelerators free, but no processor."""
     run = make_run(worker_id, 1, age_s=age_s)
     run.needs = WORKER_CAPACITY._replace(gpus=1)
     run.estimate_s = 20.0
@@ -82,7 +82,7 @@
 
 
 def suspect(age_s: float) -> RunsOf:
-    """Return what makes a run that started alone on its worker."""
+    """Return a function that makes an exclusive run for a worker."""
 
     def runs(worker_id: str) -> Sequence[Run]:
         run = make_run(worker_id, 1, age_s=age_s)
@@ -98,7 +98,7 @@
 
 
 def workers_with(runs_of: RunsOf) -> list[WorkerCapacity]:
-    """Return all workers' rooms."""
+    """Return all workers, each with its runs."""
     return [
         make_worker(worker_id, f'r{worker_id[0]}', *runs_of(worker_id))
         for worker_id in WORKERS
@@ -113,7 +113,7 @@
 ) -> float | None:
     """Return when a job starts, if it does while no run ends.
 
-    Those in front are over once they could have run.
+    A job ahead is done as soon as its estimated run time has passed.
     """
     jobs_ahead = {spec.job_id: make_job(spec) for spec in ahead}
     done_s = dict.fromkeys(jobs_ahead, math.inf)
@@ -143,7 +143,7 @@
 
 
 def small_job() -> ActiveJob:
-    """Return a small gang that goes after others of its priority."""
+    """Return a small gang that is served after others of its priority."""
     return make_job(make_spec('small', SMALL, priority=2))
 
 
@@ -167,15 +167,15 @@
     now_s: float,
     wait_s: float,
 ) -> bool:
-    """Return whether a job's only gang may keep room."""
+    """Return whether a job's only gang may reserve capacity."""
     return windows.may_reserve(SERVICE, job, member_of(job), now_s, wait_s)
 
 
 class ReservationTest(unittest.TestCase):
-    """A gang that does not fit keeps room only if it can get it."""
+    """A gang that does not fit reserves capacity only if it will fit."""
 
     def test_a_gang_larger_than_the_cluster_reserves_nothing(self) -> None:
-        """Nine whole workers will not come, however long it waits."""
+        """There are no nine workers, however long it waits."""
         gang = Step(width=9, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
             workers_with(nothing),
@@ -185,7 +185,7 @@
         self.assertIn('small', placed(decided))
 
     def test_a_gang_reserves_no_workers_without_its_label(self) -> None:
-        """Nobody has its label, so nothing that ends lets it start."""
+        """No worker has its label, so it can never start."""
         gang = Step(8, needs(8), gang=True, label='none', estimate_s=1.0)
         decided = plan(
             workers_with(nothing),
@@ -195,7 +195,7 @@
         self.assertIn('small', placed(decided))
 
     def test_a_gang_reserves_nothing_beside_perpetual_runs(self) -> None:
-        """A whole worker with a lasting run never gets empty."""
+        """A worker with a perpetual run never gets empty."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         decided = plan(
             workers_with(perpetual),
@@ -205,7 +205,7 @@
         self.assertIn('small', placed(decided))
 
     def test_a_gang_does_not_reserve_for_ever(self) -> None:
-        """Runs that do not end as estimated hold up the gang, not others."""
+        """Runs that outlast their estimates delay the gang, not others."""
         gang = Step(width=8, needs=needs(8), gang=True, estimate_s=1.0)
         for runs_of in (overdue, overdue_and_full):
             job = small_job()
@@ -220,7 +220,7 @@
         self.assertIsNotNone(started_s)
 
     def test_a_gang_reserves_while_the_runs_it_waits_for_end(self) -> None:
-        """Small jobs do not take it after the first moments."""
+        """Small jobs do not use it after the first moments."""
 
         def running(worker_id: str) -> Sequence[Run]:
             run = make_run(worker_id, 5, age_s=0.0)
@@ -238,10 +238,10 @@
 
 
 class RackTest(unittest.TestCase):
-    """Waits for a rack that never has the room."""
+    """Racks that never have enough free capacity."""
 
     def test_a_gang_waits_for_no_rack_with_a_perpetual_run(self) -> None:
-        """One lasts in each rack; the gang needs four whole workers."""
+        """Each rack has one; the gang needs four empty workers."""
 
         def runs(worker_id: str) -> Sequence[Run]:
             return perpetual(worker_id) if worker_id[1] == '0' else ()
@@ -255,7 +255,7 @@
     """The wall clock is set back by an hour while a job waits."""
 
     def test_a_suspect_does_not_wait_for_the_time_set_back(self) -> None:
-        """No worker is empty; it starts beside others after its patience."""
+        """No worker is empty; it starts beside others after its wait."""
         gang = Step(7, needs(1), gang=True, estimate_s=9.0)
         self.check_starts(suspect_job('s1', gang), workers_with(overdue))
 
@@ -288,10 +288,10 @@
 
 
 class WindowTest(unittest.TestCase):
-    """A gang keeps room by turns."""
+    """A gang reserves capacity in windows."""
 
     def test_a_window_is_as_long_as_the_wait_requires(self) -> None:
-        """A short pause follows, and then another turn."""
+        """A short cooldown follows, and then another window."""
         windows = ReservationWindows()
         job = small_job()
         reserved_s = [
@@ -302,13 +302,13 @@
         self.assertEqual(reserved_s, [*range(8), *range(10, 18)])
 
     def test_a_cooldown_applies_to_all_gangs_of_a_service(self) -> None:
-        """Others would keep the room in it."""
+        """Otherwise another gang would reserve the capacity meanwhile."""
         windows = ReservationWindows()
         may_reserve(windows, small_job(), NOW_S, 0.0)
         self.assertFalse(may_reserve(windows, small_job(), NOW_S + 6, 0.0))
 
     def test_a_window_ends_when_its_gang_starts(self) -> None:
-        """The next one has as long."""
+        """The next gang gets a full window."""
         windows = ReservationWindows()
         first = small_job()
         may_reserve(windows, first, NOW_S, 0.0)
@@ -317,7 +317,7 @@
         self.assertTrue(may_reserve(windows, small_job(), NOW_S + 8, 0.0))
 
     def test_a_clock_that_is_set_back_does_not_prolong_a_cooldown(self) -> None:
-        """The time passed is not known; another turn begins."""
+        """The time that passed is unknown, so another window begins."""
         windows = ReservationWindows()
         job = small_job()
         may_reserve(windows, job, NOW_S, 0.0)
@@ -327,10 +327,10 @@
 
 
 class ExclusiveSuspectTest(unittest.TestCase):
-    """Suspects have workers for themselves for a bounded time and share."""
+    """Suspects use workers exclusively for a bounded time and share."""
 
     def test_others_start_beside_suspects_after_the_trial(self) -> None:
-        """Seven eighths of all room are free."""
+        """Seven eighths of all capacity are free."""
         decided = plan(
             workers_with(suspect(20.0)),
             make_spec('small', SMALL, priority=2),
@@ -338,7 +338,7 @@
         self.assertIn('small', placed(decided))
 
     def test_a_suspect_on_trial_runs_exclusively(self) -> None:
-        """A crash would hit what starts beside it."""
+        """A crash would affect a task that starts beside it."""
         decided = plan(
             [make_worker('a1', 'r1', *suspect(SUSPECT_TRIAL_S / 2)('a1'))],
             make_spec('small', SMALL, priority=2),
@@ -346,7 +346,7 @@
         self.assertEqual(placed(decided), {})
 
     def test_a_worker_without_a_suspect_is_preferred(self) -> None:
-        """It may crash late; a fuller worker would be taken otherwise."""
+        """A suspect may crash late; best fit would choose its worker."""
         workers = [
             make_worker('a1', 'r1', *suspect(20.0)('a1')),
             make_worker('a2', 'r1'),
@@ -355,7 +355,7 @@
         self.assertEqual(placed(decided), {'small': ['a2', 'a2']})
 
     def test_a_suspect_does_not_wait_long_for_an_empty_worker(self) -> None:
-        """Most room is free, and each worker runs something."""
+        """Most capacity is free, and each worker runs something."""
         for width in (1, 7):
             gang = Step(width, needs(1), gang=True, estimate_s=9.0)
             started_s = waited_s(overdue, [UNPLACED], suspect_job('s1', gang))
@@ -375,14 +375,14 @@
 
 
 class StreamTest(unittest.TestCase):
-    """Small jobs that come one after the other beside a large gang."""
+    """A continuous sequence of small jobs beside a large gang."""
 
     def test_small_jobs_do_not_starve_a_gang_of_all_workers(self) -> None:
         """Three of eight workers are in use on average."""
         self.check_gang(width=8, every_s=1.7)
 
     def test_small_jobs_do_not_starve_a_gang_of_half_the_workers(self) -> None:
-        """Hardly a processor is free, and most accelerators are."""
+        """Hardly any processor is free, but most accelerators are."""
         self.check_gang(width=4, every_s=0.6)
 
     def check_gang(self, *, width: int, every_s: float) -> None:
@@ -430,10 +430,10 @@
 
 
 class BacklogTest(unittest.TestCase):
-    """More jobs wait than a round looks at."""
+    """More jobs wait than a round considers."""
 
     def test_a_job_after_many_that_do_not_fit_starts(self) -> None:
-        """Its turn to be looked at comes."""
+        """Later rounds consider it."""
         unplaced = [
             make_spec(
                 f'unplaced{number}',
@@ -446,7 +446,7 @@
 
 
 class MostlyFreeTest(unittest.TestCase):
-    """While most room is free nobody waits long with nothing running."""
+    """While most capacity is free no job waits long with nothing running."""
 
     def test_a_starving_job_may_use_reserved_capacity(
         self,
@@ -482,21 +482,21 @@
         self.assertIsNone(waited_s(suspect(0.5), [UNPLACED], job, 4.0))
 
     def test_a_start_ends_the_wait(self) -> None:
-        """A job that was stopped right away waits anew."""
+        """The wait of a job that was stopped right away starts again."""
         job = small_job()
         job.idle_s(NOW_S)
         job.reset_wait(member_of(job))
         self.assertEqual(job.idle_s(NOW_S + 9.0), 0.0)
 
     def test_a_clock_that_is_set_back_resets_the_wait(self) -> None:
-        """It would last for as long as the clock was set back."""
+        """Otherwise it would last until the clock has caught up."""
         job = small_job()
         job.idle_s(NOW_S)
         job.idle_s(NOW_S - 60.0)
         self.assertEqual(job.idle_s(NOW_S - 57.0), 3.0)
 
     def test_a_used_up_processor_is_no_free_capacity(self) -> None:
-        """One of eight workers is empty, and kept for a gang of two."""
+        """One of eight workers is empty, and reserved for a gang of two."""
 
         def runs(worker_id: str) -> Sequence[Run]:
             if worker_id == WORKERS[0]:
@@ -513,7 +513,7 @@
         self.assertIsNone(started_s)
 
     def test_capacity_stays_reserved_in_a_full_cluster(self) -> None:
-        """The gang would never get its fourth worker otherwise."""
+        """Otherwise the gang would never get its fourth worker."""
 
         def runs(worker_id: str) -> Sequence[Run]:
             if worker_id in EMPTY:
@@ -533,7 +533,7 @@
 
 
 class BoundedWaitTest(unittest.TestCase):
-    """Drawn clusters in which nothing ends."""
+    """Random clusters in which no run ends."""
 
     @given(
         st.lists(
@@ -566,7 +566,7 @@
         same_rack: bool,  # noqa: FBT001
         labelled: bool,  # noqa: FBT001
     ) -> None:
-        """Runs are as old as the time that passes makes them."""
+        """Runs get older as time passes."""
         initial = {
             worker_id: runs_of(worker_id)
             for worker_id, runs_of in zip(WORKERS, drawn, strict=True)
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Which runs are better started elsewhere."""
+"""Which runs are moved to another worker."""
 
 import unittest
 
@@ -22,7 +22,7 @@
     checkpointable: bool = False,
     perpetual: bool = False,
 ) -> Run:
-    """Return a run of an estimate of ten seconds."""
+    """Return a run with an estimate of ten seconds."""
     run = Run(
         key=TaskKey('a1', 0, 0, 0),
         attempt=1,
@@ -42,10 +42,10 @@
 
 
 class MoveTest(unittest.TestCase):
-    """Expected ends here and elsewhere."""
+    """The expected remaining times on its worker and elsewhere."""
 
     def test_a_run_on_a_slow_worker_is_moved(self) -> None:
-        """It has only just begun, and would go on for 18 s."""
+        """It has only just started, and would take another 18 s."""
         found = move_of(a_run(age_s=2.0, done_percent=10), 0.45, LEFT_S)
         assert found is not None
         self.assertEqual(found.reason, SLOW)
@@ -61,13 +61,13 @@
         self.assertIsNone(move_of(a_run(age_s=2, done_percent=10), 0.45, 9))
 
     def test_a_run_with_much_progress_stays(self) -> None:
-        """All of its work would be done again."""
+        """All of its work would be repeated."""
         self.assertIsNone(
             move_of(a_run(age_s=9, done_percent=45), 0.45, LEFT_S)
         )
 
     def test_with_a_checkpoint_it_is_moved_later(self) -> None:
-        """Only the newest work is done again."""
+        """Only the newest work is repeated."""
         run = a_run(age_s=9, done_percent=45, checkpointable=True)
         found = move_of(run, 0.45, LEFT_S)
         assert found is not None
@@ -85,7 +85,7 @@
         *,
         checkpointable: bool,
     ) -> None:
-        """It is as long elsewhere."""
+        """It takes as long elsewhere."""
         run = a_run(
             age_s=age_s,
             done_percent=done_percent,
@@ -94,7 +94,7 @@
         self.assertIsNone(move_of(run, 1.0, LEFT_S))
 
     def test_perpetual_and_almost_done_runs_stay(self) -> None:
-        """On however slow a worker."""
+        """However slow the worker is."""
         perpetual = a_run(age_s=2.0, done_percent=10, perpetual=True)
         self.assertIsNone(move_of(perpetual, 0.3, LEFT_S))
         self.assertIsNone(
@@ -118,7 +118,7 @@
 
 
 class MovedTest(unittest.TestCase):
-    """A leader that finds a worker to be slow."""
+    """A leader that detects a slow worker."""
 
     def test_a_task_is_moved_from_a_slow_worker_to_a_free_one(self) -> None:
         """It was started there while the others were full."""
--- a/tests/test_unlike_workers.py
+++ b/tests/test_unlike_workers.py
@@ -1,4 +1,4 @@
-"""What a leader makes of workers of unlike speed."""
+"""How a leader treats workers of different speeds."""
 
 import unittest
 from collections.abc import Iterator
@@ -21,16 +21,16 @@
 )
 from tests.test_planner_properties import CASES, Case
 
-#: How long a task takes, in seconds, on a usual worker and on a slow one.
+#: The run time of a task on a usual worker and on a slow one, in seconds.
 USUAL_S = 2.0
 SLOW_S = 4.5
 
-#: Steps that tell enough of a worker.
+#: The number of steps that is enough to estimate a worker's speed.
 STEPS = 12
 
 
 async def run_many_steps(domain: Domain) -> None:
-    """Have all workers run tasks of several jobs, one after the other."""
+    """Have all workers run tasks of several jobs sequentially."""
     host = domain.start_host('h1')
     await domain.leader()
     step = Step(width=24, needs=ONE_GPU, estimate_s=USUAL_S, max_per_worker=3)
@@ -40,7 +40,7 @@
 
 
 def speed_of(domain: Domain, name: str) -> Speed:
-    """Return what the leader knows of a worker."""
+    """Return the leader's estimate of a worker's speed."""
     leader = domain.leading()[0].leader
     assert leader is not None
     session: WorkerSession = domain.session(name)
@@ -48,7 +48,7 @@
 
 
 class LearningTest(unittest.TestCase):
-    """A leader learns from the reports alone."""
+    """A leader estimates speeds only from reports."""
 
     def test_a_slow_worker_is_detected_after_some_steps(self) -> None:
         """One of eight takes over twice as long."""
@@ -64,7 +64,7 @@
         in_domain(case, workers=8, run_s=USUAL_S)
 
     def test_delayed_reports_make_no_worker_slow(self) -> None:
-        """Each answer of all workers is half a second on its way."""
+        """Each response of all workers is delayed by half a second."""
 
         async def case(domain: Domain) -> None:
             domain.renewal_delay_s = 0.5
@@ -77,7 +77,7 @@
         in_domain(case, workers=8, run_s=USUAL_S)
 
     def test_a_restarted_worker_counts_as_typical(self) -> None:
-        """Another machine may answer under its id."""
+        """Another machine may respond under its id."""
 
         async def case(domain: Domain) -> None:
             domain.workers['w3'].run_s = SLOW_S
@@ -93,14 +93,14 @@
 def make_worker_of_speed(
     worker_id: str, speed: float, *runs: Run
 ) -> WorkerCapacity:
-    """Return the room of a worker of a speed; all stand in one rack."""
+    """Return a worker of a given speed; all are in one rack."""
     entry = make_worker(worker_id, 'r1').entry
     return WorkerCapacity(
         entry=entry, runs=runs, failure_score=0.0, speed=speed
     )
 
 
-#: An urgent gang that starts in time earns its worth on workers of 0.65 of a
+#: An urgent gang that starts at once ends in time on workers of 0.65 of the
 #: typical speed and faster.
 URGENT_GANG = Step(width=3, needs=needs(2), estimate_s=4.0, gang=True)
 
@@ -125,7 +125,7 @@
     """Where the tasks of a step start when workers differ."""
 
     def test_an_urgent_gang_avoids_workers_that_make_it_late(self) -> None:
-        """The slow worker has just the room that it fills best."""
+        """The slow worker would be the best fit."""
         slow = make_worker_of_speed('a', 0.45, make_run('a', 6))
         usual = [make_worker_of_speed('b', 1.0), make_worker_of_speed('c', 1.0)]
         decided = plan([slow, *usual], urgent('j'))
@@ -142,7 +142,7 @@
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
     def test_late_on_a_slow_worker_is_better_than_waiting(self) -> None:
-        """There is no other one."""
+        """There is no other worker."""
         workers = [
             make_worker_of_speed('a', 0.45),
             make_worker_of_speed('b', 1.0, make_run('b', 8)),
@@ -163,7 +163,7 @@
         self.assertEqual(set(placed(decided)['j']), {'b'})
 
     def test_work_with_slack_avoids_workers_that_are_too_slow(self) -> None:
-        """It has waited for long."""
+        """It has waited for a long time."""
         workers = [
             make_worker_of_speed('a', 0.45),
             make_worker_of_speed('b', 1.0),
@@ -186,7 +186,7 @@
         self.assertNotIn('a', placed(decided)['j'])
 
     def test_a_clock_that_was_set_changes_nothing(self) -> None:
-        """Forward or back by forty minutes: urgent plans are as of old."""
+        """Forward or back by forty minutes: urgent jobs start as before."""
         for jump_s in (-2400, 2400):
             spec = urgent('j')._replace(accepted_at_s=NOW_S + jump_s)
             slow = make_worker_of_speed('a', 0.3, make_run('a', 2))
@@ -195,7 +195,7 @@
             self.assertEqual(decided.victims, ())
 
     def test_a_later_step_has_less_time(self) -> None:
-        """What follows it takes as long again."""
+        """The step after it takes a minute."""
         step = Step(width=1, needs=needs(8), estimate_s=6.0)
         spec = with_slack('j', step)
         spec = spec._replace(
@@ -210,7 +210,7 @@
 
 
 def at_speed(case: Case, speed: float) -> Iterator[WorkerCapacity]:
-    """Yield the rooms of a case as they are, at one speed."""
+    """Yield copies of the workers of a case with one speed."""
     for worker in case.workers:
         yield WorkerCapacity(
             entry=worker.entry,
@@ -221,12 +221,12 @@
 
 
 class PreemptionForSpeedTest(unittest.TestCase):
-    """A slow free worker against stopping somebody on a faster one."""
+    """A slow free worker against preemption on a faster one."""
 
     def test_little_work_is_preempted_for_a_gang_that_would_be_late(
         self,
     ) -> None:
-        """What runs on the usual worker has only just begun."""
+        """The run on the usual worker has only just started."""
         fresh = make_run('b', 8, age_s=0.5)
         workers = [
             make_worker_of_speed('a', 0.45),
@@ -237,7 +237,7 @@
         self.assertEqual(placed(decided), {})
 
     def test_more_work_than_its_own_is_not_preempted(self) -> None:
-        """It has run for long."""
+        """The run has lasted for a minute."""
         old = make_run('b', 8, age_s=60.0)
         workers = [
             make_worker_of_speed('a', 0.45),
@@ -248,7 +248,7 @@
         self.assertEqual(placed(decided)['j'], ['a', 'a', 'a'])
 
     def test_a_step_preempts_only_once(self) -> None:
-        """The room went to somebody else meanwhile."""
+        """The capacity went to another job meanwhile."""
         job = make_job(urgent('j'))
         for victims, starts in ((1, 0), (0, 1)):
             fresh = make_run('b', 8, age_s=0.5)
@@ -271,7 +271,7 @@
         self.assertEqual(plan(workers, urgent('j')).victims, (older,))
 
     def test_a_gang_that_is_late_anyway_preempts_nothing(self) -> None:
-        """It has waited for too long."""
+        """It has waited too long."""
         fresh = make_run('b', 8, age_s=0.5)
         workers = [
             make_worker_of_speed('a', 0.45),
@@ -284,7 +284,7 @@
 
 
 class EqualSpeedTest(unittest.TestCase):
-    """Where no speed is known to differ, plans are what they were."""
+    """Equal speeds do not change plans."""
 
     @settings(max_examples=50, deadline=None)
     @given(case=CASES, speed=st.sampled_from((0.3, 1.0, 2.0)))
@@ -293,7 +293,7 @@
         case: Case,
         speed: float,
     ) -> None:
-        """Whatever it is."""
+        """For any speed."""
         before = plan(list(at_speed(case, 1.0)), *case.specs)
         after = plan(list(at_speed(case, speed)), *case.specs)
         self.assertEqual(placed(after), placed(before))
@@ -304,10 +304,10 @@
 
 
 class StalledEverywhereTest(unittest.TestCase):
-    """A task that stands still wherever it runs."""
+    """A task that stalls on any worker."""
 
     def test_it_is_not_moved_for_ever(self) -> None:
-        """Once is enough to see that it is not its worker's doing."""
+        """One move shows that its worker is not the cause."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -348,10 +348,10 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """A new leader learns from the runs that it finds."""
+    """A new leader estimates speeds from the runs that it finds."""
 
     def test_speeds_are_estimated_within_seconds(self) -> None:
-        """Four reports of four steps at each worker."""
+        """Four reports of four steps from each worker."""
 
         async def case(domain: Domain) -> None:
             for name in ('h1', 'h2'):
