--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -98,7 +98,7 @@
     groups: Sequence[Sequence[WorkerCapacity]],
     required: RequiredSpeed = ANY,
 ) -> Fit:
-    """Choose workers of one group: the first without penalty, or the lowest.
+    """Choose workers of the first group without penalty, or the lowest one.
 
     One member on a worker that fails every task fails the whole gang, each
     time it is placed there, and one on a slow worker makes all of it late.
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -213,7 +213,7 @@
     def _isolate_suspects(
         self, ready: ReadyStep, now_s: float
     ) -> Iterator[ReadyStep]:
-        """Yield a step's suspects separately from its other tasks, one a time.
+        """Yield a step's suspects apart from its other tasks, one at a time.
 
         If the tasks of a step all crash their workers, starting them together
         would crash as many workers at once. A gang starts as a whole.
--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -1,4 +1,4 @@
-"""Whether a job can end in time, late, or too late to earn any credit.
+"""Whether a job can end in time, late, or too late to earn credit.
 
 In a backlog in which many jobs are past their objectives, jobs that are too
 late to be of use would take capacity from those that can still be in time.
@@ -8,7 +8,7 @@
 
 from curranthill.placement.jobs import ActiveJob
 
-#: A job is in time, late (it earns part of its credit), or infeasible (none).
+#: A job is in time, late (still of use to its callers), or infeasible (of none).
 Timeliness = Literal[0, 1, 2]
 
 IN_TIME: Final = 0
