--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -8,7 +8,8 @@
 
 from curranthill.placement.jobs import ActiveJob
 
-#: A job is in time, late (still of use to its callers), or infeasible (of none).
+#: A job is in time, late (still of some use to its callers), or infeasible (of
+#: none).
 Timeliness = Literal[0, 1, 2]
 
 IN_TIME: Final = 0
