--- a/tests/domain.py
+++ b/tests/domain.py
@@ -1,4 +1,4 @@
-"""A scheduling domain over stand-ins: hosts, workers and a store of rows."""
+"""A scheduling domain with simulated hosts, workers and row store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -53,7 +53,7 @@
 WORKER_CAPACITY = Resources(cpu_millis=32_000, memory_mb=65_536, gpus=8)
 ONE_GPU = Resources(cpu_millis=4000, memory_mb=1024, gpus=1)
 
-#: How long a crashed worker is away, in seconds.
+#: How long a crashed worker is down, in seconds.
 DOWN_S = 3.0
 
 
@@ -63,7 +63,7 @@
     *,
     advisor: bool = False,
 ) -> Queue:
-    """Return a queue."""
+    """Return a queue of a priority."""
     return Queue(
         name=f'queue-{priority}',
         host='jobs.example',
@@ -86,7 +86,7 @@
     accepted_at_s: float = 1_700_001_000.0,
     advisor: bool = False,
 ) -> JobSpec:
-    """Return a job of one one-accelerator task, or of the given steps."""
+    """Return a job of the given steps, or of one one-accelerator task."""
     return JobSpec(
         job_id=job_id,
         queue=make_queue(priority, attempts, advisor=advisor),
@@ -108,7 +108,7 @@
 
 
 def decode_closure(row: StoredRow) -> str | None:
-    """Return the data centre that a row closes."""
+    """Return the data centre that a row closes, if it is such a row."""
     if not row.key.startswith(CLOSED_PREFIX):
         return None
     return row.key.removeprefix(CLOSED_PREFIX)
@@ -125,42 +125,42 @@
 
 
 class RenewalCount:
-    """Renewals that workers are asked for.
+    """Counts renewals that workers receive.
 
-    :param most_at_once: how many were under way at one moment.
+    :param most_at_once: the most that were pending at the same time.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize the count without renewals."""
         self.total = 0
         self.most_at_once = 0
         self._under_way = 0
 
     def begin(self) -> None:
-        """Count one more."""
+        """Count a renewal that begins."""
         self.total += 1
         self._under_way += 1
         self.most_at_once = max(self.most_at_once, self._under_way)
 
     def end(self) -> None:
-        """Count one as answered."""
+        """Count a renewal that has got its response."""
         self._under_way -= 1
 
 
 class Domain:
-    """A store, workers and as many hosts as a test starts.
+    """A store, workers, and the hosts that a test starts.
 
     :param crashing: tasks that crash each worker that starts them.
-    :param renewal_delay_s: how long a renewal takes beyond its wait.
+    :param renewal_delay_s: the delay of a renewal, in addition to its wait.
     :param unreadable: hosts that cannot read the operators' rows.
-    :param down_s: how long a crashed worker is away.
+    :param down_s: how long a crashed worker is down.
     :param disabled: mechanisms that are switched off.
-    :param same_id: whether it comes back under its id or under another.
-    :param others: how many other hosts each host is told of.
+    :param same_id: whether it restarts under its id or under another.
+    :param others: the number of other hosts that each host is told.
     """
 
     def __init__(self, *, workers: int = 2, run_s: float = 1.0) -> None:
-        """List the workers."""
+        """Initialize the domain and list its workers."""
         self.clock = ManualClock()
         self.rows = RowModel(clock=self.clock)
         self.workers: dict[str, TaskWorkerModel] = {}
@@ -198,7 +198,7 @@
         )
         model = TaskWorkerModel(entry=entry, clock=self.clock, run_s=run_s)
         model.crashing = self.crashing
-        model.on_crash = self._bring_back
+        model.on_crash = self._restart_crashed
         self.workers[name] = model
         self.list_worker(entry)
         return model
@@ -209,8 +209,8 @@
             worker.crashes.count(key) for worker in self.workers.values()
         )
 
-    def _bring_back(self, worker: TaskWorkerModel) -> None:
-        """Start a crashed worker again, under its id or under another."""
+    def _restart_crashed(self, worker: TaskWorkerModel) -> None:
+        """Restart a crashed worker, under its id or under another."""
 
         async def start_again() -> None:
             await self.clock.sleep(self.down_s)
@@ -221,8 +221,8 @@
             worker.gone = True
             worker.down = False
             self.delist_worker(name)
-            again = self.add_worker(f'{name}+', run_s=worker.run_s)
-            again.crash_after_s = worker.crash_after_s
+            replacement = self.add_worker(f'{name}+', run_s=worker.run_s)
+            replacement.crash_after_s = worker.crash_after_s
 
         self.background.append(asyncio.ensure_future(start_again()))
 
@@ -233,7 +233,7 @@
         return leader.term.sessions[name]
 
     def restart_worker(self, name: str) -> None:
-        """Let a worker start again under its id, and list it anew."""
+        """Restart a worker under its id and update its entry."""
         worker = self.workers[name]
         worker.restart()
         worker.entry = worker.entry._replace(incarnation=worker.incarnation)
@@ -249,12 +249,12 @@
         self.rows.apply((), (), (RowRemoval(WORKER_TABLE, name),))
 
     def close_data_centre(self, name: str, content: bytes = b'{}') -> None:
-        """Ask as an operator that nothing more starts in a data centre."""
+        """Close a data centre, as an operator does."""
         put = RowPut(OPERATOR_TABLE, f'{CLOSED_PREFIX}{name}', content)
         self.rows.apply((), (put,), ())
 
     def open_data_centre(self, name: str) -> None:
-        """Take a data centre back."""
+        """Open a closed data centre."""
         removal = RowRemoval(OPERATOR_TABLE, f'{CLOSED_PREFIX}{name}')
         self.rows.apply((), (), (removal,))
 
@@ -265,7 +265,7 @@
         return host
 
     async def leader(self) -> 'TestHost':
-        """Move time on until some host leads; return it."""
+        """Advance time until some host leads; return it."""
         await self.clock.until(lambda: bool(self.leading()), within_s=10)
         return self.leading()[0]
 
@@ -287,7 +287,7 @@
         return self.progress(job_id).state
 
     async def ended(self, job_id: str, within_s: float = 60) -> str:
-        """Move time on until a job's state is final; return it."""
+        """Advance time until a job's state is final; return the state."""
         await self.clock.until(
             lambda: self.state(job_id) in {'completed', 'failed', 'cancelled'},
             within_s=within_s,
@@ -295,7 +295,7 @@
         return self.state(job_id)
 
     def starts(self, key: TaskKey) -> list[int]:
-        """Return the attempts of a task that took effect, over all workers."""
+        """Return the attempts of a task that took effect at any worker."""
         return [
             order.attempt
             for worker in self.workers.values()
@@ -316,19 +316,19 @@
     """Lets some workers run any step.
 
     :param good: the ids of those workers.
-    :param questions: how many were asked.
+    :param requests: how many were asked.
     """
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Let nobody run anything."""
+        """Initialize an advisor that allows no worker."""
         self.good: set[str] = set()
-        self.questions = 0
+        self.requests = 0
         self.failing = False
         self._clock = clock
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Answer after a while."""
-        self.questions += 1
+        """Respond after a short delay."""
+        self.requests += 1
         await self._clock.sleep(0.05)
         if self.failing:
             raise AdvisorError('Busy.', step='advise')
@@ -341,10 +341,10 @@
 
 
 class HostConnector:
-    """Connects one host to the workers that it can reach."""
+    """Connects one host to its workers."""
 
     def __init__(self, *, domain: Domain, host: 'TestHost') -> None:
-        """Keep whose calls these are."""
+        """Initialize the connector of a host."""
         self._domain = domain
         self._host = host
 
@@ -364,7 +364,7 @@
 
 
 class HostWorker:
-    """A worker as one host reaches it.
+    """A worker as seen by one host.
 
     :param cut_off: the workers that the host cannot reach.
     """
@@ -376,42 +376,42 @@
         cut_off: set[str],
         domain: Domain,
     ) -> None:
-        """Keep the worker."""
+        """Initialize a host's view of a worker."""
         self._domain = domain
         self._model = model
         self._cut_off = cut_off
 
     async def start(self, order: StartOrder) -> float:
         """Start a task."""
-        await self._pass('start')
+        await self._check_reachable('start')
         return await self._model.start(order)
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> float:
         """Stop a run."""
-        await self._pass('stop')
+        await self._check_reachable('stop')
         return await self._model.stop(task, attempt, token)
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
         """Renew the lease."""
         self._domain.renewals.begin()
         try:
-            await self._pass('renew')
+            await self._check_reachable('renew')
             if self._domain.renewal_delay_s:
                 await self._domain.clock.sleep(self._domain.renewal_delay_s)
             return await self._model.renew(order)
         finally:
             self._domain.renewals.end()
 
-    async def _pass(self, step: str) -> None:
+    async def _check_reachable(self, step: str) -> None:
         if self._model.entry.worker_id in self._cut_off:
             await self._model.clock.sleep(0.6)
             raise WorkerReplyLostError('Cut off.', step=step)
 
 
 class OperatorRows:
-    """The operators' rows as one host reads them.
+    """The operators' rows as read by one host.
 
-    :param unreadable: hosts that cannot read them, though all else works.
+    :param unreadable: hosts that cannot read these rows, but all others.
     """
 
     def __init__(
@@ -421,7 +421,7 @@
         unreadable: set[str],
         host: str,
     ) -> None:
-        """Keep whose readings these are."""
+        """Initialize a host's view of the rows."""
         self._store = store
         self._unreadable = unreadable
         self._host = host
@@ -449,10 +449,10 @@
 
 
 class TestHost:
-    """One host: a desk, and an election that may make it the leader.
+    """One host: a job handler, and an election that may make it the leader.
 
-    :param clock: the host's own, which can be suspended.
-    :param orders: all orders that it sent to workers.
+    :param clock: the host's own clock, which can be suspended.
+    :param orders: all orders that it has sent to workers.
     """
 
     __test__ = False
@@ -498,21 +498,21 @@
 
     @property
     def led_s(self) -> dict[int, list[float]]:
-        """Return when this host wrote as a leader, by epoch."""
+        """Return the times at which this host wrote as a leader, by epoch."""
         return self._store.led_s
 
     async def accept(self, spec: JobSpec) -> None:
-        """Accept a job while time moves on."""
+        """Accept a job while time advances."""
         await self.during(self.handler.accept(spec, 3.0))
 
     async def during(self, work: Awaitable[object]) -> object:
-        """Move time on until some work is done; return its result."""
+        """Advance time until an awaitable is done; return its result."""
         task = asyncio.ensure_future(work)
         await self._domain.clock.until(task.done)
         return task.result()
 
     async def kill(self) -> None:
-        """End all tasks at once."""
+        """Cancel all tasks of the host at once."""
         self._domain.hosts.pop(self.name, None)
         for task in self._tasks:
             task.cancel()
@@ -562,7 +562,7 @@
     workers: int = 2,
     run_s: float = 1.0,
 ) -> None:
-    """Run a test in a domain of its own and clean up."""
+    """Run a test in its own domain and clean up."""
 
     async def main() -> None:
         domain = Domain(workers=workers, run_s=run_s)
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,4 +1,4 @@
-"""What must never happen, as the workers see it."""
+"""Invariants that the workers' view of all runs must satisfy."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -8,18 +8,18 @@
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import TaskKey
 
-#: Workers that a task may have crashed before its starts are counted, and how
-#: often it may be started after that: what the platform allows.
-CRASHES_KNOWN: Final = 3
-STARTS_AFTER: Final = 2
+#: After a task has crashed so many workers its starts are counted, and it may
+#: be started so many more times: the limits of the platform.
+MAX_CRASHES: Final = 3
+MAX_STARTS_AFTER: Final = 2
 
 
 class InvariantChecker:
-    """Looks at all workers and remembers what must never happen.
+    """Checks all workers and collects violations of the invariants.
 
-    :param workers: returns every worker that there ever was.
+    :param workers: returns every worker that ever existed.
     :param attempts: runs of one task that may fail.
-    :param violations: what was seen, a sentence each.
+    :param violations: one sentence each.
     """
 
     def __init__(
@@ -28,30 +28,30 @@
         workers: Callable[[], Iterable[TaskWorkerModel]],
         attempts: int,
     ) -> None:
-        """Start with nothing seen."""
+        """Initialize the checker without violations."""
         self.violations: list[str] = []
         self._workers = workers
         self._attempts = attempts
-        self._spent: dict[TaskKey, int] = {}
+        self._exhausted: dict[TaskKey, int] = {}
         self._crashing: dict[TaskKey, int] = {}
 
     def check(self) -> None:
-        """Check the runs of this moment and the starts since the last."""
+        """Check the current runs, and the starts since the last check."""
         workers = list(self._workers())
         for worker in workers:
             worker.tick()
         runs = chain.from_iterable(worker.runs.values() for worker in workers)
-        noted = noted_ends(workers, 'done')
+        ended = acknowledged_ends(workers, 'done')
         for task, count in Counter(run.task for run in runs).items():
             if count > 1:
                 self.violations.append(f'{task} runs {count} times')
-            if task in noted:
+            if task in ended:
                 self.violations.append(f'{task} runs after its end')
-        self._look_at_failures(workers)
-        self._look_at_crashes(workers)
+        self._check_failures(workers)
+        self._check_crashes(workers)
 
-    def _look_at_crashes(self, workers: list[TaskWorkerModel]) -> None:
-        """Check that a task starts twice at most after three crashes."""
+    def _check_crashes(self, workers: list[TaskWorkerModel]) -> None:
+        """Check that a task starts at most twice after three crashes."""
         crashes = Counter(
             chain.from_iterable(worker.crashes for worker in workers)
         )
@@ -60,29 +60,29 @@
         orders = chain.from_iterable(worker.starts for worker in workers)
         starts = Counter(order.task for order in orders)
         for task, count in crashes.items():
-            if count < CRASHES_KNOWN:
+            if count < MAX_CRASHES:
                 continue
             before = self._crashing.setdefault(task, starts[task])
-            if starts[task] > before + STARTS_AFTER:
+            if starts[task] > before + MAX_STARTS_AFTER:
                 self.violations.append(f'{task} goes on crashing workers')
 
-    def _look_at_failures(self, workers: list[TaskWorkerModel]) -> None:
-        """Check that nothing starts after its last allowed failure."""
+    def _check_failures(self, workers: list[TaskWorkerModel]) -> None:
+        """Check that no task starts after its last allowed failure."""
         orders = chain.from_iterable(worker.starts for worker in workers)
         starts = Counter(order.task for order in orders)
-        for task, before in self._spent.items():
+        for task, before in self._exhausted.items():
             if starts[task] > before:
                 self.violations.append(f'{task} starts after its last failure')
-        for task, failures in noted_ends(workers, 'failed').items():
+        for task, failures in acknowledged_ends(workers, 'failed').items():
             if failures >= self._attempts:
-                self._spent[task] = starts[task]
+                self._exhausted[task] = starts[task]
 
 
-def noted_ends(
+def acknowledged_ends(
     workers: Iterable[TaskWorkerModel],
     kind: str,
 ) -> Counter[TaskKey]:
-    """Count the ends of one kind that workers were told are noted."""
+    """Count the ends of one kind that workers know to be recorded."""
     return Counter(
         end.task
         for worker in workers
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -718,7 +718,7 @@
             await host.accept(make_spec(advisor=True))
             await domain.clock.advance(3)
             self.assertEqual(domain.starts(FIRST), [])
-            self.assertLess(domain.advisor.questions, 12)
+            self.assertLess(domain.advisor.requests, 12)
             domain.advisor.failing = False
             domain.advisor.good = {'w0', 'w1'}
             self.assertEqual(await domain.ended('a1'), 'completed')
@@ -735,7 +735,7 @@
             wide = Step(width=2, needs=EIGHT_GPUS, estimate_s=1.0)
             await host.accept(make_spec('a1', wide, advisor=True))
             self.assertEqual(await domain.ended('a1'), 'completed')
-            self.assertLess(domain.advisor.questions, 12)
+            self.assertLess(domain.advisor.requests, 12)
 
         in_domain(case, run_s=4)
 
--- a/tests/test_first_progress.py
+++ b/tests/test_first_progress.py
@@ -1,7 +1,7 @@
-"""Urgent runs that show no sign of progress are found out in time.
+"""Urgent runs that report no progress are moved in time.
 
-Workers whose health is good hold what starts on them for seconds. A report
-every 1.5 s tells of it when an urgent job has missed its objective already.
+A worker that looks healthy may stall a new run for seconds. With one report
+every 1.5 s an urgent job would miss its objective before that is noticed.
 """
 
 import unittest
@@ -24,13 +24,13 @@
     return make_spec('a1', step, priority=0)
 
 
-class FirstSignTest(unittest.TestCase):
-    """What an urgent run shows within its first second."""
+class FirstProgressTest(unittest.TestCase):
+    """How an urgent run without progress is detected within a second."""
 
-    def test_an_urgent_task_without_a_sign_starts_elsewhere_in_time(
+    def test_an_urgent_task_without_progress_starts_elsewhere_in_time(
         self,
     ) -> None:
-        """The objective of quick work leaves about its own run time."""
+        """Its objective leaves about one more run time of slack."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -50,8 +50,10 @@
 
         in_domain(case, run_s=2)
 
-    def test_work_that_is_not_urgent_is_watched_as_before(self) -> None:
-        """It can wait, and each look costs its worker a call."""
+    def test_work_that_is_not_urgent_reports_at_the_usual_interval(
+        self,
+    ) -> None:
+        """It can wait, and each report costs its worker a call."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -68,7 +70,7 @@
         in_domain(case, run_s=2)
 
     def test_a_slow_worker_keeps_its_urgent_task(self) -> None:
-        """It needs seven times as long, and shows that it works."""
+        """The task takes seven times as long, but reports progress."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -79,8 +81,8 @@
 
         in_domain(case, run_s=14)
 
-    def test_a_gang_is_not_judged_before_all_its_members_run(self) -> None:
-        """One start is on its way for a while; the other member waits."""
+    def test_a_gang_is_not_stalled_before_all_its_members_run(self) -> None:
+        """One member waits for the other, whose start is delayed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -95,8 +97,8 @@
 
         in_domain(case, run_s=3)
 
-    def test_looks_for_signs_end_with_the_first_sign(self) -> None:
-        """After it, reports come as seldom as for other work."""
+    def test_frequent_reports_end_with_the_first_progress(self) -> None:
+        """From then on reports come at the usual interval."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_many_workers.py
+++ b/tests/test_many_workers.py
@@ -1,8 +1,8 @@
-"""A leader over many more workers than hold anything.
+"""A leader of many more workers than have runs.
 
-All workers were looked at in one go after a takeover: with 3,000 of them a
-host of one core did nothing else for 2.2 to 2.9 s, was taken for dead, and so
-was the next leader. Nothing started any more.
+When a new leader probed all workers at once, a host with one core was busy for
+2.2 to 2.9 s with 3,000 workers. It was replaced as silent, and so was its
+successor, so that nothing started any more.
 """
 
 import unittest
@@ -12,18 +12,18 @@
 from curranthill.tasks import TaskKey
 from tests.domain import Domain, in_domain, make_spec
 
-#: Workers looked at side by side: with 0.8 ms of a core each, the heartbeat of
-#: a leader that is due meanwhile is late by 0.1 s at most.
-MOST_AT_ONCE = 120
+#: The most concurrent probes: at 0.8 ms of a core each, they delay a heartbeat
+#: of the leader by 0.1 s at most.
+MAX_AT_ONCE = 120
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
 
 class TakeoverTest(unittest.TestCase):
-    """The first looks of a new leader."""
+    """The first probes of a new leader."""
 
-    def test_few_workers_are_looked_at_at_once(self) -> None:
-        """However many there are."""
+    def test_few_workers_are_probed_at_once(self) -> None:
+        """The limit holds whatever their number is."""
 
         async def case(domain: Domain) -> None:
             domain.renewal_delay_s = 0.02
@@ -31,12 +31,12 @@
             await domain.leader()
             await domain.clock.advance(2)
             self.assertEqual(domain.renewals.total, 400)
-            self.assertLessEqual(domain.renewals.most_at_once, MOST_AT_ONCE)
+            self.assertLessEqual(domain.renewals.most_at_once, MAX_AT_ONCE)
 
         in_domain(case, workers=400)
 
-    def test_a_task_starts_before_all_are_looked_at(self) -> None:
-        """Within a second, with 400 workers that take a while to answer."""
+    def test_a_task_starts_before_all_workers_are_probed(self) -> None:
+        """It starts within a second, with 400 workers that respond slowly."""
 
         async def case(domain: Domain) -> None:
             domain.renewal_delay_s = 0.02
@@ -50,8 +50,8 @@
 
         in_domain(case, workers=400)
 
-    def test_workers_that_do_not_answer_hold_up_no_others(self) -> None:
-        """Two hundred are cut off, and listed before the one that is not."""
+    def test_unresponsive_workers_do_not_delay_the_others(self) -> None:
+        """200 workers that are cut off are listed before a reachable one."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -67,19 +67,19 @@
 
 
 class RoundTest(unittest.TestCase):
-    """PlacementRounds that find nothing to place."""
+    """Rounds that find nothing to place."""
 
-    def test_a_round_without_waiting_work_looks_at_no_worker(self) -> None:
-        """All runs; ends and reports cause rounds all the same."""
+    def test_a_round_without_waiting_work_reads_no_capacity(self) -> None:
+        """Everything runs; ends and reports still trigger rounds."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
             await host.accept(make_spec('a1'))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            with patch.object(PlacementRounds, '_capacities') as rooms:
+            with patch.object(PlacementRounds, '_capacities') as capacities:
                 await domain.clock.advance(3)
-                self.assertFalse(rooms.called)
+                self.assertFalse(capacities.called)
             await host.accept(make_spec('b2'))
             second = TaskKey('b2', 0, 0, 0)
             await domain.clock.until(
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -181,10 +181,10 @@
             await domain.leader()
             await host.accept(make_spec('a1', advisor=True))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            asked = domain.advisor.questions
+            asked = domain.advisor.requests
             domain.restart_worker('w0')
             await domain.clock.until(lambda: len(domain.starts(FIRST)) == 2)
-            self.assertGreater(domain.advisor.questions, asked)
+            self.assertGreater(domain.advisor.requests, asked)
 
         in_domain(case, workers=1, run_s=60)
 
--- a/tests/test_shrinking_capacity.py
+++ b/tests/test_shrinking_capacity.py
@@ -1,9 +1,9 @@
-"""Workers whose room shrinks and grows while they run.
+"""Workers whose capacity shrinks and grows while they run tasks.
 
-Starts wait for their turn at a worker, behind one that is slow to be answered.
-Checked against the room only when they were placed, they were sent long after
-the worker had said that the room is gone: four of five ran on a worker that
-had room for two.
+Starts are queued for a worker behind one whose response is slow. When they
+were checked against the capacity only at placement, they were sent long after
+the worker had announced less: four of five ran on a worker that had capacity
+for two.
 """
 
 import unittest
@@ -17,12 +17,16 @@
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
-ROOM_FOR_TWO = Resources(cpu_millis=8000, memory_mb=65_536, gpus=2)
+CAPACITY_FOR_TWO = Resources(cpu_millis=8000, memory_mb=65_536, gpus=2)
 
 
-def resize(domain: Domain, worker: TaskWorkerModel, room: Resources) -> None:
-    """Have a worker say that it has another room."""
-    worker.entry = worker.entry._replace(capacity=room)
+def resize(
+    domain: Domain,
+    worker: TaskWorkerModel,
+    capacity: Resources,
+) -> None:
+    """Have a worker announce another capacity."""
+    worker.entry = worker.entry._replace(capacity=capacity)
     domain.list_worker(worker.entry)
 
 
@@ -31,11 +35,11 @@
     return Step(width=width, needs=ONE_GPU, estimate_s=60.0)
 
 
-class ShrunkRoomTest(unittest.TestCase):
-    """Nothing is started in room that is gone."""
+class ShrunkCapacityTest(unittest.TestCase):
+    """No task starts on capacity that no longer exists."""
 
-    def test_starts_that_wait_for_their_turn_see_the_newest_room(self) -> None:
-        """Five wait at a slow worker; its room shrinks after the first."""
+    def test_queued_starts_use_the_newest_capacity(self) -> None:
+        """Five wait at a slow worker; its capacity shrinks after the first."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -44,14 +48,14 @@
             worker.start_delay_s = 1.2
             await host.accept(make_spec('a1', wide(5)))
             await domain.clock.until(lambda: bool(worker.runs))
-            resize(domain, worker, ROOM_FOR_TWO)
+            resize(domain, worker, CAPACITY_FOR_TWO)
             await domain.clock.advance(20)
             self.assertLessEqual(worker.most_runs, 2)
 
         in_domain(case, workers=1, run_s=60)
 
-    def test_a_gang_loses_its_start_with_one_members_room(self) -> None:
-        """It starts whole once there is room again, and never in part."""
+    def test_a_gang_is_not_started_if_one_member_does_not_fit(self) -> None:
+        """It starts as a whole once it fits again, and never in part."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -61,7 +65,7 @@
             gang = wide(4)._replace(gang=True)
             await host.accept(make_spec('a1', gang))
             await domain.clock.until(lambda: bool(worker.runs))
-            resize(domain, worker, ROOM_FOR_TWO)
+            resize(domain, worker, CAPACITY_FOR_TWO)
             await domain.clock.advance(5)
             self.assertEqual(len(worker.runs), 0)
             resize(domain, worker, WORKER_CAPACITY)
@@ -69,8 +73,8 @@
 
         in_domain(case, workers=1, run_s=60)
 
-    def test_what_runs_goes_on_in_room_that_has_shrunk(self) -> None:
-        """A stop would throw work away; nothing new starts meanwhile."""
+    def test_runs_continue_when_the_capacity_has_shrunk(self) -> None:
+        """A stop would discard work; no other task starts meanwhile."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -78,7 +82,7 @@
             worker = domain.workers['w0']
             await host.accept(make_spec('a1', wide(4)))
             await domain.clock.until(lambda: len(worker.runs) == 4)
-            resize(domain, worker, ROOM_FOR_TWO)
+            resize(domain, worker, CAPACITY_FOR_TWO)
             await host.accept(make_spec('b2', wide(1)))
             await domain.clock.advance(10)
             self.assertEqual(len(worker.starts), 4)
@@ -86,8 +90,8 @@
 
         in_domain(case, workers=1, run_s=60)
 
-    def test_room_that_flaps_stops_nothing(self) -> None:
-        """Each second another room; four tasks run once and to their end."""
+    def test_a_flapping_capacity_stops_nothing(self) -> None:
+        """The capacity changes each second; four tasks still run to the end."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -96,7 +100,7 @@
             await host.accept(make_spec('a1', wide(4)))
             await domain.clock.until(lambda: len(worker.runs) == 4)
             for _ in range(5):
-                resize(domain, worker, ROOM_FOR_TWO)
+                resize(domain, worker, CAPACITY_FOR_TWO)
                 await domain.clock.advance(1)
                 resize(domain, worker, WORKER_CAPACITY)
                 await domain.clock.advance(1)
@@ -105,14 +109,14 @@
 
         in_domain(case, workers=1, run_s=12)
 
-    def test_room_that_has_grown_is_used_at_once(self) -> None:
+    def test_a_grown_capacity_is_used_at_once(self) -> None:
         """Within the time of one round."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
             worker = domain.workers['w0']
-            resize(domain, worker, ROOM_FOR_TWO)
+            resize(domain, worker, CAPACITY_FOR_TWO)
             await domain.clock.advance(1)
             await host.accept(make_spec('a1', wide(4)))
             await domain.clock.advance(2)
@@ -126,7 +130,7 @@
         in_domain(case, workers=1, run_s=60)
 
 
-#: Accelerators of some worker from some moment on, for how many seconds.
+#: Changes: a worker, its number of accelerators, and for how many seconds.
 SERIES = st.lists(
     st.tuples(
         st.integers(0, 1),
@@ -137,21 +141,21 @@
     max_size=15,
 )
 
-#: News of a room reaches the leader well within this, in seconds.
-NEWS_S = 0.1
+#: A changed capacity reaches the leader well within this, in seconds.
+UPDATE_S = 0.1
 
 
-class AnyRoomsTest(unittest.TestCase):
-    """Rooms that shrink and grow in any order."""
+class AnyCapacityTest(unittest.TestCase):
+    """Capacities that shrink and grow in any order."""
 
     @settings(max_examples=25, phases=(Phase.explicit, Phase.generate))
     @given(SERIES, st.sampled_from((0.0, 0.25)))
-    def test_no_start_goes_over_a_known_room(
+    def test_no_start_exceeds_a_known_capacity(
         self,
         series: list[tuple[int, int, float]],
         start_delay_s: float,
     ) -> None:
-        """And all that was accepted ends once the rooms are back."""
+        """All accepted jobs end once the capacities are restored."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -165,7 +169,7 @@
             for number, gpus, wait_s in series:
                 worker = domain.workers[f'w{number}']
                 resize(domain, worker, WORKER_CAPACITY._replace(gpus=gpus))
-                await domain.clock.advance(NEWS_S + start_delay_s)
+                await domain.clock.advance(UPDATE_S + start_delay_s)
                 await self.check(domain, wait_s)
             for worker in domain.workers.values():
                 resize(domain, worker, WORKER_CAPACITY)
@@ -175,7 +179,7 @@
         in_domain(case, run_s=2)
 
     async def check(self, domain: Domain, wait_s: float) -> None:
-        """Move time on; a worker that starts something has room for it."""
+        """Advance time; check that each worker which starts a task fits it."""
         until_s = domain.clock.monotonic_s() + wait_s
         while domain.clock.monotonic_s() < until_s:
             before = {
@@ -185,8 +189,8 @@
             await domain.clock.advance(0.01)
             for name, worker in domain.workers.items():
                 if len(worker.starts) > before[name]:
-                    room = worker.entry.capacity.gpus
-                    self.assertLessEqual(len(worker.runs), room)
+                    gpus = worker.entry.capacity.gpus
+                    self.assertLessEqual(len(worker.runs), gpus)
 
 
 if __name__ == '__main__':
--- a/tests/test_unfinished_waits.py
+++ b/tests/test_unfinished_waits.py
@@ -1,4 +1,4 @@
-"""Whatever the leader waits for at a worker ends after a bounded time."""
+"""Every wait of the leader for a worker is bounded in time."""
 
 import asyncio
 import unittest
@@ -9,14 +9,14 @@
 
 TASK: Final = TaskKey('a1', 0, 0, 0)
 
-#: A lease, its margin, and some missed renewals.
-LAPSE_S: Final = 9.0
+#: A lease, its margin, and some lost renewals, in seconds.
+EXPIRY_S: Final = 9.0
 
 
 class RejectedStartTest(unittest.TestCase):
-    """A start that is rejected is made again."""
+    """A rejected start is retried."""
 
-    def test_a_start_that_was_fenced_off_once_is_made_again(self) -> None:
+    def test_a_start_that_was_fenced_off_once_is_retried(self) -> None:
         """The worker restarts and accepts the token that it rejected."""
 
         async def case(domain: Domain) -> None:
@@ -37,23 +37,23 @@
     """A worker that fences off each start and accepts renewals."""
 
     def test_its_tasks_start_at_another_worker(self) -> None:
-        """It would be chosen again at once each time."""
+        """Otherwise the same worker would be chosen again each time."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
             domain.workers['w0'].rejecting = 'fence'
             await host.accept(make_spec('a1'))
-            self.assertEqual(await domain.ended('a1', LAPSE_S), 'completed')
+            self.assertEqual(await domain.ended('a1', EXPIRY_S), 'completed')
 
         in_domain(case, workers=2)
 
 
 class RejectedRenewalTest(unittest.TestCase):
-    """A worker that answers each renewal with a rejection is no good."""
+    """A worker that rejects each renewal counts as unreachable."""
 
     def test_an_idle_worker_that_was_unreachable_is_used_again(self) -> None:
-        """It rejects the one renewal that was to tell whether it is back."""
+        """It rejects the one renewal that would show that it is back."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -65,7 +65,7 @@
                 host.handler.accept(make_spec('a1'), 3.0),
             )
             while domain.session('w0').reachable:
-                # Only the start finds it down, not the renewal after it.
+                # The worker is down for the start, not for a later renewal.
                 await domain.clock.advance(0.0005)
             worker.down = False
             worker.refusing = '503'
@@ -77,7 +77,7 @@
         in_domain(case, workers=1)
 
     def test_runs_end_where_each_renewal_is_rejected(self) -> None:
-        """No renewal takes effect, so their lease lapses."""
+        """No renewal takes effect, so their lease expires."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -90,7 +90,7 @@
             used.refusing = '503'
             await domain.clock.until(
                 lambda: len(domain.starts(TASK)) == 2,
-                within_s=LAPSE_S,
+                within_s=EXPIRY_S,
             )
             self.assertEqual(len(used.starts), 1)
             self.assertEqual(await domain.ended('a1'), 'completed')
@@ -99,10 +99,10 @@
 
 
 class QueuedStartTest(unittest.TestCase):
-    """Starts go to a worker one after another."""
+    """Starts are sent to a worker sequentially."""
 
-    def test_starts_do_not_queue_for_a_worker_that_is_silent(self) -> None:
-        """Each of them would wait for an answer and extend the lease."""
+    def test_starts_do_not_queue_for_an_unresponsive_worker(self) -> None:
+        """Each of them would wait for a response and extend the lease."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -115,7 +115,7 @@
             domain.add_worker('w1')
             await domain.clock.until(
                 lambda: all(domain.starts(task) for task in tasks),
-                within_s=LAPSE_S,
+                within_s=EXPIRY_S,
             )
 
         in_domain(case, workers=1)
