--- a/src/curranthill/scheduler/estimates.py
+++ b/src/curranthill/scheduler/estimates.py
@@ -1,28 +1,29 @@
-"""Run times learnt from what jobs of a kind took against what they declared."""
+"""Run-time estimates from actual over declared run times of each kind."""
 
 from collections import OrderedDict, deque
 from typing import Final
 
-#: Ratios kept for each workspace and kind.
-SAMPLES: Final = 64
+#: The most recent ratios that are kept for each workspace and kind.
+MAX_SAMPLES: Final = 64
 
-#: Pairs of workspace and kind that are remembered; the least recent go.
-PAIRS: Final = 4096
+#: Pairs of workspace and kind that are kept; the least recently updated one is
+#: evicted.
+MAX_KINDS: Final = 4096
 
-#: The quantile that an estimate is taken from: few run longer than it says.
+#: The quantile of the ratios used as the estimate: few runs exceed it.
 QUANTILE: Final = 0.8
 
 
-class Estimates:
+class RunTimeEstimates:
     """Quantiles of actual over declared run time, in bounded memory."""
 
     def __init__(self) -> None:
-        """Start with nothing learnt: declared times are believed."""
+        """Initialize without runs: declared run times are used unchanged."""
         self._ratios: OrderedDict[tuple[str, str], deque[float]]
         self._ratios = OrderedDict()
         self._quantiles: dict[tuple[str, str], float] = {}
 
-    def learn(
+    def record_run(
         self,
         workspace: str,
         kind: str,
@@ -30,17 +31,17 @@
         declared_s: float,
         actual_s: float,
     ) -> None:
-        """Take in one finished run."""
+        """Record the declared and actual run time of a finished run."""
         if declared_s <= 0:
             return
-        pair = (workspace, kind)
-        ratios = self._ratios.setdefault(pair, deque(maxlen=SAMPLES))
-        self._ratios.move_to_end(pair)
+        key = (workspace, kind)
+        ratios = self._ratios.setdefault(key, deque(maxlen=MAX_SAMPLES))
+        self._ratios.move_to_end(key)
         ratios.append(actual_s / declared_s)
         ordered = sorted(ratios)
-        place = min(len(ordered) - 1, int(len(ordered) * QUANTILE))
-        self._quantiles[pair] = ordered[place]
-        if len(self._ratios) > PAIRS:
+        index = min(len(ordered) - 1, int(len(ordered) * QUANTILE))
+        self._quantiles[key] = ordered[index]
+        if len(self._ratios) > MAX_KINDS:
             oldest, _ = self._ratios.popitem(last=False)
             self._quantiles.pop(oldest)
 
@@ -50,8 +51,8 @@
         kind: str,
         declared_s: float,
     ) -> float:
-        """Return how long a run is expected to take at the most, mostly."""
+        """Return the run time that most runs of the kind do not exceed."""
         return declared_s * self._quantiles.get((workspace, kind), 1)
 
 
-__all__ = ('Estimates',)
+__all__ = ('RunTimeEstimates',)
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -1,4 +1,4 @@
-"""Stand for election, and run one term after another."""
+"""Leadership of a data centre: the election and the terms of the leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,15 +16,16 @@
 from curranthill.storage import HostDirectory
 from curranthill.telemetry import metrics
 
-#: How often neighbours are told how full a data centre is, in seconds.
+#: The interval at which the load is published to neighbours, in seconds.
 LOAD_INTERVAL_S = 1.0
 
 
 class Leader:
     """One scheduler's leadership of its data centre.
 
-    :param view: told of the epoch, so that peers find the active scheduler.
-    :param tell_moved: tells a data centre's scheduler of a job given to it.
+    :param view: publishes the epoch, so that peers find the active scheduler.
+    :param notify_moved: notifies a data centre's scheduler of a job that was
+        moved to it.
     """
 
     def __init__(  # noqa: WPS211
@@ -36,10 +37,10 @@
         directory: HostDirectory,
         configuration: ConfigurationHolder,
         view: View,
-        tell_moved: Callable[[str, str], None],
+        notify_moved: Callable[[str, str], None],
     ) -> None:
-        """Start as a standby."""
-        self._tell_moved = tell_moved
+        """Initialize as a standby, listening for changes."""
+        self._notify_moved = notify_moved
         self.term: Term | None = None
         self.recovered: Recovered | None = None
         self._app = app
@@ -48,19 +49,19 @@
         self._directory = directory
         self._configuration = configuration
         self._view = view
-        self._beginning: asyncio.Task[None] | None = None
+        self._takeover: asyncio.Task[None] | None = None
         self._seen_epoch = 0
-        directory.listen(self._workers_changed)
-        configuration.listen(self._configured)
+        directory.listen(self._on_workers_changed)
+        configuration.listen(self._on_configuration)
 
     async def start(self) -> None:
-        """Stand for election from now on."""
+        """Start the election, the scan of open jobs and the load updates."""
         self._app.spawn(self._run(), name='election')
         self._app.spawn(self._scan(), name='scan of open jobs')
-        self._app.spawn(self._tell_load(), name='load')
+        self._app.spawn(self._publish_load(), name='load')
 
     async def stop(self) -> None:
-        """End the term and give the lease up; members run on."""
+        """End the term and release the lease; gang members keep running."""
         await self._end_term()
         await self._context.election.resign()
 
@@ -68,12 +69,12 @@
         election = self._context.election
         while True:
             await election.advance(self._seen_epoch)
-            if election.leading and self._beginning is None:
-                self._beginning = self._app.spawn(
+            if election.leading and self._takeover is None:
+                self._takeover = self._app.spawn(
                     self._begin_term(),
                     name='takeover',
                 )
-            elif not election.leading and self._beginning is not None:
+            elif not election.leading and self._takeover is not None:
                 await self._end_term()
             await self._app.clock.sleep(election.interval_s())
 
@@ -97,7 +98,7 @@
             except StorageError as error:
                 await term.close()
                 logger.bind(step=error.step, peer=error.peer).warning(
-                    'the open jobs cannot be read yet: {}',
+                    'cannot read the open jobs, retrying: {}',
                     error.message,
                 )
                 await self._app.clock.sleep(1)
@@ -108,9 +109,9 @@
             return
 
     async def _end_term(self) -> None:
-        if self._beginning is not None:
-            self._beginning.cancel()
-            self._beginning = None
+        if self._takeover is not None:
+            self._takeover.cancel()
+            self._takeover = None
         if self.term is not None:
             await self.term.close()
             self.term = None
@@ -125,13 +126,13 @@
             directory=self._directory,
             configuration=self._configuration,
             neighbours=self._neighbours,
-            tell_moved=self._tell_moved,
+            notify_moved=self._notify_moved,
         )
 
     def _neighbours(self) -> list[Member]:
         """Return the leaders of the region's other data centres."""
-        places = self._configuration.document.data_centres
-        own = places.get(self._data_centre)
+        data_centres = self._configuration.document.data_centres
+        own = data_centres.get(self._data_centre)
         if own is None:
             return []
         return [
@@ -139,27 +140,27 @@
             for member in self._view.alive('scheduler')
             if member.leading_epoch
             and member.data_centre != self._data_centre
-            and member.data_centre in places
-            and places[member.data_centre].region == own.region
+            and member.data_centre in data_centres
+            and data_centres[member.data_centre].region == own.region
         ]
 
-    async def _tell_load(self) -> None:
-        """Tell neighbours now and then how full this data centre is."""
+    async def _publish_load(self) -> None:
+        """Publish the load of this data centre at an interval."""
         while True:
             await self._app.clock.sleep(LOAD_INTERVAL_S)
             if self.term is not None:
-                self._view.update_own(load=self.term.board.load())
+                self._view.update_own(load=self.term.state.load())
 
-    def _workers_changed(self) -> None:
+    def _on_workers_changed(self) -> None:
         if self.term is not None:
             self.term.update_workers()
 
-    def _configured(self) -> None:
+    def _on_configuration(self) -> None:
         if self.term is not None:
             self.term.configure()
 
     async def _scan(self) -> None:
-        """Look for jobs whose notification was lost, and delete old ones."""
+        """Read jobs whose notification was lost, and delete expired ones."""
         interval_s = self._context.placement.scan_interval_s
         while True:
             await self._app.clock.sleep(interval_s)
@@ -170,7 +171,7 @@
                 await self._context.store.delete_expired(100)
             except StorageError as error:
                 logger.bind(step=error.step).debug(
-                    'the scan is put off: {}',
+                    'cannot scan the open jobs, retrying later: {}',
                     error.message,
                 )
 
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -1,4 +1,4 @@
-"""What a new leader does first: fence, ask, read, adopt, release."""
+"""Takeover by a new leader: fence workers, read rows, adopt attempts."""
 
 import asyncio
 from typing import NamedTuple
@@ -12,23 +12,23 @@
 from curranthill.storage import HostEntry
 from curranthill.workers import RUNNING, AttemptId, LeaseReport
 
-#: Workers asked at the same time.
-PARALLEL_CALLS = 32
+#: The number of workers that are fenced concurrently.
+MAX_PARALLEL_CALLS = 32
 
 
-class Held(NamedTuple):
-    """What the workers hold.
+class WorkerLeases(NamedTuple):
+    """The leases that workers hold.
 
     :param leases: worker name -> its leases by attempt.
-    :param silent: workers that did not answer; they are told nothing yet.
+    :param unresponsive: workers that did not respond and are not fenced yet.
     """
 
     leases: dict[str, dict[AttemptId, LeaseReport]]
-    silent: frozenset[str]
+    unresponsive: frozenset[str]
 
 
 class Recovered(NamedTuple):
-    """What a takeover found, for its log line and its measurement."""
+    """The result of a takeover, for its log line and its measurement."""
 
     waiting: int
     resumed: int
@@ -42,19 +42,19 @@
     workers: list[HostEntry],
     data_centre: str,
 ) -> Recovered:
-    """Fill a new term's board from the workers and the table.
+    """Fill a new term's state from the workers and the table.
 
-    The workers are fenced before the rows are read, so that whatever an
-    older leader marks later it can no longer start.
+    The workers are fenced before the rows are read, so that a previous leader
+    cannot start what it records later.
 
     :raises FencedError: if a worker has seen a higher epoch.
     :raises StorageError: if the table cannot be read.
     """
     begun_s = context.clock.monotonic_s()
     term.update_workers()
-    held = await ask_and_fence(context, workers)
+    held = await fence_workers(context, workers)
     stored_jobs = await context.store.scan_open(data_centre)
-    resumed = _adopt(term, stored_jobs, held)
+    resumed = _restore_jobs(term, stored_jobs, held)
     orphans = _release_orphans(term, resumed, held)
     recovered = Recovered(
         waiting=len(stored_jobs) - len(resumed),
@@ -66,31 +66,33 @@
     return recovered
 
 
-async def ask_and_fence(context: Context, workers: list[HostEntry]) -> Held:
-    """Raise the epoch on each worker and learn its leases in one call."""
-    bound = asyncio.Semaphore(PARALLEL_CALLS)
-    answers = await asyncio.gather(
-        *(_fence(context, entry, bound) for entry in workers),
+async def fence_workers(
+    context: Context, workers: list[HostEntry]
+) -> WorkerLeases:
+    """Increment the epoch on each worker and get its leases in one call."""
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_CALLS)
+    replies = await asyncio.gather(
+        *(_fence(context, entry, semaphore) for entry in workers),
     )
     leases: dict[str, dict[AttemptId, LeaseReport]] = {}
-    silent: set[str] = set()
-    for entry, answer in zip(workers, answers, strict=True):
-        if answer is None:
-            silent.add(entry.host)
+    unresponsive: set[str] = set()
+    for entry, reply in zip(workers, replies, strict=True):
+        if reply is None:
+            unresponsive.add(entry.host)
         else:
-            leases[entry.host] = {lease.attempt_id: lease for lease in answer}
-    return Held(leases=leases, silent=frozenset(silent))
+            leases[entry.host] = {lease.attempt_id: lease for lease in reply}
+    return WorkerLeases(leases=leases, unresponsive=frozenset(unresponsive))
 
 
-def member_states(stored: Stored, held: Held) -> dict[str, str]:
-    """Return the state of each member as far as its worker said.
+def member_states(stored: Stored, held: WorkerLeases) -> dict[str, str]:
+    """Return the state of each member as far as its worker reported it.
 
-    A member on a silent worker counts as running: its watch finds out, and
-    the worker is fenced as soon as it answers.
+    A member on an unresponsive worker counts as running: the watch determines
+    its state, and the worker is fenced as soon as it responds.
     """
     states: dict[str, str] = {}
     for member in stored.job.members:
-        if member.worker in held.silent:
+        if member.worker in held.unresponsive:
             states[member.worker] = RUNNING
             continue
         leases = held.leases.get(member.worker, {})
@@ -100,8 +102,10 @@
     return states
 
 
-def _adopt(term: Term, stored_jobs: list[Stored], held: Held) -> set[AttemptId]:
-    """Queue what waits and go on with what was marked; return the latter."""
+def _restore_jobs(
+    term: Term, stored_jobs: list[Stored], held: WorkerLeases
+) -> set[AttemptId]:
+    """Queue accepted jobs and resume started attempts; return the latter."""
     resumed: set[AttemptId] = set()
     for stored in stored_jobs:
         if stored.job.state == ACCEPTED:
@@ -112,7 +116,9 @@
     return resumed
 
 
-def _release_orphans(term: Term, resumed: set[AttemptId], held: Held) -> int:
+def _release_orphans(
+    term: Term, resumed: set[AttemptId], held: WorkerLeases
+) -> int:
     orphans = [
         (worker, lease)
         for worker, leases in held.leases.items()
@@ -127,9 +133,9 @@
 async def _fence(
     context: Context,
     entry: HostEntry,
-    bound: asyncio.Semaphore,
+    semaphore: asyncio.Semaphore,
 ) -> tuple[LeaseReport, ...] | None:
-    async with bound:
+    async with semaphore:
         client = context.worker_at(entry.address)
         try:
             return await client.fence(context.election.token)
@@ -139,4 +145,10 @@
             return None
 
 
-__all__ = ('Held', 'Recovered', 'ask_and_fence', 'member_states', 'recover')
+__all__ = (
+    'Recovered',
+    'WorkerLeases',
+    'fence_workers',
+    'member_states',
+    'recover',
+)
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -1,4 +1,4 @@
-"""One task for each worker: it renews leases and takes in what ended."""
+"""The polling task of each worker: it renews leases and collects states."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -18,15 +18,15 @@
     WorkerReport,
 )
 
-#: The state of a member whose worker is gone or knows nothing of it.
+#: The state of a member whose worker is unresponsive or lacks its lease.
 LOST: Final = 'lost'
 
-#: Waits between polls of a worker that does not answer, in seconds.
+#: The delay between polls of an unresponsive or draining worker, in seconds.
 _RETRY_S: Final = 0.5
 
 
-class MemberNews(NamedTuple):
-    """What a watch learnt of one member."""
+class MemberUpdate(NamedTuple):
+    """The state of one gang member as learned by a watch."""
 
     worker: str
     attempt_id: AttemptId
@@ -36,23 +36,26 @@
 
 
 class WatchListener(NamedTuple):
-    """Who is told of what a watch learns.
-
-    :param on_member: a member's state; True if somebody wants to know.
-    :param on_orphan: a lease that no gang of this scheduler has.
-    :param on_contact: whether the worker answers, and whether it leaves.
+    """Callbacks of a watch.
+
+    :param on_member: called with a member's state; returns whether a gang of
+        this scheduler has the member.
+    :param on_orphan: called with a worker and a lease that no gang of this
+        scheduler has.
+    :param on_contact: called with a worker, whether it responds and whether it
+        is draining.
     """
 
-    on_member: Callable[[MemberNews], bool]
+    on_member: Callable[[MemberUpdate], bool]
     on_orphan: Callable[[str, LeaseReport], None]
     on_contact: Callable[[str, bool, bool], None]
 
 
 class WorkerWatch:
-    """Poll one worker, straight down, for as long as this process leads.
+    """Polls one worker for as long as this process leads.
 
     :param name: the worker's name.
-    :param address: where it answers.
+    :param address: the address of its API.
     """
 
     def __init__(
@@ -63,28 +66,28 @@
         context: Context,
         listener: WatchListener,
     ) -> None:
-        """Start with no attempt to renew."""
+        """Initialize without leases to renew."""
         self.name = name
         self._client = context.worker_at(address)
         self._context = context
         self._listener = listener
         self._live: set[AttemptId] = set()
         self._ended: set[AttemptId] = set()
-        self._told: frozenset[AttemptId] | None = None
+        self._last_renewed: frozenset[AttemptId] | None = None
         self._closed = False
         self._last_contact_s = context.clock.monotonic_s()
 
     def add(self, attempt_id: AttemptId) -> None:
-        """Renew an attempt's lease from now on."""
+        """Start renewing an attempt's lease."""
         self._live.add(attempt_id)
 
     def discard(self, attempt_id: AttemptId) -> None:
-        """Renew an attempt's lease no longer."""
+        """Stop renewing an attempt's lease."""
         self._live.discard(attempt_id)
         self._ended.discard(attempt_id)
 
     def close(self) -> None:
-        """Stop polling: the worker is gone for good."""
+        """Stop polling: the worker has been removed."""
         self._closed = True
 
     async def run(self) -> None:
@@ -94,41 +97,43 @@
             try:
                 report = await self._poll(renewed)
             except LastPollForgottenError:
-                self._told = None
+                self._last_renewed = None
                 continue
             except FencedError as error:
                 self._context.election.step_down(error.message)
                 return
             except WorkerError as error:
-                self._silent(error)
+                self._on_no_response(error)
                 await self._context.clock.sleep(_RETRY_S)
                 continue
             self._last_contact_s = self._context.clock.monotonic_s()
             self._listener.on_contact(self.name, True, report.leaving)
-            self._told = renewed
-            self._take(report)
+            self._last_renewed = renewed
+            self._process(report)
             if report.leaving:
-                # A leaving worker answers at once; do not spin.
+                # A draining worker responds at once: avoid a busy loop.
                 await self._context.clock.sleep(_RETRY_S)
 
     async def _poll(self, renewed: frozenset[AttemptId]) -> WorkerReport:
-        """Poll, naming the attempts only if they are not those of last time."""
+        """Poll; list the attempts only if they changed since the last poll."""
         leases = self._context.leases
         return await self._client.poll(
             self._context.election.token,
             leases.member_term_s,
             leases.poll_wait_s,
-            None if renewed == self._told else tuple(renewed),
+            None if renewed == self._last_renewed else tuple(renewed),
             tuple(self._ended),
         )
 
-    def _take(self, report: WorkerReport) -> None:
+    def _process(self, report: WorkerReport) -> None:
         reported = {lease.attempt_id: lease for lease in report.leases}
         for attempt_id in report.unknown:
             if attempt_id in self._live:
-                self._tell(attempt_id, LOST, 'The worker forgot its lease.')
+                self._report(
+                    attempt_id, LOST, 'The worker does not have its lease.'
+                )
         for attempt_id, lease in reported.items():
-            news = MemberNews(
+            update = MemberUpdate(
                 worker=self.name,
                 attempt_id=attempt_id,
                 state=lease.state,
@@ -138,28 +143,28 @@
             if lease.state in ENDED_STATES:
                 self._live.discard(attempt_id)
                 self._ended.add(attempt_id)
-            if not self._listener.on_member(news):
+            if not self._listener.on_member(update):
                 self._listener.on_orphan(self.name, lease)
         self._ended.intersection_update(reported)
 
-    def _silent(self, error: WorkerError) -> None:
+    def _on_no_response(self, error: WorkerError) -> None:
         silent_s = self._context.clock.monotonic_s() - self._last_contact_s
         logger.bind(step=error.step, peer=self.name).debug(
-            'no answer for {:.1f} s: {}',
+            'no response for {:.1f} s: {}',
             silent_s,
             error.message,
         )
         if silent_s < self._context.leases.member_term_s:
             return
-        # By now the worker has stopped what it held: the leases lapsed.
+        # The worker has stopped its members by now, as their leases expired.
         self._listener.on_contact(self.name, False, False)
         for attempt_id in tuple(self._live):
-            self._tell(attempt_id, LOST, 'The worker does not answer.')
+            self._report(attempt_id, LOST, 'The worker does not respond.')
 
-    def _tell(self, attempt_id: AttemptId, state: str, reason: str) -> None:
+    def _report(self, attempt_id: AttemptId, state: str, reason: str) -> None:
         self._live.discard(attempt_id)
         self._listener.on_member(
-            MemberNews(
+            MemberUpdate(
                 worker=self.name,
                 attempt_id=attempt_id,
                 state=state,
@@ -168,4 +173,4 @@
         )
 
 
-__all__ = ('LOST', 'MemberNews', 'WatchListener', 'WorkerWatch')
+__all__ = ('LOST', 'MemberUpdate', 'WatchListener', 'WorkerWatch')
