--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tasks run as often as they may, whatever the leader, store or worker does."""
+"""Tasks run exactly as often as allowed, whichever component fails."""
 
 import unittest
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 async def started(domain: Domain, key: TaskKey) -> None:
-    """Move time on until a task has started."""
+    """Advance time until a task has started."""
     await domain.clock.until(lambda: bool(domain.starts(key)))
 
 
@@ -39,7 +39,7 @@
     """Accepted jobs run once."""
 
     def test_an_accepted_job_runs_once_and_completes(self) -> None:
-        """The plain path."""
+        """The path without any failure."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -51,7 +51,7 @@
         in_domain(case)
 
     def test_the_same_id_is_one_job(self) -> None:
-        """A repeat changes nothing."""
+        """A repeated request changes nothing."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -65,8 +65,8 @@
 
         in_domain(case)
 
-    def test_an_idle_worker_hears_that_its_last_end_is_noted(self) -> None:
-        """Also when nothing else runs there."""
+    def test_an_idle_worker_learns_that_its_last_end_is_stored(self) -> None:
+        """The end is acknowledged also if nothing else runs there."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -74,8 +74,10 @@
             await host.accept(make_spec())
             await domain.ended('a1')
             await domain.clock.advance(0.2)
-            kept = [end for one in domain.workers.values() for end in one.ends]
-            self.assertEqual(kept, [])
+            unacknowledged = [
+                end for one in domain.workers.values() for end in one.ends
+            ]
+            self.assertEqual(unacknowledged, [])
 
         in_domain(case)
 
@@ -94,7 +96,7 @@
 
         in_domain(case)
 
-    def test_a_worker_is_never_given_more_than_its_room(self) -> None:
+    def test_a_worker_is_never_given_more_than_its_capacity(self) -> None:
         """Twenty tasks of one accelerator on one worker of eight."""
 
         async def case(domain: Domain) -> None:
@@ -108,7 +110,7 @@
         in_domain(case, workers=1)
 
     def test_a_gang_waits_until_all_of_it_fits(self) -> None:
-        """Two workers' worth on one worker does not start in part."""
+        """A gang that needs two workers does not start on one in part."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -121,7 +123,7 @@
 
         in_domain(case, workers=1)
 
-    def test_an_urgent_job_takes_the_room_of_others(self) -> None:
+    def test_an_urgent_job_preempts_others(self) -> None:
         """A full cluster starts a covered urgent job within its bound."""
 
         async def case(domain: Domain) -> None:
@@ -145,10 +147,10 @@
 
 
 class LeaderLossTest(unittest.TestCase):
-    """Another host goes on from what is stored and what the workers have."""
+    """Another host continues from the store and the workers' reports."""
 
-    def test_a_takeover_adopts_what_runs(self) -> None:
-        """No second start while the first run goes on."""
+    def test_a_takeover_adopts_existing_runs(self) -> None:
+        """There is no second start while the first run continues."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -163,7 +165,7 @@
         in_domain(case, run_s=4)
 
     def test_an_end_listed_during_a_takeover_is_kept(self) -> None:
-        """The run ends while nobody leads; its end is read by the next."""
+        """The run ends while there is no leader; the next one reads its end."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -196,7 +198,7 @@
         in_domain(case)
 
     def test_a_leader_cut_from_the_store_gives_no_order(self) -> None:
-        """Its successor starts the job; the former leader starts nothing."""
+        """Its successor starts the job; the previous leader starts nothing."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -212,7 +214,7 @@
         in_domain(case)
 
     def test_an_end_is_acknowledged_only_once_it_is_stored(self) -> None:
-        """The leader dies with the end unstored; the next one hears of it."""
+        """The leader is killed before the end is stored; the next reads it."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -229,15 +231,15 @@
 
         in_domain(case)
 
-    def test_a_former_leader_may_renew_what_its_successor_cannot_reach(
+    def test_a_previous_leader_may_renew_what_its_successor_cannot_reach(
         self,
     ) -> None:
-        """The second run waits until the first cannot go on."""
+        """The second run waits until the first is sure to have ended."""
 
         async def case(domain: Domain) -> None:
-            former = domain.start_host('h1')
+            previous = domain.start_host('h1')
             await domain.leader()
-            await former.accept(make_spec())
+            await previous.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             holding = next(one for one in domain.workers.values() if one.runs)
             successor = domain.start_host('h2')
@@ -253,12 +255,12 @@
         in_domain(case, run_s=120)
 
     def test_a_fenced_leader_ends_its_term_at_once(self) -> None:
-        """It need not reach the store to learn that another one leads."""
+        """It does not depend on the store to detect another leader."""
 
         async def case(domain: Domain) -> None:
-            former = domain.start_host('h1')
+            previous = domain.start_host('h1')
             await domain.leader()
-            await former.accept(make_spec())
+            await previous.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             successor = domain.start_host('h2')
             domain.rows.down.add('h1')
@@ -284,10 +286,10 @@
 
         in_domain(case, run_s=12)
 
-    def test_an_end_during_an_outage_costs_its_neighbours_no_lease(
+    def test_an_end_during_an_outage_does_not_expire_the_lease(
         self,
     ) -> None:
-        """The end cannot be stored for 9 s; the lease is renewed meanwhile."""
+        """The end can't be stored for 9 s; other runs continue meanwhile."""
 
         async def case(domain: Domain) -> None:
             worker = domain.workers['w0']
@@ -326,8 +328,8 @@
 
         in_domain(case)
 
-    def test_a_row_won_while_stopping_is_given_back(self) -> None:
-        """The host is told to stop before it hears that it has won."""
+    def test_a_row_won_while_stopping_is_vacated(self) -> None:
+        """The host is stopped before the response to its takeover arrives."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -348,7 +350,7 @@
         in_domain(case)
 
     def test_a_hand_over_adds_no_wait_for_a_lost_worker(self) -> None:
-        """A leader that stepped down renews nothing: one lease is enough."""
+        """A leader that stepped down renews nothing: one lease suffices."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -372,10 +374,10 @@
 
         in_domain(case, run_s=60)
 
-    def test_time_that_a_successor_saw_pass_counts_for_a_lost_worker(
+    def test_time_that_a_successor_observed_counts_for_a_lost_worker(
         self,
     ) -> None:
-        """6 s of renewals from the last write, and one lease; no more."""
+        """At most 6 s of renewals from the last write, and one lease."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -398,7 +400,7 @@
         in_domain(case, run_s=60)
 
     def test_a_hand_over_soon_after_a_takeover_starts_no_new_wait(self) -> None:
-        """What is left of the wait passes from one leader to the next."""
+        """The rest of the wait passes from one leader to the next."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -422,8 +424,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_takeover_without_a_reply_is_found_out(self) -> None:
-        """The row was won, and the reply lost: a leader within a second."""
+    def test_a_takeover_with_a_lost_response_is_detected(self) -> None:
+        """The row was won, so there is a leader within a second."""
 
         async def case(domain: Domain) -> None:
             domain.rows.lose_next = 1
@@ -435,8 +437,8 @@
 
         in_domain(case)
 
-    def test_a_term_that_fails_is_told_and_tried_again(self) -> None:
-        """The first try of the term ends by an error of the program."""
+    def test_a_term_that_fails_is_logged_and_retried(self) -> None:
+        """The first term ends with an exception in the program."""
 
         async def case(domain: Domain) -> None:
             with patch.object(events, 'log') as log:
@@ -449,7 +451,7 @@
         in_domain(case)
 
     def test_a_leader_that_restarts_leads_again_at_once(self) -> None:
-        """Its own earlier row is not waited for."""
+        """It does not wait for the silence of its own earlier row."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -465,10 +467,10 @@
 
 
 class UnknownOrderTest(unittest.TestCase):
-    """An order without an answer is settled before the task starts anew."""
+    """An order without a response is resolved before the task restarts."""
 
     def test_a_start_carried_out_late_never_makes_a_second_run(self) -> None:
-        """The raised token shuts the late start out."""
+        """The incremented token fences off the late start."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -481,8 +483,8 @@
 
         in_domain(case, workers=1)
 
-    def test_a_start_that_was_never_carried_out_is_made_anew(self) -> None:
-        """The answer under the raised token shows that nothing runs."""
+    def test_a_start_that_was_never_carried_out_is_retried(self) -> None:
+        """The response under the new token shows that nothing runs."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -497,8 +499,8 @@
 
         in_domain(case, workers=1)
 
-    def test_a_job_cancelled_during_its_start_keeps_its_room(self) -> None:
-        """A renewal answered before the start tells nothing of the run."""
+    def test_a_job_cancelled_during_its_start_keeps_its_capacity(self) -> None:
+        """A response to a renewal sent before the start says nothing of it."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -519,8 +521,8 @@
 
         in_domain(case, workers=1, run_s=60)
 
-    def test_a_cut_worker_keeps_its_task_until_its_lease_lapsed(self) -> None:
-        """The second run starts only when the first cannot go on."""
+    def test_a_cut_worker_keeps_its_task_until_its_lease_expires(self) -> None:
+        """The second run starts only when the first must have ended."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -538,8 +540,8 @@
 
         in_domain(case, run_s=30)
 
-    def test_a_worker_that_is_gone_loses_its_tasks_at_once(self) -> None:
-        """Another life answers: no need to wait for the lease."""
+    def test_a_replaced_worker_loses_its_tasks_at_once(self) -> None:
+        """Another worker responds: the lease need not be waited for."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -557,10 +559,10 @@
 
 
 class StoreFaultTest(unittest.TestCase):
-    """Lost, late and refused writes change nothing twice."""
+    """Lost, late and refused writes take effect at most once."""
 
     def test_lost_and_late_writes_leave_one_job(self) -> None:
-        """The accepting host and the leader both lose answers."""
+        """The accepting host and the leader both lose responses."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -576,7 +578,7 @@
         in_domain(case)
 
     def test_a_lost_history_is_read_again(self) -> None:
-        """A job accepted while the feed is broken starts all the same."""
+        """A job accepted while the change feed is broken starts as usual."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -592,7 +594,7 @@
     """Failures count, cancelled jobs stop."""
 
     def test_a_job_fails_after_its_attempts(self) -> None:
-        """Two failed runs, no third."""
+        """After two failed runs there is no third."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -621,7 +623,7 @@
         in_domain(case)
 
     def test_a_cancelled_job_stops_and_never_starts_again(self) -> None:
-        """Also after a takeover."""
+        """It is not started after a takeover either."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -639,7 +641,7 @@
         in_domain(case, run_s=30)
 
     def test_a_broken_gang_is_stopped_and_starts_whole(self) -> None:
-        """A member's worker is lost; all members start under one attempt."""
+        """One member's worker is lost; all members restart as one attempt."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -658,10 +660,10 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """What is refused as not run never runs."""
+    """A request refused as not run never runs."""
 
     def test_a_host_without_the_store_refuses_at_once(self) -> None:
-        """No timeout is waited for once the outage is known."""
+        """Once the outage is known no timeout is waited for."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -677,7 +679,7 @@
         in_domain(case)
 
     def test_an_unknown_outcome_is_never_called_not_run(self) -> None:
-        """The write takes effect without an answer: 504, not 503."""
+        """The write takes effect without a response: 504, not 503."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -694,7 +696,7 @@
     """Queues whose policy allows only some workers."""
 
     def test_tasks_start_only_where_a_ticket_allows(self) -> None:
-        """And carry the ticket."""
+        """Their starts carry the ticket."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -708,8 +710,8 @@
 
         in_domain(case)
 
-    def test_nothing_starts_without_an_answer(self) -> None:
-        """The advisor is asked again, and not without end."""
+    def test_nothing_starts_without_a_response(self) -> None:
+        """The request to the advisor is retried at a limited rate."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -725,8 +727,8 @@
 
         in_domain(case)
 
-    def test_tickets_are_asked_for_anew_once_they_are_old(self) -> None:
-        """A second task of the step starts after the first tickets' time."""
+    def test_expired_tickets_are_requested_again(self) -> None:
+        """Another task of the step starts after the first tickets expired."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -743,8 +745,8 @@
 class RejectionTest(unittest.TestCase):
     """Workers that reject starts."""
 
-    def test_a_worker_that_rejects_is_not_asked_without_end(self) -> None:
-        """A few times in three seconds; other work goes on."""
+    def test_a_worker_that_rejects_gets_few_starts(self) -> None:
+        """It gets a few in three seconds; other work continues."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -760,10 +762,10 @@
 
 
 class RepeatedWorkTest(unittest.TestCase):
-    """Jobs that run several times, and jobs that last."""
+    """Jobs with several occurrences, and perpetual jobs."""
 
     def test_occurrences_start_when_they_are_due(self) -> None:
-        """Three times, two seconds apart, none early."""
+        """Three occurrences, two seconds apart, none of them early."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -785,14 +787,14 @@
 
         in_domain(case)
 
-    def test_a_lasting_task_starts_again_however_it_ends(self) -> None:
-        """Done or failed, beyond its attempts, until it is cancelled."""
+    def test_a_perpetual_task_restarts_however_it_ends(self) -> None:
+        """Whether done or failed, also beyond its attempts, until cancelled."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            lasting = Step(width=1, needs=ONE_GPU, perpetual=True)
-            await host.accept(make_spec('a1', lasting))
+            perpetual = Step(width=1, needs=ONE_GPU, perpetual=True)
+            await host.accept(make_spec('a1', perpetual))
             await domain.clock.until(lambda: len(domain.starts(FIRST)) >= 3)
             for worker in domain.workers.values():
                 worker.failing = True
@@ -804,11 +806,11 @@
         in_domain(case)
 
 
-class LeavingTest(unittest.TestCase):
-    """Workers that are emptied and taken away."""
+class DrainingTest(unittest.TestCase):
+    """Workers that drain before they are removed."""
 
-    def test_tasks_with_checkpoints_move_from_a_leaving_worker(self) -> None:
-        """Others stay, since they may yet end there; none is placed there."""
+    def test_tasks_with_checkpoints_move_from_a_draining_worker(self) -> None:
+        """Others stay, as they may still end there; none is placed there."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -829,10 +831,10 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_start_that_waits_for_its_turn_is_not_sent_to_a_leaving_worker(
+    def test_a_queued_start_is_not_sent_to_a_draining_worker(
         self,
     ) -> None:
-        """The order before it gets no answer; meanwhile the worker leaves."""
+        """The previous order gets no response while the worker drains."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -853,10 +855,10 @@
 
 
 class HousekeepingTest(unittest.TestCase):
-    """What is kept of ended jobs."""
+    """The stored state of ended jobs."""
 
     def test_a_takeover_reads_only_jobs_that_matter(self) -> None:
-        """An ended job leaves its state, not itself; a repeat is known."""
+        """Of an ended job only the state is kept; a repeat is recognized."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -875,10 +877,10 @@
 
         in_domain(case)
 
-    def test_states_are_kept_as_long_as_promised_and_then_removed(
+    def test_states_are_kept_as_long_as_guaranteed_and_then_removed(
         self,
     ) -> None:
-        """Two minutes and a margin, also over a takeover."""
+        """They are kept for two minutes and a margin, also over a takeover."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -896,10 +898,10 @@
 
 
 class StalledRunTest(unittest.TestCase):
-    """A worker whose health is good and whose tasks stand still."""
+    """A worker that looks healthy while its tasks stall."""
 
-    def test_a_task_that_stands_still_starts_elsewhere(self) -> None:
-        """Two reports without progress; the worker is avoided then."""
+    def test_a_stalled_task_starts_elsewhere(self) -> None:
+        """After two reports without progress the worker is avoided."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -918,8 +920,8 @@
 
         in_domain(case)
 
-    def test_a_task_that_ran_long_is_given_as_long_to_go_on(self) -> None:
-        """It has run for 5 s and stands still for 4 s: nothing is lost."""
+    def test_a_task_that_ran_long_may_stall_as_long(self) -> None:
+        """It has run for 5 s and stalls for 4 s: it is not moved."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -938,10 +940,10 @@
 
         in_domain(case, run_s=10)
 
-    def test_a_gang_member_that_waits_for_the_others_stands_not_still(
+    def test_a_gang_member_that_waits_for_the_others_is_not_stalled(
         self,
     ) -> None:
-        """One has done all its work; the other needs 4 s more."""
+        """One member has done all its work; the other needs 4 s more."""
 
         async def case(domain: Domain) -> None:
             slow = FIRST._replace(rank=1)
@@ -956,8 +958,8 @@
 
         in_domain(case)
 
-    def test_a_lasting_task_does_not_stand_still(self) -> None:
-        """Its percentage says that it is at work, and stays."""
+    def test_a_perpetual_task_is_never_stalled(self) -> None:
+        """Its percentage says that it runs, and does not change."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -978,9 +980,9 @@
 
 
 class LateEndTest(unittest.TestCase):
-    """An end that is heard of only after the lease lapsed."""
+    """An end that is reported only after the lease has expired."""
 
-    def test_a_late_done_ends_the_needless_second_run(self) -> None:
+    def test_a_late_done_ends_the_superfluous_second_run(self) -> None:
         """The first run was done in time; the second is stopped."""
 
         async def case(domain: Domain) -> None:
@@ -1005,9 +1007,9 @@
 
 
 class RoundsTest(unittest.TestCase):
-    """How often the leader works out a round."""
+    """How often the leader makes a placement round."""
 
-    def test_reports_without_news_make_no_round(self) -> None:
+    def test_reports_without_changes_trigger_no_round(self) -> None:
         """20 busy workers report every 1.5 s; rounds keep their interval."""
 
         async def case(domain: Domain) -> None:
@@ -1027,7 +1029,7 @@
         in_domain(case, workers=20, run_s=100)
 
     def test_an_end_costs_one_renewal(self) -> None:
-        """Eight tasks of one worker end one after the other."""
+        """Eight tasks of one worker end at different times."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -1045,7 +1047,7 @@
             ) as renewals:
                 await domain.ended('a7')
                 await domain.clock.advance(1)
-            # Those without an end come after 1.5 s each.
+            # Renewals without an end return after 1.5 s each.
             self.assertLessEqual(renewals.call_count, 8 + 4)
 
         in_domain(case, workers=1)
