--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -313,7 +313,7 @@
         """Keep the task."""
         self.ended.append(end.task)
 
-    def run_vanished(
+    def run_absent(
         self,
         session: WorkerSession,
         run: Run,
