--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Steps that wait for tickets share the advisor, which takes one question."""
+"""Steps that wait for tickets share an advisor that handles one request."""
 
 import asyncio
 import unittest
@@ -17,24 +17,24 @@
 from tests.domain import ONE_GPU, Domain, FixedAdvisor, in_domain, make_spec
 from tests.support import ManualClock, run
 
-#: How long a step may wait for tickets that others ask for, too, in seconds.
+#: How long a step may wait for tickets while others request some, in seconds.
 MOST_WAIT_S = 30.0
 
-#: How long tickets are good for, in seconds.
+#: How long tickets are valid, in seconds.
 VALIDITY_S = 3.0
 
 
-class ChoosyAdvisor(FixedAdvisor):
-    """Answers for all steps but those of one job."""
+class SelectiveAdvisor(FixedAdvisor):
+    """Responds for all steps but those of one job."""
 
     def __init__(self, domain: Domain, bad_job: str) -> None:
-        """Keep whose questions fail."""
+        """Initialize an advisor with the job whose requests fail."""
         super().__init__(clock=domain.clock)
         self.good = set(domain.workers)
         self._bad_job = bad_job
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Answer after a while, unless the step is of that job."""
+        """Respond after a short delay, unless the step is of that job."""
         advice = await super().ask(step_name, workers)
         if step_name.startswith(self._bad_job):
             raise AdvisorError('status 400', step='advise')
@@ -42,33 +42,33 @@
 
 
 class SlowAdvisor(FixedAdvisor):
-    """Allows one worker, and takes half a second more for each question."""
+    """Allows one worker, and takes half a second longer for each request."""
 
     def __init__(self, domain: Domain) -> None:
-        """Allow the first worker."""
+        """Initialize an advisor that allows the first worker."""
         super().__init__(clock=domain.clock)
         self.good = {'w0'}
         self._domain = domain
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Answer after half a second."""
+        """Respond after half a second."""
         await self._domain.clock.sleep(0.5)
         return await super().ask(step_name, workers)
 
 
 class LoggingAdvisor:
-    """Allows all workers but to some steps, and knows who was asked for.
+    """Allows all workers for all steps but some, and records the requests.
 
-    :param failing: names of steps whose questions fail.
+    :param failing: names of steps whose requests fail.
     """
 
     def __init__(self) -> None:
-        """Start with no question."""
+        """Initialize an advisor without requests."""
         self.asked: list[str] = []
         self.failing: set[str] = set()
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Answer at once."""
+        """Respond at once."""
         self.asked.append(step_name)
         if step_name in self.failing:
             raise AdvisorError('status 400', step='advise')
@@ -87,13 +87,13 @@
 
 
 class SharedAdvisorTest(unittest.TestCase):
-    """What others ask for holds nobody up."""
+    """The requests of one step do not block those of others."""
 
-    def test_a_step_without_an_answer_does_not_hold_up_others(self) -> None:
-        """It comes first in each round, and its questions fail."""
+    def test_a_step_without_a_response_does_not_block_others(self) -> None:
+        """It comes first in each round, and its requests fail."""
 
         async def case(domain: Domain) -> None:
-            domain.advisor = ChoosyAdvisor(domain, 'a1')
+            domain.advisor = SelectiveAdvisor(domain, 'a1')
             host = domain.start_host('h1')
             await domain.leader()
             for job_id in ('a1', 'a2'):
@@ -102,8 +102,8 @@
 
         in_domain(case, workers=2)
 
-    def test_wide_steps_of_few_workers_do_not_hold_up_others(self) -> None:
-        """Their tickets lapse unused and are asked for again in turn."""
+    def test_wide_steps_of_few_workers_do_not_block_others(self) -> None:
+        """Their tickets expire unused and are requested again in rotation."""
 
         async def case(domain: Domain) -> None:
             domain.advisor = SlowAdvisor(domain)
@@ -120,97 +120,99 @@
         in_domain(case, workers=2)
 
 
-class Asker:
-    """Asks what the office chooses; all tickets lapse in between."""
+class Requester:
+    """Sends the requests that the cache chooses; tickets expire in between."""
 
     def __init__(self, *, workers: int = 2) -> None:
-        """Start with no step."""
+        """Initialize a requester without steps."""
         self.advisor = LoggingAdvisor()
         self.jobs: list[str] = []
         self._workers = {f'w{number}': 1 for number in range(workers)}
         self._clock = ManualClock()
         self._tickets = TicketCache(advisor=self.advisor, clock=self._clock)
 
-    async def ask(self) -> str:
-        """Ask one question; return the job that it is for."""
-        question = self._tickets.choose(list(self._questions()))
-        assert question is not None
-        asking = asyncio.ensure_future(self._tickets.request(question))
+    async def request(self) -> str:
+        """Send one request; return the job that it is for."""
+        request = self._tickets.choose(list(self._requests()))
+        assert request is not None
+        asking = asyncio.ensure_future(self._tickets.request(request))
         await self._clock.advance(VALIDITY_S + RETRY_S)
         await asking
-        return question.ready.tasks[0].job_id
+        return request.ready.tasks[0].job_id
 
-    async def asked(self, times: int) -> list[str]:
-        """Ask so many questions; return the jobs that they are for."""
-        return [await self.ask() for _ in range(times)]
+    async def requested(self, times: int) -> list[str]:
+        """Send so many requests; return the jobs that they are for."""
+        return [await self.request() for _ in range(times)]
 
-    def _questions(self) -> Iterator[TicketRequest]:
+    def _requests(self) -> Iterator[TicketRequest]:
         for job_id in self.jobs:
             key = TaskKey(job_id, 0, 0, 0)
             ready = ReadyStep(0, 0, Step(1, ONE_GPU), (key,))
-            question = self._tickets.next_request(ready, self._workers)
-            if question is not None:
-                yield question
+            request = self._tickets.next_request(ready, self._workers)
+            if request is not None:
+                yield request
 
 
-class QuestionOrderTest(unittest.TestCase):
-    """Which of several questions is asked."""
+class RequestOrderTest(unittest.TestCase):
+    """The order in which several requests are sent."""
 
-    def test_repeated_questions_take_turns(self) -> None:
-        """Tickets of all three lapse over and over."""
+    def test_repeated_requests_are_sent_in_rotation(self) -> None:
+        """The tickets of all three steps keep expiring."""
 
         async def case() -> None:
-            asker = Asker()
-            asker.jobs = ['a1', 'a2', 'a3']
-            self.assertEqual(await asker.asked(9), asker.jobs * 3)
+            requester = Requester()
+            requester.jobs = ['a1', 'a2', 'a3']
+            self.assertEqual(await requester.requested(9), requester.jobs * 3)
 
         run(case())
 
-    def test_failed_questions_take_turns_with_repeated_ones(self) -> None:
-        """One that fails is not asked again at once."""
+    def test_failed_requests_rotate_with_repeated_ones(self) -> None:
+        """A failed request is not sent again at once."""
 
         async def case() -> None:
-            asker = Asker()
-            asker.jobs = ['a1', 'a2', 'a3']
-            asker.advisor.failing = {'a1.0.0'}
-            self.assertEqual(await asker.asked(9), asker.jobs * 3)
+            requester = Requester()
+            requester.jobs = ['a1', 'a2', 'a3']
+            requester.advisor.failing = {'a1.0.0'}
+            self.assertEqual(await requester.requested(9), requester.jobs * 3)
 
         run(case())
 
-    def test_a_first_question_goes_before_repeated_ones(self) -> None:
-        """It comes last in the steps' order."""
+    def test_a_first_request_goes_before_repeated_ones(self) -> None:
+        """Its step is the last in the order of the steps."""
 
         async def case() -> None:
-            asker = Asker()
-            asker.jobs = ['a1', 'a2']
-            await asker.asked(5)
-            asker.jobs.append('z1')
-            self.assertEqual(await asker.ask(), 'z1')
+            requester = Requester()
+            requester.jobs = ['a1', 'a2']
+            await requester.requested(5)
+            requester.jobs.append('z1')
+            self.assertEqual(await requester.request(), 'z1')
 
         run(case())
 
-    def test_repeated_questions_wait_for_a_few_first_ones_only(self) -> None:
-        """A new step comes with each question."""
+    def test_repeated_requests_wait_for_a_few_first_ones_only(self) -> None:
+        """A new step appears with each request."""
 
         async def case() -> None:
-            asker = Asker()
-            asker.jobs = ['a1']
-            await asker.ask()
+            requester = Requester()
+            requester.jobs = ['a1']
+            await requester.request()
             asked = []
             for number in range(2 * FIRST_REQUESTS_PER_REPEAT):
-                asker.jobs.insert(0, f'b{number}')
-                asked.append(await asker.ask())
+                requester.jobs.insert(0, f'b{number}')
+                asked.append(await requester.request())
             self.assertIn('a1', asked)
 
         run(case())
 
-    def test_a_step_is_asked_for_all_workers_first(self) -> None:
-        """Three questions name them all; then the next step's turn comes."""
+    def test_a_step_requests_tickets_for_all_workers_first(self) -> None:
+        """Three requests name all of them; the next step follows."""
 
         async def case() -> None:
-            asker = Asker(workers=2 * WORKERS_PER_REQUEST + 1)
-            asker.jobs = ['a1', 'a2']
-            self.assertEqual(await asker.asked(4), ['a1', 'a1', 'a1', 'a2'])
+            requester = Requester(workers=2 * WORKERS_PER_REQUEST + 1)
+            requester.jobs = ['a1', 'a2']
+            self.assertEqual(
+                await requester.requested(4), ['a1', 'a1', 'a1', 'a2']
+            )
 
         run(case())
 
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -1,4 +1,4 @@
-"""No job stays in a state that no event ends, whatever led to it."""
+"""A job does not stay in a state that no event can end."""
 
 import unittest
 from collections.abc import Callable
@@ -18,46 +18,46 @@
 GANG: Final = Step(width=2, needs=WHOLE_WORKER, estimate_s=1.0, gang=True)
 PAIR: Final = Step(width=2, needs=ONE_GPU, estimate_s=1.0)
 
-#: Two looks and a start.
-MENDED_S: Final = 5.0
+#: Two checks and a start, in seconds.
+REPAIR_S: Final = 5.0
 
-Spoil = Callable[[Domain, TermState], None]
+Corrupt = Callable[[Domain, TermState], None]
 
 
 class Lines:
-    """Keeps the lines that are logged of inconsistent jobs."""
+    """Records the log lines of inconsistent jobs."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize a log without lines."""
         self.found: list[str] = []
 
     def log(self, kind: str, **fields: Any) -> None:
-        """Keep what one of them tells."""
+        """Record what a log line has found."""
         if kind == 'job_inconsistent':
             self.found.append(fields['found'])
 
 
 def drop_session_run(domain: Domain, term: TermState) -> None:
-    """Have the session forget a run that its worker lost."""
+    """Drop a run, which its worker has lost, from its session."""
     run = term.jobs['a1'].runs[FIRST]
     term.sessions[run.worker_id].runs.pop(run.name)
     domain.workers[run.worker_id].runs.clear()
 
 
 def drop_run(domain: Domain, term: TermState) -> None:
-    """Forget a run that its worker lost, and keep its mark."""
+    """Drop a run, which its worker has lost, but keep its assignment."""
     drop_session_run(domain, term)
     term.jobs['a1'].runs.pop(FIRST)
 
 
 def drop_known_run(domain: Domain, term: TermState) -> None:
-    """Forget a run that its worker still has, and keep its mark."""
+    """Drop a run that its worker still has, but keep its assignment."""
     run = term.jobs['a1'].runs.pop(FIRST)
     term.sessions[run.worker_id].runs.pop(run.name)
 
 
-def drop_run_of_gone_worker(domain: Domain, term: TermState) -> None:
-    """Forget a run whose worker is gone, and keep its mark."""
+def drop_run_of_removed_worker(domain: Domain, term: TermState) -> None:
+    """Drop a run whose worker is removed, but keep its assignment."""
     run = term.jobs['a1'].runs[FIRST]
     drop_run(domain, term)
     domain.workers[run.worker_id].gone = True
@@ -65,19 +65,19 @@
 
 
 def drop_member(domain: Domain, term: TermState) -> None:
-    """Forget a member of a gang, with its mark, and not its fellow."""
+    """Drop one member of a gang with its assignment."""
     drop_run(domain, term)
     term.jobs['a1'].progress.task(FIRST).worker = ''
 
 
 def end_member(domain: Domain, term: TermState) -> None:
-    """Take one member of a gang as done, and not its fellow."""
+    """Set one member of a gang to done."""
     drop_member(domain, term)
     term.jobs['a1'].progress.task(FIRST).done = True
 
 
 def end_all(domain: Domain, term: TermState) -> None:
-    """Take all tasks as done, and the job not as ended."""
+    """Set all tasks to done without ending the job."""
     drop_run(domain, term)
     job = term.jobs['a1']
     for key in list(job.runs):
@@ -91,11 +91,11 @@
         task.done = True
 
 
-class MendedTest(unittest.TestCase):
-    """What is found is told once and mended."""
+class RepairTest(unittest.TestCase):
+    """What is found is logged once and repaired."""
 
-    def check(self, step: Step, spoil: Spoil) -> Lines:
-        """Spoil what the leader knows of a job; return what was told."""
+    def check(self, step: Step, corrupt: Corrupt) -> Lines:
+        """Corrupt the leader's state of a job; return the lines logged."""
         lines = Lines()
 
         async def case(domain: Domain) -> None:
@@ -107,7 +107,7 @@
             await domain.clock.advance(0.5)
             assert host.leader is not None
             with patch.object(consistency, 'events', lines):
-                spoil(domain, host.leader.term)
+                corrupt(domain, host.leader.term)
                 for _ in range(40):
                     await domain.clock.advance(0.5)
                     watch.check()
@@ -117,23 +117,23 @@
         in_domain(case, workers=3, run_s=3)
         return lines
 
-    def test_a_run_that_no_session_holds_starts_again(self) -> None:
-        """Its worker is asked first."""
+    def test_a_run_that_no_session_tracks_starts_again(self) -> None:
+        """Its worker is asked first whether it exists."""
         lines = self.check(PAIR, drop_session_run)
         self.assertEqual(lines.found, ['run_unheld'])
 
-    def test_a_mark_without_a_run_starts_again(self) -> None:
-        """Its worker is asked first."""
+    def test_an_assignment_without_a_run_starts_again(self) -> None:
+        """Its worker is asked first whether the run exists."""
         lines = self.check(PAIR, drop_run)
         self.assertEqual(lines.found, ['mark_without_run'])
 
-    def test_a_mark_at_a_gone_worker_starts_again(self) -> None:
-        """Once a lease of that worker would have lapsed."""
-        lines = self.check(PAIR, drop_run_of_gone_worker)
+    def test_an_assignment_to_a_removed_worker_starts_again(self) -> None:
+        """It does so once a lease of that worker would have expired."""
+        lines = self.check(PAIR, drop_run_of_removed_worker)
         self.assertEqual(lines.found, ['mark_without_run'])
 
     def test_a_run_that_its_worker_has_gets_no_second_beside_it(self) -> None:
-        """The worker lists it: it is stopped before the next start."""
+        """The worker reports it, and it is stopped before the next start."""
         self.check(PAIR, drop_known_run)
 
     def test_a_gang_that_lacks_a_member_is_stopped(self) -> None:
@@ -142,21 +142,21 @@
         self.assertEqual(lines.found, ['gang_incomplete'])
 
     def test_a_gang_that_is_partly_done_is_done(self) -> None:
-        """One member's end tells of all."""
+        """The end of one member applies to all."""
         lines = self.check(GANG, end_member)
         self.assertEqual(lines.found, ['gang_partly_done'])
 
-    def test_a_job_without_an_open_task_ends(self) -> None:
-        """All its tasks are done."""
+    def test_a_job_whose_tasks_are_all_done_ends(self) -> None:
+        """It ends although the end of its last task was not applied."""
         lines = self.check(PAIR, end_all)
         self.assertEqual(lines.found, ['end_not_noted'])
 
 
 class EndedJobTest(unittest.TestCase):
-    """A job that has ended is kept until its runs have."""
+    """A job that has ended is tracked until its runs have ended."""
 
-    def test_a_cancelled_job_whose_run_nobody_holds_is_dropped(self) -> None:
-        """Its rows and its place in memory would stay."""
+    def test_a_cancelled_job_with_an_untracked_run_is_dropped(self) -> None:
+        """Otherwise its rows and its memory would never be freed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -170,17 +170,19 @@
             term.cancel('a1')
             await domain.clock.until(
                 lambda: 'a1' not in term.jobs,
-                within_s=MENDED_S,
+                within_s=REPAIR_S,
             )
 
         in_domain(case, workers=2, run_s=3)
 
 
-class RecoveredMarkTest(unittest.TestCase):
-    """A run of this term whose mark is taken up again may exist."""
+class RecoveredAssignmentTest(unittest.TestCase):
+    """A run of this term that is recovered from its assignment may exist."""
 
-    def test_a_list_under_the_token_of_its_start_does_not_end_it(self) -> None:
-        """That list may have been made before the start came through."""
+    def test_a_report_under_the_token_of_its_start_does_not_end_it(
+        self,
+    ) -> None:
+        """That report may have been made before the start took effect."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -210,12 +212,12 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """What a former leader left half done is ended."""
+    """What a previous leader left incomplete is repaired."""
 
-    def test_a_gang_that_lost_a_member_in_a_former_term_is_stopped(
+    def test_a_gang_that_lost_a_member_in_a_previous_term_is_stopped(
         self,
     ) -> None:
-        """The former leader could not stop the fellow."""
+        """The previous leader could not stop the other member."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -237,7 +239,7 @@
             domain.start_host('h2')
             await domain.clock.until(
                 lambda: domain.starts(FIRST) == [1, 2],
-                within_s=MENDED_S + 5,
+                within_s=REPAIR_S + 5,
             )
             self.assertEqual(domain.starts(SECOND), [1, 2])
             self.assertEqual(await domain.ended('a1', 90), 'completed')
@@ -246,10 +248,10 @@
 
 
 class HealthTest(unittest.TestCase):
-    """Nothing is told of jobs that go on."""
+    """Nothing is logged of healthy jobs."""
 
-    def test_healthy_jobs_are_not_told_of(self) -> None:
-        """Through restarts of workers and the loss of one."""
+    def test_healthy_jobs_are_not_logged(self) -> None:
+        """This holds through restarts of all their workers."""
 
         async def case(domain: Domain) -> None:
             lines = Lines()
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -1,12 +1,12 @@
 """Tasks that crash the workers that start them.
 
-A task crashed its worker ten milliseconds after each start. It was placed on
-another worker as soon as each loss was noticed, 19 times until the day ended,
-since nobody reports an end of a run whose worker has crashed and the limit of
-its queue counts reported ends only. The log of such a task reads, every 3.5 s,
+The end of a run is not reported if its worker has crashed, and the limit of a
+queue counts reported ends only. So a task that crashed its worker 10 ms after
+each start was placed on another worker as soon as the loss was detected, 19
+times until the simulated day ended. The log of such a task repeats every 3.5 s
 `worker_unreachable ... Server disconnected`, `worker_gone ... runs 1`,
-`run_vanished ... worker gone` and, five milliseconds later, `placed` with the
-next attempt; there is no `run_ended` at all, which settled the cause.
+`run_vanished ... worker gone` and, 5 ms later, `placed` with the next attempt,
+without any `run_ended`.
 """
 
 import unittest
@@ -24,32 +24,32 @@
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
-#: A task that takes a whole worker, like the ones that were seen.
+#: A task that needs a whole worker, like those observed.
 WHOLE = Step(width=1, needs=WORKER_CAPACITY, estimate_s=1.0)
 
-#: A task that leaves room beside it on its worker.
+#: A task that leaves free capacity on its worker.
 HALF = Resources(cpu_millis=8000, memory_mb=1024, gpus=4)
 
-#: Most workers that one task may crash: it must not be started a third time
-#: after three have crashed under it.
-MOST_CRASHES = 5
+#: The most workers that one task may crash: it must not be started a third
+#: time after three workers have crashed under it.
+MAX_CRASHES = 5
 
 
 async def crashed_once_more(domain: Domain) -> None:
-    """Move time on until the task has crashed a worker, or is given up."""
+    """Advance time until the task has crashed a worker, or is given up."""
     seen = domain.crashes(FIRST)
 
-    def news() -> bool:
+    def has_changed() -> bool:
         return domain.crashes(FIRST) > seen or domain.state('a1') == 'failed'
 
-    await domain.clock.until(news, within_s=60)
+    await domain.clock.until(has_changed, within_s=60)
 
 
 class GivenUpTest(unittest.TestCase):
-    """Such a task is given up, and its job shown as failed."""
+    """Such a task is given up, and its job fails."""
 
     def test_a_task_that_crashes_its_workers_is_given_up(self) -> None:
-        """They come back under their ids."""
+        """The workers restart under their ids."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -58,12 +58,12 @@
             await host.accept(make_spec('a1', WHOLE, priority=0))
             await domain.clock.advance(60)
             self.assertEqual(domain.state('a1'), 'failed')
-            self.assertLessEqual(len(domain.starts(FIRST)), MOST_CRASHES)
+            self.assertLessEqual(len(domain.starts(FIRST)), MAX_CRASHES)
 
         in_domain(case, workers=6)
 
-    def test_it_is_given_up_where_workers_come_back_anew(self) -> None:
-        """They come back under other ids."""
+    def test_it_is_given_up_if_workers_return_under_other_ids(self) -> None:
+        """The losses are counted by task, not by worker."""
 
         async def case(domain: Domain) -> None:
             domain.same_id = False
@@ -73,12 +73,12 @@
             await host.accept(make_spec('a1', WHOLE, priority=0))
             await domain.clock.advance(60)
             self.assertEqual(domain.state('a1'), 'failed')
-            self.assertLessEqual(len(domain.starts(FIRST)), MOST_CRASHES)
+            self.assertLessEqual(len(domain.starts(FIRST)), MAX_CRASHES)
 
         in_domain(case, workers=6)
 
     def test_it_is_given_up_across_leaders(self) -> None:
-        """A new leader goes on with the count of the former ones."""
+        """A new leader continues the count of the previous ones."""
 
         async def case(domain: Domain) -> None:
             domain.same_id = False
@@ -92,16 +92,16 @@
                 domain.start_host(f'h{number}')
                 await domain.leader()
             self.assertEqual(domain.state('a1'), 'failed')
-            self.assertLessEqual(len(domain.starts(FIRST)), MOST_CRASHES)
+            self.assertLessEqual(len(domain.starts(FIRST)), MAX_CRASHES)
 
         in_domain(case, workers=6)
 
 
 class SameIdTest(unittest.TestCase):
-    """Workers that are back under their ids before a new leader looks."""
+    """Workers that are back under their ids before a new leader probes."""
 
     def test_a_crash_that_no_leader_saw_is_counted(self) -> None:
-        """The mark says in which life of the worker the task started."""
+        """The assignment names the incarnation that the task started in."""
 
         async def case(domain: Domain) -> None:
             domain.down_s = 0.2
@@ -116,16 +116,16 @@
                 domain.start_host(f'h{number}')
                 await domain.leader()
             self.assertEqual(domain.state('a1'), 'failed')
-            self.assertLessEqual(len(domain.starts(FIRST)), MOST_CRASHES)
+            self.assertLessEqual(len(domain.starts(FIRST)), MAX_CRASHES)
 
         in_domain(case, workers=6)
 
 
 class InnocentTest(unittest.TestCase):
-    """Tasks that have nothing to do with a crash are not counted for it."""
+    """Tasks that can't have caused a crash are not counted for it."""
 
-    def test_a_start_that_was_never_sent_counts_for_nothing(self) -> None:
-        """Its idle worker had crashed unseen; it starts elsewhere at once."""
+    def test_a_start_that_was_never_sent_is_not_counted(self) -> None:
+        """Its worker had crashed unnoticed; it starts elsewhere at once."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -141,10 +141,10 @@
 
         in_domain(case)
 
-    def test_a_start_answered_by_another_worker_counts_for_nothing(
+    def test_a_start_that_reached_another_worker_is_not_counted(
         self,
     ) -> None:
-        """Its worker had crashed unseen and another one has its address."""
+        """Its worker had crashed unnoticed; another one has its address."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -156,8 +156,8 @@
 
         in_domain(case)
 
-    def test_a_cut_worker_that_is_back_takes_its_loss_back(self) -> None:
-        """Its lease had lapsed; it is the same life of it."""
+    def test_a_loss_is_revoked_when_a_cut_worker_is_back(self) -> None:
+        """Its lease had expired, but its incarnation is the same."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -179,8 +179,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_worker_of_which_no_life_was_known_has_not_crashed(self) -> None:
-        """A new leader finds its entry missing, and then the worker alive."""
+    def test_a_worker_without_a_known_incarnation_has_not_crashed(self) -> None:
+        """A new leader finds its entry missing, and then the worker up."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -203,8 +203,8 @@
 
         in_domain(case, run_s=100)
 
-    def test_a_worker_that_leaves_counts_for_nothing(self) -> None:
-        """It had said so, and what ran there ended with it."""
+    def test_a_worker_that_drains_is_not_counted(self) -> None:
+        """It had announced that it drains, and its runs ended with it."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -220,8 +220,8 @@
 
         in_domain(case, run_s=60)
 
-    def test_a_task_that_lasts_starts_with_a_clean_record(self) -> None:
-        """After ten minutes at work, losses of before count no more."""
+    def test_the_losses_of_a_perpetual_task_are_cleared(self) -> None:
+        """After it has run for ten minutes, earlier losses do not count."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -243,7 +243,7 @@
     """Tasks that may have crashed a worker are started apart from others."""
 
     def test_a_neighbour_of_a_crashing_task_is_not_given_up(self) -> None:
-        """Both were on the workers that crashed; only one crashes them."""
+        """Both ran on the workers that crashed; only one crashes them."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -259,7 +259,7 @@
         in_domain(case, workers=3)
 
     def test_suspects_have_a_worker_each(self) -> None:
-        """Two tasks that were on a crashed worker start on two, alone."""
+        """Two tasks that ran on a crashed worker start exclusively on two."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -281,7 +281,7 @@
         in_domain(case, workers=3, run_s=20)
 
     def test_a_step_that_crashes_its_workers_takes_one_at_a_time(self) -> None:
-        """Six tasks, each on a worker of its own, crash six at first."""
+        """Six tasks, each with a worker of its own, crash six at first."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -296,8 +296,8 @@
 
         in_domain(case, workers=8)
 
-    def test_suspects_that_last_do_not_wait_for_each_other(self) -> None:
-        """Both are at work again soon after their worker is gone."""
+    def test_perpetual_suspects_do_not_wait_for_each_other(self) -> None:
+        """Both run again soon after their worker has crashed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -316,7 +316,7 @@
     def test_a_suspect_waits_only_so_long_for_a_worker_of_its_own(
         self,
     ) -> None:
-        """No worker is empty; it starts beside what runs there."""
+        """No worker is empty, so it starts beside other runs."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -1,4 +1,4 @@
-"""Any faults in any order: no second run, no lost job, no late start."""
+"""Random faults in any order: no second run, no lost job, no late start."""
 
 import asyncio
 import unittest
@@ -14,25 +14,25 @@
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.invariants import InvariantChecker
 
-#: Tasks that end between two faults, and tasks that outlast a lease.
+#: Run times that end between two faults, and that exceed a lease, in seconds.
 RUN_TIMES_S: Final = (0.9, 9.0)
 JOBS: Final = 4
 WORKERS: Final = 3
 
-#: Runs of one task that may fail, by the queues of these jobs.
+#: Runs of one task that may fail in the queues of these jobs.
 ATTEMPTS: Final = 2
 
-#: Twice the store's longest outage that work survives, and a lease.
+#: Twice the longest outage of the store that work survives, and a lease.
 HEALING_S: Final = 80.0
 
 Action = Callable[[Domain, int], Awaitable[None]]
 
 
 class Faults:
-    """What a step of a test may do, by name."""
+    """The faults and requests that a step of a test may inject, by name."""
 
     def __init__(self) -> None:
-        """Start with no job handed in."""
+        """Initialize the faults of a test before any job is submitted."""
         self.submitted: list[str] = []
         self.refused: set[str] = set()
         self.cancelled: set[str] = set()
@@ -41,7 +41,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def accept(self, domain: Domain, pick: int) -> None:
-        """Hand in one more job at some host."""
+        """Submit one more job to some host."""
         if len(self.submitted) >= JOBS or not domain.hosts:
             return
         job_id = f'job{len(self.submitted)}'
@@ -53,17 +53,17 @@
         second = Step(width=1, needs=ONE_GPU, estimate_s=1.0, after=(0,))
         spec = make_spec(job_id, first, second, priority=pick % 3)
 
-        async def hand_in() -> None:
+        async def submit() -> None:
             try:
                 await host.handler.accept(spec, 3.0)
             except RefusedError as refused:
                 if refused.status == 503:
                     self.refused.add(job_id)
 
-        self._spawn(hand_in())
+        self._spawn(submit())
 
     async def cancel(self, domain: Domain, pick: int) -> None:
-        """Cancel some job at some host."""
+        """Cancel some submitted job."""
         if not self.submitted or not domain.hosts:
             return
         job_id = self.submitted[pick % len(self.submitted)]
@@ -79,56 +79,56 @@
         self._spawn(cancel())
 
     async def kill_leader(self, domain: Domain, pick: int) -> None:
-        """Kill whoever leads, and start another host."""
+        """Kill the leader, and start another host."""
         for host in domain.leading()[:1]:
             await host.kill()
         self.start_host(domain)
 
     async def stop_leader(self, domain: Domain, pick: int) -> None:
-        """Let whoever leads hand over."""
+        """Have the leader step down, and start another host."""
         for host in domain.leading()[:1]:
             assert host.leader is not None
             self._spawn(host.leader.step_down())
         self.start_host(domain)
 
     async def cut_store(self, domain: Domain, pick: int) -> None:
-        """Take the store away from some host, or from all."""
+        """Disconnect some host, or all, from the store."""
         names = [*domain.hosts, '*']
         domain.rows.down.add(names[pick % len(names)])
 
     async def refuse_store(self, domain: Domain, pick: int) -> None:
-        """Have the store refuse some host, or all."""
+        """Have the store refuse the calls of some host, or of all."""
         names = [*domain.hosts, '*']
         domain.rows.refusing.add(names[pick % len(names)])
 
     async def hide_orders(self, domain: Domain, pick: int) -> None:
-        """Let some host, or all, not read the operators' rows."""
+        """Hide the operators' rows from some hosts."""
         names = [*domain.hosts, *domain.hosts]
         some = names[pick % len(names) :] if names else []
         domain.unreadable.update(some[: 1 + pick % 2])
 
     async def heal_store(self, domain: Domain, pick: int) -> None:
-        """Give the store back to all."""
+        """End all faults of the store."""
         domain.unreadable.clear()
         domain.rows.down.clear()
         domain.rows.refusing.clear()
 
     async def lose_writes(self, domain: Domain, pick: int) -> None:
-        """Lose answers, or apply writes late."""
+        """Lose the responses of writes, or apply writes late."""
         domain.rows.lose_next += pick % 3
         domain.rows.late_next += pick % 2
 
     async def drop_history(self, domain: Domain, pick: int) -> None:
-        """Make every feed read anew."""
+        """Drop the change history, so that every feed reads all rows again."""
         domain.rows.forget_history()
 
     async def cut_worker(self, domain: Domain, pick: int) -> None:
-        """Cut some worker off, or give it back."""
+        """Toggle whether some worker is cut off."""
         worker = domain.workers[f'w{pick % WORKERS}']
         worker.cut = not worker.cut
 
     async def lose_worker(self, domain: Domain, pick: int) -> None:
-        """Replace some worker by another life of its machine."""
+        """Replace some worker by another one on its machine."""
         name = f'w{pick % WORKERS}'
         worker = domain.workers[name]
         if worker.gone or worker.down:
@@ -141,7 +141,7 @@
         )
 
     async def restart_worker(self, domain: Domain, pick: int) -> None:
-        """Let some worker start again under its id, listed at once or not."""
+        """Restart some worker under its id, with or without a new entry."""
         worker = domain.workers[f'w{pick % WORKERS}']
         if worker.gone or worker.down:
             return
@@ -150,7 +150,7 @@
             self._relist(domain, worker)
 
     async def fail_tasks(self, domain: Domain, pick: int) -> None:
-        """Have some worker fail all that it runs, or no longer."""
+        """Toggle whether some worker fails its tasks."""
         worker = domain.workers[f'w{pick % WORKERS}']
         worker.failing = not worker.failing
         self.may_fail = True
@@ -164,7 +164,7 @@
             self.may_fail = True
 
     def relist_all(self, domain: Domain) -> None:
-        """Have every worker that lives write its entry."""
+        """Have every worker that is up write its entry."""
         for worker in domain.workers.values():
             if not (worker.gone or worker.down):
                 self._relist(domain, worker)
@@ -174,7 +174,7 @@
         domain.list_worker(worker.entry)
 
     async def late_starts(self, domain: Domain, pick: int) -> None:
-        """Carry out the next starts at a worker late and unanswered."""
+        """Apply the next starts at a worker late, without a response."""
         worker = domain.workers[f'w{pick % WORKERS}']
         worker.late_next += 1 + pick % 2
         worker.late_s = 0.5 + pick % 7
@@ -223,15 +223,15 @@
 
 
 class Watch(InvariantChecker):
-    """The same, of the workers of a domain, and that none is too full."""
+    """Checks the invariants of a domain, and that no worker is overfull."""
 
     def __init__(self, domain: Domain) -> None:
-        """Watch every start."""
+        """Initialize the checks of a domain."""
         super().__init__(workers=domain.workers.values, attempts=ATTEMPTS)
         self._domain = domain
 
     def check(self) -> None:
-        """Look at the workers' room too: each task takes one accelerator."""
+        """Check the capacities too: each task needs one accelerator."""
         super().check()
         for worker in self._domain.workers.values():
             if len(worker.runs) > worker.entry.capacity.gpus:
@@ -239,9 +239,9 @@
 
 
 class AnyFaultTest(unittest.TestCase):
-    """Random faults against the real leader, sessions, desk and election."""
+    """Random faults against the real leader, sessions, handler, election."""
 
-    # Without shrinking, which takes minutes here; an example is short enough.
+    # Shrinking is disabled: it takes minutes, and examples are short enough.
     @settings(max_examples=40, phases=(Phase.explicit, Phase.generate))
     @example(
         [
@@ -277,12 +277,12 @@
         9.0,
     )
     @given(STEPS, st.sampled_from(RUN_TIMES_S))
-    def test_promises_hold(
+    def test_invariants_hold(
         self,
         steps: list[tuple[str, int, float]],
         run_s: float,
     ) -> None:
-        """Then everything heals, and each accepted job comes to its end."""
+        """Once all faults are over, each accepted job ends."""
         faults = Faults()
 
         async def case(domain: Domain) -> None:
@@ -301,7 +301,7 @@
         in_domain(case, workers=WORKERS, run_s=run_s)
 
     def check_ends(self, domain: Domain, faults: Faults) -> None:
-        """Each stored job has ended; a refused one is not stored."""
+        """Check that stored jobs have ended and refused ones are not stored."""
         for job_id in faults.submitted:
             stored = ('progress', job_id) in domain.rows.rows
             if job_id in faults.refused:
@@ -320,7 +320,7 @@
     watch: InvariantChecker,
     seconds_s: float,
 ) -> None:
-    """Move time on in small steps, looking at each."""
+    """Advance time in small steps, with a check after each."""
     left_s = seconds_s
     while left_s > 0:
         await domain.clock.advance(min(left_s, 0.25))
@@ -330,7 +330,7 @@
 
 
 async def heal(domain: Domain, faults: Faults) -> None:
-    """Take all faults back, and have a host."""
+    """End all faults, and start a host."""
     await faults.heal_store(domain, 0)
     domain.rows.lose_next = 0
     domain.rows.late_next = 0
--- a/tests/test_gangs_end.py
+++ b/tests/test_gangs_end.py
@@ -1,4 +1,4 @@
-"""Gangs through long faults: once these are over, each accepted job ends."""
+"""Gangs under long faults: once these are over, each accepted job ends."""
 
 import unittest
 from collections import defaultdict
@@ -26,23 +26,23 @@
 from tests.invariants import InvariantChecker
 from tests.test_dispatch_faults import ATTEMPTS, Faults, heal, pass_time
 
-#: Two tasks fit a worker, and four of the workers hold a gang.
+#: Two tasks fit a worker, and a gang fits four of the workers.
 HALF_WORKER: Final = Resources(cpu_millis=16_000, memory_mb=32_000, gpus=4)
 TASKS_PER_WORKER: Final = 2
 WORKERS: Final = 5
 WIDTH: Final = 7
 JOBS: Final = 5
-#: How long a member waits for its fellows, in seconds.
+#: How long a member waits for the rest of its gang, in seconds.
 GANG_TIMEOUT_S: Final = Timing().gang_timeout_s
 RUN_TIMES_S: Final = (0.9, 9.0)
 
-#: Some time between two faults: from none to one that outlasts all leases.
+#: Seconds between two faults: from none to more than any lease lasts.
 WAITS_S: Final = (0.0, 0.02, 0.3, 1.1, 2.6, 15.0, 110.0)
 
-#: A lease after a takeover, the wait of a suspect for a worker of its own,
-#: and five gangs one after another.
+#: A lease after a takeover, the wait of a suspect for a worker of its own and
+#: five sequential gangs, in seconds.
 HEALING_S: Final = 150.0
-LOOK_S: Final = 5.0
+CHECK_S: Final = 5.0
 
 ACTIONS: Final = (
     'accept',
@@ -75,10 +75,10 @@
 
 
 class GangFaults(Faults):
-    """Faults, gangs that take most workers, and single tasks."""
+    """Faults, with gangs that need most workers and with single tasks."""
 
     async def accept(self, domain: Domain, pick: int) -> None:
-        """Hand in one more job at some host."""
+        """Submit one more job to some host."""
         if len(self.submitted) >= JOBS or not domain.hosts:
             return
         job_id = f'job{len(self.submitted)}'
@@ -90,61 +90,61 @@
         step = Step(width=width, needs=HALF_WORKER, estimate_s=1.0, gang=gang)
         spec = make_spec(job_id, step, priority=pick % 3)
 
-        async def hand_in() -> None:
+        async def submit() -> None:
             try:
                 await host.handler.accept(spec, 3.0)
             except RefusedError:
                 self.refused.add(job_id)
 
-        self._spawn(hand_in())
+        self._spawn(submit())
 
     async def reject_starts(self, domain: Domain, pick: int) -> None:
-        """Have some worker reject starts, or no longer."""
+        """Toggle whether some worker rejects starts."""
         worker = domain.workers[f'w{pick % WORKERS}']
         reasons = ('fence', 'old', 'room')
         worker.rejecting = '' if worker.rejecting else reasons[pick % 3]
 
     async def reject_renewals(self, domain: Domain, pick: int) -> None:
-        """Have some worker reject renewals, or no longer."""
+        """Toggle whether some worker rejects renewals."""
         worker = domain.workers[f'w{pick % WORKERS}']
         worker.refusing = '' if worker.refusing else '503'
 
 
 class Member(NamedTuple):
-    """One run of a gang and where it is."""
+    """One run of a gang and its worker."""
 
     worker: TaskWorkerModel
     run: tuple[TaskKey, int]
 
 
-class GangRule:
-    """Has gangs work only as a whole, which a worker alone can't tell.
+class GangSimulation:
+    """Lets gangs progress only as a whole, which a single worker can't decide.
 
-    A member whose fellows do not come ends ``alone``, one that loses a fellow
-    ``broken``, and the end of one as done lets the others come to theirs.
+    A member whose gang stays incomplete ends ``alone``, one whose gang loses a
+    member ends ``broken``, and once one member is done the others may end.
     """
 
     def __init__(self, domain: Domain) -> None:
-        """Start with no gang seen."""
+        """Initialize the rule before any gang has started."""
         self._domain = domain
-        self._whole: set[tuple[str, int]] = set()
+        self._complete: set[tuple[str, int]] = set()
         self._done: set[tuple[str, int]] = set()
         self._widths: dict[str, int] = {}
 
     def check(self) -> None:
-        """Hold or end the runs of gangs that are not whole."""
+        """Suspend or end the runs of incomplete gangs."""
         gangs: dict[tuple[str, int], list[Member]] = defaultdict(list)
         for worker in self._domain.workers.values():
-            self._note_done(worker)
+            self._record_done(worker)
             for key, attempt in worker.runs:
                 member = Member(worker, (key, attempt))
                 gangs[(key.job_id, attempt)].append(member)
         for name, members in gangs.items():
             if len(members) == self._width(name[0]):
-                self._whole.add(name)
-            self._judge(name, members)
+                self._complete.add(name)
+            self._apply_rule(name, members)
 
-    def _note_done(self, worker: TaskWorkerModel) -> None:
+    def _record_done(self, worker: TaskWorkerModel) -> None:
         self._done.update(
             (end.task.job_id, end.attempt)
             for end in (*worker.ends, *worker.acknowledged)
@@ -152,42 +152,42 @@
         )
 
     def _width(self, job_id: str) -> int:
-        """Return a gang's width; its row goes once the job has ended."""
+        """Return a gang's width; its row is removed once the job has ended."""
         row = self._domain.rows.rows.get((tables.INTAKE, job_id))
         if row is not None:
             spec = decode(row.content, JobSpec)
             self._widths[job_id] = spec.steps[0].width
         return self._widths[job_id]
 
-    def _judge(self, name: tuple[str, int], members: list[Member]) -> None:
-        whole = len(members) == self._width(name[0]) or name in self._done
+    def _apply_rule(self, name: tuple[str, int], members: list[Member]) -> None:
+        complete = len(members) == self._width(name[0]) or name in self._done
         for worker, run in members:
             worker.held.discard(run)
-            if whole:
+            if complete:
                 continue
             worker.held.add(run)
-            if name in self._whole:
+            if name in self._complete:
                 worker.end(run, 'broken')
             elif worker.age_s(run) > GANG_TIMEOUT_S:
                 worker.end(run, 'alone')
 
 
 class Watch(InvariantChecker):
-    """Looks for second runs, for workers that are too full, and for ends.
+    """Checks for second runs and overfull workers, and records ended jobs.
 
-    :param ended: jobs whose end was stored; their rows go after some time.
+    :param ended: jobs whose end was stored; their rows are removed later.
     """
 
     def __init__(self, domain: Domain) -> None:
-        """Watch every start."""
+        """Initialize the checks of a domain."""
         super().__init__(workers=domain.workers.values, attempts=ATTEMPTS)
         self.ended: dict[str, JobProgress] = {}
         self._domain = domain
-        self._rule = GangRule(domain)
+        self._gangs = GangSimulation(domain)
 
     def check(self) -> None:
-        """Count each worker's runs and read the jobs' states too."""
-        self._rule.check()
+        """Check the runs of each worker and read the states of the jobs."""
+        self._gangs.check()
         super().check()
         for worker in self._domain.workers.values():
             if len(worker.runs) > TASKS_PER_WORKER:
@@ -200,14 +200,14 @@
 
 
 class Lines:
-    """Keeps what is told of inconsistent jobs."""
+    """Records the log lines of inconsistent jobs."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize a log without lines."""
         self.found: list[str] = []
 
     def log(self, kind: str, **fields: Any) -> None:
-        """Keep what was found."""
+        """Record what a log line has found."""
         if kind == 'job_inconsistent':
             self.found.append(fields['found'])
 
@@ -232,7 +232,7 @@
         steps: list[tuple[str, int, float]],
         run_s: float,
     ) -> None:
-        """A bounded time after the last fault."""
+        """The time after the last fault is bounded."""
         faults = GangFaults()
         lines = Lines()
 
@@ -254,7 +254,7 @@
 
         with patch.object(consistency, 'events', lines):
             in_domain(case, workers=WORKERS, run_s=run_s)
-        # What a takeover may leave half stopped; all else is a fault.
+        # A takeover may leave a gang stopped in part; anything else is a fault.
         self.assertLessEqual(set(lines.found), {'gang_incomplete'})
 
     def check_ends(self, faults: GangFaults, watch: Watch) -> None:
@@ -271,12 +271,12 @@
     faults: GangFaults,
     watch: Watch,
 ) -> None:
-    """Move time on until all accepted jobs have ended, as long as allowed."""
+    """Advance time until all accepted jobs have ended, within the limit."""
     left_s = HEALING_S
     accepted = set(faults.submitted) - faults.refused
     while left_s > 0 and not accepted <= watch.ended.keys():
-        await pass_time(domain, watch, LOOK_S)
-        left_s -= LOOK_S
+        await pass_time(domain, watch, CHECK_S)
+        left_s -= CHECK_S
         accepted = set(faults.submitted) - faults.refused
 
 
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -1,15 +1,12 @@
-"""A worker that starts again under the id that it had.
-
-Workers crashed and came back under their old ids with nothing left of before:
-they counted their ends from 1 once more. The leader kept the numbers that it
-had noted from the former incarnation, so it passed over every end up to that
-number, and its next renewal acknowledged it unread. Tasks that were done ran
-again, and failed runs were not counted against their limit. The log of a task
-that ran twice has `run_ended ... number 1` of its worker before the restart;
-after it no line when the run was done, `run_vanished ... not listed` 1.3 s
-later, and a new start. The next end noted from that worker had number 2. With
-a line added for it, the case below reads `end_passed_over ... number 1, noted
-1`, which settled the cause.
+"""Workers that restart under the same id.
+
+A restarted worker keeps no state and numbers its ends from 1 again. The leader
+used to keep the numbers recorded from the previous incarnation: it skipped all
+ends up to the last of them, and its next renewal acknowledged them unread. So
+tasks that were done ran again, and failed runs were not counted against their
+limit. In the log such a task has no `run_ended` after the restart but a
+`run_vanished ... not listed` 1.3 s later, and then a second start. The event
+`end_passed_over` reports a skipped end whose run is still tracked.
 """
 
 import asyncio
@@ -30,9 +27,9 @@
 from tests.domain import WORKER_CAPACITY, Domain, in_domain, make_spec
 from tests.support import ManualClock, run as run_to_end
 from tests.test_session import (
-    CrossingWorker,
+    OvertakingWorker,
     Owner,
-    marked_run,
+    assigned_run,
     open_session,
 )
 
@@ -42,7 +39,7 @@
 
 
 async def restarted(domain: Domain, name: str = 'w0') -> None:
-    """Have a worker noted one end and start again under its id."""
+    """Restart a worker under its id after one of its ends was recorded."""
     host = domain.start_host('h1')
     await domain.leader()
     await host.accept(make_spec('a1'))
@@ -52,10 +49,10 @@
 
 
 class EndNumberTest(unittest.TestCase):
-    """Ends are numbered anew in each incarnation."""
+    """Each incarnation numbers its ends from 1."""
 
     def test_a_task_done_after_the_restart_runs_once(self) -> None:
-        """Its end has a number that the former incarnation used too."""
+        """Its end has a number that the previous incarnation used too."""
 
         async def case(domain: Domain) -> None:
             await restarted(domain)
@@ -67,7 +64,7 @@
         in_domain(case, workers=1)
 
     def test_a_task_done_after_a_seen_restart_runs_once(self) -> None:
-        """The leader hears of the restart before it places the task."""
+        """The leader detects the restart before it places the task."""
 
         async def case(domain: Domain) -> None:
             await restarted(domain)
@@ -91,8 +88,8 @@
 
         in_domain(case, workers=1)
 
-    def test_no_end_is_acknowledged_that_was_not_noted(self) -> None:
-        """The numbers of the former incarnation say nothing of this one."""
+    def test_no_end_is_acknowledged_that_was_not_recorded(self) -> None:
+        """The numbers of the previous incarnation do not apply to this one."""
 
         async def case(domain: Domain) -> None:
             await restarted(domain)
@@ -110,7 +107,7 @@
         in_domain(case, workers=1)
 
     def test_a_worker_that_restarts_behind_a_cut_loses_its_tasks(self) -> None:
-        """It runs the task again once, and that end is heard."""
+        """It runs the task once more, and that end is recorded."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -132,10 +129,10 @@
 
 
 class IncarnationTest(unittest.TestCase):
-    """What is known of one incarnation is not taken for another's."""
+    """State of one incarnation is not applied to another."""
 
-    def test_nothing_starts_by_the_room_of_a_former_incarnation(self) -> None:
-        """The new one has no accelerators; its entry comes later."""
+    def test_nothing_starts_on_capacity_of_a_previous_incarnation(self) -> None:
+        """The new one has no accelerators; its entry is read later."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -151,8 +148,8 @@
 
         in_domain(case, workers=1, run_s=60)
 
-    def test_a_start_that_waited_for_its_turn_is_placed_anew(self) -> None:
-        """The worker restarts between the stored mark and the order."""
+    def test_a_queued_start_is_placed_again(self) -> None:
+        """The worker restarts between the stored assignment and the order."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -172,8 +169,8 @@
 
         in_domain(case, workers=1)
 
-    def test_a_ticket_of_a_former_incarnation_is_not_used(self) -> None:
-        """The advisor is asked again for the new one."""
+    def test_a_ticket_of_a_previous_incarnation_is_not_used(self) -> None:
+        """A ticket is requested again for the new one."""
 
         async def case(domain: Domain) -> None:
             domain.advisor.good = {'w0'}
@@ -189,7 +186,7 @@
         in_domain(case, workers=1, run_s=60)
 
     def test_a_worker_that_moves_is_reached_at_its_new_address(self) -> None:
-        """It starts again under its id elsewhere."""
+        """It restarts under its id at another address."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -203,7 +200,7 @@
 
         in_domain(case, workers=1)
 
-    def test_failures_elsewhere_are_forgotten_with_the_incarnation(
+    def test_failures_are_forgotten_with_the_incarnation(
         self,
     ) -> None:
         """A worker that failed tasks and restarted is used like any other."""
@@ -226,10 +223,10 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """A restart while nobody leads."""
+    """A restart while there is no leader."""
 
-    def test_a_restart_between_two_leaders_loses_only_what_ran(self) -> None:
-        """The new leader finds the marked run gone and starts it once."""
+    def test_a_restart_between_two_leaders_loses_only_its_runs(self) -> None:
+        """The new leader finds the assigned run absent and starts it once."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -247,35 +244,35 @@
 
 
 class SteadyWorker(TaskWorkerModel):
-    """Has a clock that happens to go on over a restart."""
+    """A worker whose clock happens to continue over a restart."""
 
     def restart(self) -> None:
-        """Start anew but for the clock."""
+        """Restart with everything but the clock reset."""
         super().restart()
         self._born_s = 0.0
 
 
-class SlowlyAnsweringWorker(TaskWorkerModel):
-    """Starts at once and answers later, when the run is over."""
+class SlowResponseWorker(TaskWorkerModel):
+    """A worker that starts at once and responds after the run has ended."""
 
     async def start(self, order: StartOrder) -> float:
-        """Keep the answer back."""
+        """Delay the response."""
         clock_s = await super().start(order)
         await self.clock.sleep(0.3)
         return clock_s
 
 
-class SilentWorker(TaskWorkerModel):
-    """Does not tell which of its incarnations answers."""
+class NoIncarnationWorker(TaskWorkerModel):
+    """A worker that does not report its incarnation."""
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """Leave the incarnation out."""
+        """Omit the incarnation."""
         report = await super().renew(order)
         return report._replace(incarnation=0)
 
 
 class CountingWorker(TaskWorkerModel):
-    """Keeps every renewal that it was asked for.
+    """A worker that records the renewals it receives.
 
     :param orders: the renewals, in order.
     """
@@ -287,30 +284,30 @@
         clock: ManualClock,
         run_s: float,
     ) -> None:
-        """Start with none."""
+        """Initialize a worker without renewals."""
         super().__init__(entry=entry, clock=clock, run_s=run_s)
         self.orders: list[LeaseOrder] = []
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """Keep the order."""
+        """Record the order."""
         self.orders.append(order)
         return await super().renew(order)
 
 
-class SlowlySavedOwner(Owner):
-    """Stores ends when it is told to.
+class DelayedStoreOwner(Owner):
+    """An owner that stores ends only when a test allows it.
 
-    :param ended: the tasks whose ends were noted.
+    :param ended: the tasks whose ends were recorded.
     """
 
     def __init__(self) -> None:
-        """Start with a store that is away."""
-        super().__init__(CrossingWorker())
+        """Initialize an owner whose store is unavailable."""
+        super().__init__(OvertakingWorker())
         self.ended: list[TaskKey] = []
         self.stored = asyncio.Event()
 
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
-        """Keep the task."""
+        """Record the task."""
         self.ended.append(end.task)
 
     def run_absent(
@@ -319,7 +316,7 @@
         run: Run,
         reason: str,
     ) -> None:
-        """Pass over a run that was given up."""
+        """Ignore a run that was dropped."""
 
     async def ends_stored(self) -> None:
         """Wait for the store."""
@@ -329,18 +326,18 @@
 Model = TypeVar('Model', bound=TaskWorkerModel)
 
 
-class Lone(Generic[Model]):
-    """One worker, whose tasks take hardly any time, and a session of it.
+class SingleWorker(Generic[Model]):
+    """One worker whose tasks take hardly any time, and its session.
 
-    :param owner: whose store is away until a test gives it back.
+    :param owner: its store is unavailable until a test sets ``stored``.
     """
 
     def __init__(self, *, kind: type[Model], incarnation: int) -> None:
-        """Start with a worker that the session has not reached yet."""
+        """Initialize a worker that the session has not reached yet."""
         self.clock = ManualClock()
         entry = WorkerEntry('w1', 'calc', '10.0.0.1:80', 'dc', WORKER_CAPACITY)
         self.model = kind(entry=entry, clock=self.clock, run_s=0.01)
-        self.owner = SlowlySavedOwner()
+        self.owner = DelayedStoreOwner()
         self.session = open_session(
             self.model,
             self.owner,
@@ -349,19 +346,19 @@
         )
 
     def order_start(self, key: TaskKey) -> asyncio.Future[None]:
-        """Order a start, as a round does after it was stored."""
-        one = marked_run(self.clock, key, self.session.incarnation)
+        """Order a start, as a round does once the assignment is stored."""
+        one = assigned_run(self.clock, key, self.session.incarnation)
         self.session.runs[one.name] = one
         return asyncio.ensure_future(self.session.start(one, 'text'))
 
     async def run_task(self, key: TaskKey) -> None:
-        """Order a start and wait for its answer."""
+        """Order a start and wait for its response."""
         order = self.order_start(key)
         await self.clock.until(order.done)
 
 
-def by_itself(
-    case: Callable[[Lone[Model]], Awaitable[None]],
+def with_single_worker(
+    case: Callable[[SingleWorker[Model]], Awaitable[None]],
     kind: type[Model],
     *,
     incarnation: int = 1,
@@ -369,10 +366,10 @@
     """Run a test on a worker that its session has just reached."""
 
     async def main() -> None:
-        lone = Lone(kind=kind, incarnation=incarnation)
-        serving = asyncio.ensure_future(lone.session.run())
-        await lone.clock.advance(0.1)
-        await case(lone)
+        single = SingleWorker(kind=kind, incarnation=incarnation)
+        serving = asyncio.ensure_future(single.session.run())
+        await single.clock.advance(0.1)
+        await case(single)
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
 
@@ -380,151 +377,153 @@
 
 
 class UnseenRestartTest(unittest.TestCase):
-    """No entry and no broken call has told of the restart."""
+    """Neither an entry nor a failed call has shown the restart."""
 
-    def test_a_start_tells_of_the_restart_before_an_acknowledgement(
+    def test_a_start_shows_the_restart_before_an_acknowledgement(
         self,
     ) -> None:
         """The end to acknowledge is stored just after the restart."""
 
-        async def case(lone: Lone[TaskWorkerModel]) -> None:
-            await lone.run_task(FIRST)
-            await lone.clock.until(lambda: FIRST in lone.owner.ended)
-            lone.model.restart()
-            await lone.run_task(SECOND)
-            await lone.clock.advance(0.05)
-            lone.owner.stored.set()
-            await lone.clock.advance(2)
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
+        async def case(single: SingleWorker[TaskWorkerModel]) -> None:
+            await single.run_task(FIRST)
+            await single.clock.until(lambda: FIRST in single.owner.ended)
+            single.model.restart()
+            await single.run_task(SECOND)
+            await single.clock.advance(0.05)
+            single.owner.stored.set()
+            await single.clock.advance(2)
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
 
-        by_itself(case, TaskWorkerModel)
+        with_single_worker(case, TaskWorkerModel)
 
-    def test_nothing_is_acknowledged_while_a_start_is_unanswered(self) -> None:
+    def test_nothing_is_acknowledged_while_a_start_has_no_response(
+        self,
+    ) -> None:
         """It may have reached another incarnation, and ended there."""
 
-        async def case(lone: Lone[TaskWorkerModel]) -> None:
-            await lone.run_task(FIRST)
-            await lone.clock.until(lambda: FIRST in lone.owner.ended)
-            lone.model.restart()
-            lone.model.late_next = 1
-            lone.model.late_s = 0.0
-            order = lone.order_start(SECOND)
-            await lone.clock.advance(0.1)
-            lone.owner.stored.set()
-            await lone.clock.advance(2)
+        async def case(single: SingleWorker[TaskWorkerModel]) -> None:
+            await single.run_task(FIRST)
+            await single.clock.until(lambda: FIRST in single.owner.ended)
+            single.model.restart()
+            single.model.late_next = 1
+            single.model.late_s = 0.0
+            order = single.order_start(SECOND)
+            await single.clock.advance(0.1)
+            single.owner.stored.set()
+            await single.clock.advance(2)
             await order
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
 
-        by_itself(case, TaskWorkerModel)
+        with_single_worker(case, TaskWorkerModel)
 
-    def test_nothing_is_acknowledged_before_a_list_shows_the_start(
+    def test_nothing_is_acknowledged_before_a_report_lists_the_start(
         self,
     ) -> None:
-        """The start was answered, by a clock that tells of no restart."""
-
-        async def case(lone: Lone[SteadyWorker]) -> None:
-            await lone.run_task(FIRST)
-            await lone.clock.until(lambda: FIRST in lone.owner.ended)
-            lone.model.restart()
-            await lone.run_task(SECOND)
-            await lone.clock.advance(0.05)
-            lone.owner.stored.set()
-            await lone.clock.advance(2)
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
-
-        by_itself(case, SteadyWorker)
-
-    def test_an_idle_worker_is_told_no_number_twice(self) -> None:
-        """Its clock has passed the last reading by the next start."""
-
-        async def case(lone: Lone[TaskWorkerModel]) -> None:
-            lone.owner.stored.set()
-            await lone.run_task(FIRST)
-            await lone.clock.advance(0.2)
-            lone.model.restart()
-            lone.model.run_s = 0.0
-            await lone.clock.advance(1 + lone.clock.monotonic_s())
-            await lone.run_task(SECOND)
-            await lone.clock.advance(2)
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
-
-        by_itself(case, TaskWorkerModel)
-
-    def test_a_renewal_after_a_lost_answer_acknowledges_nothing(self) -> None:
-        """Whoever answers it may have started again meanwhile."""
-
-        async def case(lone: Lone[CountingWorker]) -> None:
-            await lone.run_task(FIRST)
-            await lone.clock.until(lambda: FIRST in lone.owner.ended)
-            lone.model.late_next = 1
-            order = lone.order_start(SECOND)
-            await lone.clock.until(order.done)
-            lone.owner.stored.set()
-            asked = len(lone.model.orders)
-            await lone.clock.advance(1)
-            numbers = [one.acknowledged for one in lone.model.orders[asked:]]
+        """The start got a response, whose clock shows no restart."""
+
+        async def case(single: SingleWorker[SteadyWorker]) -> None:
+            await single.run_task(FIRST)
+            await single.clock.until(lambda: FIRST in single.owner.ended)
+            single.model.restart()
+            await single.run_task(SECOND)
+            await single.clock.advance(0.05)
+            single.owner.stored.set()
+            await single.clock.advance(2)
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
+
+        with_single_worker(case, SteadyWorker)
+
+    def test_an_idle_worker_gets_no_acknowledgement_twice(self) -> None:
+        """By the next start its clock has passed the last reading."""
+
+        async def case(single: SingleWorker[TaskWorkerModel]) -> None:
+            single.owner.stored.set()
+            await single.run_task(FIRST)
+            await single.clock.advance(0.2)
+            single.model.restart()
+            single.model.run_s = 0.0
+            await single.clock.advance(1 + single.clock.monotonic_s())
+            await single.run_task(SECOND)
+            await single.clock.advance(2)
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
+
+        with_single_worker(case, TaskWorkerModel)
+
+    def test_a_renewal_after_a_lost_response_acknowledges_nothing(self) -> None:
+        """The worker may have restarted meanwhile."""
+
+        async def case(single: SingleWorker[CountingWorker]) -> None:
+            await single.run_task(FIRST)
+            await single.clock.until(lambda: FIRST in single.owner.ended)
+            single.model.late_next = 1
+            order = single.order_start(SECOND)
+            await single.clock.until(order.done)
+            single.owner.stored.set()
+            asked = len(single.model.orders)
+            await single.clock.advance(1)
+            numbers = [one.acknowledged for one in single.model.orders[asked:]]
             self.assertEqual(numbers[:2], [0, 1])
 
-        by_itself(case, CountingWorker)
+        with_single_worker(case, CountingWorker)
 
-    def test_a_clock_that_starts_anew_tells_of_a_restart(self) -> None:
-        """Where workers do not tell their incarnations."""
+    def test_a_clock_that_is_reset_shows_a_restart(self) -> None:
+        """This applies to workers that do not report an incarnation."""
 
-        async def case(lone: Lone[SilentWorker]) -> None:
-            lone.owner.stored.set()
-            await lone.run_task(FIRST)
-            await lone.clock.advance(2)
-            lone.model.restart()
-            await lone.run_task(SECOND)
-            await lone.clock.advance(2)
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
-            self.assertTrue(lone.session.accepts_work)
+        async def case(single: SingleWorker[NoIncarnationWorker]) -> None:
+            single.owner.stored.set()
+            await single.run_task(FIRST)
+            await single.clock.advance(2)
+            single.model.restart()
+            await single.run_task(SECOND)
+            await single.clock.advance(2)
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
+            self.assertTrue(single.session.accepts_work)
 
-        by_itself(case, SilentWorker, incarnation=0)
+        with_single_worker(case, NoIncarnationWorker, incarnation=0)
 
-    def test_a_list_with_an_earlier_clock_tells_of_a_restart(self) -> None:
-        """No order was answered since, and the incarnation is not told."""
+    def test_a_report_with_an_earlier_clock_shows_a_restart(self) -> None:
+        """No order got a response since, and no incarnation is reported."""
 
-        async def case(lone: Lone[SilentWorker]) -> None:
-            lone.owner.stored.set()
-            await lone.run_task(FIRST)
-            await lone.clock.advance(2)
-            lone.model.restart()
-            lone.model.late_next = 1
-            lone.model.late_s = 0.0
-            await lone.run_task(SECOND)
-            await lone.clock.advance(2)
-            self.assertEqual(lone.owner.ended, [FIRST, SECOND])
+        async def case(single: SingleWorker[NoIncarnationWorker]) -> None:
+            single.owner.stored.set()
+            await single.run_task(FIRST)
+            await single.clock.advance(2)
+            single.model.restart()
+            single.model.late_next = 1
+            single.model.late_s = 0.0
+            await single.run_task(SECOND)
+            await single.clock.advance(2)
+            self.assertEqual(single.owner.ended, [FIRST, SECOND])
 
-        by_itself(case, SilentWorker, incarnation=0)
+        with_single_worker(case, NoIncarnationWorker, incarnation=0)
 
 
-class LateAnswerTest(unittest.TestCase):
-    """A start whose answer is overtaken by the list that shows its end."""
+class LateResponseTest(unittest.TestCase):
+    """A start whose response comes after the report that lists its end."""
 
-    def test_its_end_is_acknowledged_all_the_same(self) -> None:
-        """Nothing waits for a list to show a run that is over."""
+    def test_its_end_is_acknowledged_as_usual(self) -> None:
+        """No report is awaited for a run that has already ended."""
 
-        async def case(lone: Lone[SlowlyAnsweringWorker]) -> None:
-            lone.model.lengths_s[LONG] = 60.0
-            lone.owner.stored.set()
-            await lone.run_task(LONG)
-            await lone.clock.advance(1)
-            await lone.run_task(FIRST)
-            await lone.clock.advance(3)
-            await lone.run_task(SECOND)
-            await lone.clock.advance(3)
-            noted = [end.task for end in lone.model.acknowledged]
-            self.assertEqual(noted, [FIRST, SECOND])
+        async def case(single: SingleWorker[SlowResponseWorker]) -> None:
+            single.model.lengths_s[LONG] = 60.0
+            single.owner.stored.set()
+            await single.run_task(LONG)
+            await single.clock.advance(1)
+            await single.run_task(FIRST)
+            await single.clock.advance(3)
+            await single.run_task(SECOND)
+            await single.clock.advance(3)
+            acknowledged = [end.task for end in single.model.acknowledged]
+            self.assertEqual(acknowledged, [FIRST, SECOND])
 
-        by_itself(case, SlowlyAnsweringWorker)
+        with_single_worker(case, SlowResponseWorker)
 
 
 class ReturnTest(unittest.TestCase):
-    """The same incarnation comes back after it was given up."""
+    """The same incarnation is listed again after it was given up."""
 
     def test_a_worker_that_was_given_up_does_not_end_the_term(self) -> None:
-        """It has seen tokens that a fresh count would fall below."""
+        """A session that counted tokens from the start would be fenced off."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -533,7 +532,7 @@
             await host.accept(make_spec('a1'))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             worker = domain.workers['w0']
-            # Lost answers raise the token a few times.
+            # Lost responses increment the token a few times.
             worker.cut = True
             await domain.clock.advance(1.5)
             worker.cut = False
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""One life of one worker, against replies that cross each other."""
+"""A worker session whose concurrent calls get their responses out of order."""
 
 import asyncio
 import unittest
@@ -23,20 +23,20 @@
 TASK = TaskKey('a1', 0, 0, 0)
 
 
-class CrossingWorker:
-    """Answers a renewal just as a start is given up.
+class OvertakingWorker:
+    """Responds to a renewal at the moment when a start times out.
 
-    :param renewals: every renewal that was asked for.
+    :param renewals: every renewal that was received.
     """
 
     def __init__(self) -> None:
-        """Answer at once until a renewal is to be held."""
+        """Initialize a worker that responds to renewals at once."""
         self.renewals: list[LeaseOrder] = []
         self.hold = False
         self._held: asyncio.Future[None] | None = None
 
     async def start(self, order: StartOrder) -> float:
-        """Give no answer; the held renewal is answered at this moment."""
+        """Lose the response; release that of the held renewal instead."""
         assert self._held is not None
         self.hold = False
         self._held.set_result(None)
@@ -47,7 +47,7 @@
         return 0.0
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """List nothing."""
+        """Report no runs."""
         self.renewals.append(order)
         if self.hold:
             self._held = asyncio.get_running_loop().create_future()
@@ -56,15 +56,15 @@
 
 
 class Owner:
-    """Keeps what a session tells.
+    """Records what a session reports.
 
-    :param vanished: why each run was given up, and the token of the newest
+    :param dropped: why each run was given up, and the token of the newest
         renewal then.
     """
 
-    def __init__(self, worker: CrossingWorker) -> None:
-        """Start with nothing told."""
-        self.vanished: list[tuple[str, int]] = []
+    def __init__(self, worker: OvertakingWorker) -> None:
+        """Initialize an owner without reports."""
+        self.dropped: list[tuple[str, int]] = []
         self._worker = worker
 
     def may_renew(self) -> bool:
@@ -76,16 +76,16 @@
         return True
 
     def run_reported(self, session: WorkerSession, run: Run) -> None:
-        """Pass over progress."""
+        """Ignore progress."""
 
     def fenced(self, session: WorkerSession) -> None:
-        """Pass over another leader."""
+        """Ignore another leader."""
 
     def resend_stop(self, session: WorkerSession, run: Run) -> None:
-        """Pass over a stop without effect."""
+        """Ignore a stop without effect."""
 
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
-        """Pass over an end."""
+        """Ignore an end."""
 
     def run_absent(
         self,
@@ -93,29 +93,29 @@
         run: Run,
         reason: str,
     ) -> None:
-        """Keep why a run was given up."""
+        """Record why a run was dropped."""
         newest = self._worker.renewals[-1]
-        self.vanished.append((reason, newest.token))
+        self.dropped.append((reason, newest.token))
 
     def loss_resolved(self, run: Run, *, crashed: bool) -> None:
-        """Pass over what a loss turns out to be."""
+        """Ignore the cause of a loss."""
 
     def needs_of(self, key: TaskKey) -> Resources:
-        """Return what every task takes."""
+        """Return the resources of every task."""
         return ONE_GPU
 
     async def ends_stored(self) -> None:
-        """Store at once."""
+        """Return at once, as if all ends were stored."""
 
     def session_changed(self, session: WorkerSession) -> None:
-        """Pass over news."""
+        """Ignore a change of the session."""
 
 
 class AllOpen:
-    """No data centre is closed."""
+    """Reports every data centre as open."""
 
     def allows_starts(self, data_centre: str) -> bool:
-        """Allow all."""
+        """Allow starts everywhere."""
         return True
 
 
@@ -125,7 +125,7 @@
     clock: Clock,
     incarnation: int = 0,
 ) -> WorkerSession:
-    """Return a session of a worker that a leader has just won."""
+    """Return the session of a worker at the start of a term."""
     return WorkerSession(
         entry=WorkerEntry(
             worker_id='w1',
@@ -146,12 +146,12 @@
     )
 
 
-def marked_run(
+def assigned_run(
     clock: Clock,
     key: TaskKey = TASK,
     incarnation: int = 0,
 ) -> Run:
-    """Return a run that is stored and not ordered yet."""
+    """Return a run whose assignment is stored and not ordered yet."""
     return Run(
         key=key,
         attempt=1,
@@ -166,21 +166,21 @@
 
 
 class CrossingReplyTest(unittest.TestCase):
-    """A list that was made before an order is known to be shut out."""
+    """A report made before an order was fenced off does not resolve it."""
 
-    def test_a_list_under_the_old_token_says_nothing_of_a_lost_start(
+    def test_a_report_under_the_old_token_does_not_resolve_a_lost_start(
         self,
     ) -> None:
-        """The start may yet take effect; only a list under the new token."""
+        """The start may still take effect until one under the new token."""
 
         async def case() -> None:
             clock = ManualClock()
-            worker = CrossingWorker()
+            worker = OvertakingWorker()
             owner = Owner(worker)
             session = open_session(worker, owner, clock)
             serving = asyncio.ensure_future(session.run())
             await clock.advance(0.1)
-            one = marked_run(clock)
+            one = assigned_run(clock)
             session.runs[one.name] = one
             worker.hold = True
             session.wake()
@@ -189,7 +189,7 @@
             await session.start(one, 'text')
             self.assertEqual(one.state, UNKNOWN)
             await clock.advance(1)
-            self.assertEqual(owner.vanished, [('never started', token + 1)])
+            self.assertEqual(owner.dropped, [('never started', token + 1)])
             serving.cancel()
             await asyncio.gather(serving, return_exceptions=True)
 
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -1,7 +1,7 @@
-"""Jobs that are not ready, and what operators are told of them.
+"""Jobs that are not ready, and how they are logged for operators.
 
-A job of which a run or a mark was left over was not logged at all: it looked
-like one that runs.
+A job with a leftover run or assignment used not to be logged at all, because
+it looked like a running job.
 """
 
 import unittest
@@ -30,10 +30,10 @@
 
 
 class Session:
-    """What the leader knows of a worker that answers."""
+    """The session of a reachable worker, as the finder reads it."""
 
     def __init__(self) -> None:
-        """Know no run."""
+        """Initialize a session without runs."""
         self.listed = True
         self.reachable = True
         self.synced = True
@@ -42,10 +42,10 @@
 
 
 class Case:
-    """A job at two workers."""
+    """A job with runs at two workers."""
 
     def __init__(self, *steps: Step, spec: JobSpec | None = None) -> None:
-        """Start with nothing of it known."""
+        """Initialize a job without runs."""
         self.clock = ManualClock()
         self.sessions = {'w0': Session(), 'w1': Session()}
         self.job = ActiveJob(
@@ -60,7 +60,7 @@
         state: RunState = RUNNING,
         worker: str = 'w0',
     ) -> Run:
-        """Let a task of the first step have a run."""
+        """Add a run of a task of the first step."""
         key = TaskKey('a1', 0, 0, rank)
         run = Run(
             key=key,
@@ -80,51 +80,51 @@
         self.sessions[worker].runs[run.name] = run
         return run
 
-    def hold(self) -> Blocker | None:
-        """Return what holds the job."""
+    def blocker(self) -> Blocker | None:
+        """Return what blocks the job."""
         sessions: Any = self.sessions
         return BlockerFinder(clock=self.clock, sessions=sessions).find(self.job)
 
     def found(self) -> Blocker:
-        """Return what holds the job, which something does."""
-        hold = self.hold()
-        assert hold is not None
-        return hold
+        """Return what blocks the job, which must be something."""
+        blocker = self.blocker()
+        assert blocker is not None
+        return blocker
 
 
-class HoldTest(unittest.TestCase):
-    """What holds a job."""
+class BlockerTest(unittest.TestCase):
+    """What blocks a job."""
 
-    def test_a_ready_job_is_not_held(self) -> None:
-        """It may wait for room, which is another matter."""
-        self.assertIsNone(Case(GANG).hold())
+    def test_a_ready_job_is_not_blocked(self) -> None:
+        """It may wait for free capacity, which is reported elsewhere."""
+        self.assertIsNone(Case(GANG).blocker())
 
-    def test_a_job_at_work_is_not_held(self) -> None:
-        """One plain task does, of a gang all."""
+    def test_a_running_job_is_not_blocked(self) -> None:
+        """One active run suffices; of a gang all must be active."""
         plain = Case(PLAIN)
         plain.add_run(0)
-        self.assertIsNone(plain.hold())
+        self.assertIsNone(plain.blocker())
         gang = Case(GANG)
         for rank in range(3):
             gang.add_run(rank)
-        self.assertIsNone(gang.hold())
+        self.assertIsNone(gang.blocker())
 
-    def test_one_run_of_a_gang_holds_all_of_it(self) -> None:
-        """It runs, its fellows do not."""
+    def test_a_gang_is_blocked_by_the_run_of_one_member(self) -> None:
+        """That member runs, the others do not."""
         case = Case(GANG, PLAIN._replace(after=(0,)))
         case.add_run(1)
-        hold = case.found()
-        self.assertEqual((hold.reason, hold.step), (RUN, 0))
-        self.assertEqual(hold.later_steps, 1)
-        held = hold.tasks[0]
-        self.assertEqual(len(hold.tasks), 1)
+        blocker = case.found()
+        self.assertEqual((blocker.reason, blocker.step), (RUN, 0))
+        self.assertEqual(blocker.later_steps, 1)
+        held = blocker.tasks[0]
+        self.assertEqual(len(blocker.tasks), 1)
         self.assertEqual(held['task'], 'a1.0.0.1')
         self.assertEqual((held['worker'], held['attempt']), ('w0', 2))
         self.assertEqual(held['state'], RUNNING)
         self.assertTrue(held['tracked'] and held['reachable'])
 
-    def test_a_run_that_no_session_knows_is_told(self) -> None:
-        """Left over at the leader alone."""
+    def test_a_run_that_no_session_tracks_is_reported(self) -> None:
+        """Only the job still refers to the run."""
         case = Case(GANG)
         run = case.add_run(0, state=ASSIGNED)
         case.sessions['w0'].runs.clear()
@@ -134,66 +134,66 @@
         case.sessions.clear()
         self.assertFalse(case.found().tasks[0]['listed'])
 
-    def test_a_run_that_is_to_stop_is_not_at_work(self) -> None:
-        """For as long as its end is not known."""
+    def test_a_run_that_is_to_stop_is_not_active(self) -> None:
+        """It blocks the job until its end is known."""
         case = Case(PLAIN._replace(width=1))
         run = case.add_run(0)
-        self.assertIsNone(case.hold())
+        self.assertIsNone(case.blocker())
         run.stop_wanted = True
         held = case.found().tasks[0]
         self.assertTrue(held['stop_wanted'])
 
-    def test_a_run_at_a_silent_worker_is_not_at_work(self) -> None:
-        """Nobody knows whether it goes on; it is named before its fellows."""
+    def test_a_run_at_an_unreachable_worker_is_not_active(self) -> None:
+        """Whether it continues is unknown; it is listed before its gang."""
         case = Case(GANG)
         for rank in range(3):
             case.add_run(rank, worker=f'w{rank % 2}')
         case.sessions['w1'].reachable = False
-        hold = case.found()
+        blocker = case.found()
         self.assertEqual(
-            [task['task'] for task in hold.tasks],
+            [task['task'] for task in blocker.tasks],
             ['a1.0.0.1', 'a1.0.0.0', 'a1.0.0.2'],
         )
-        self.assertFalse(hold.tasks[0]['reachable'])
+        self.assertFalse(blocker.tasks[0]['reachable'])
 
-    def test_a_stored_worker_without_a_run_is_told(self) -> None:
-        """The store names a worker, the leader knows no run."""
+    def test_an_assignment_without_a_run_is_reported(self) -> None:
+        """A worker is stored for the task, but the leader tracks no run."""
         case = Case(GANG)
         case.add_run(0)
         case.job.runs.clear()
-        hold = case.found()
-        self.assertEqual(hold.reason, STORED)
-        self.assertEqual(hold.tasks[0]['worker'], 'w0')
+        blocker = case.found()
+        self.assertEqual(blocker.reason, STORED)
+        self.assertEqual(blocker.tasks[0]['worker'], 'w0')
 
-    def test_a_gang_that_is_done_in_part_is_told(self) -> None:
+    def test_a_gang_that_is_done_in_part_is_reported(self) -> None:
         """It can neither start nor end."""
         case = Case(GANG)
         case.job.progress.tasks['0.0.1'] = TaskProgress(attempt=1, done=True)
-        hold = case.found()
-        self.assertEqual(hold.reason, PARTLY_DONE)
-        self.assertEqual(hold.tasks[0]['task'], 'a1.0.0.1')
+        blocker = case.found()
+        self.assertEqual(blocker.reason, PARTLY_DONE)
+        self.assertEqual(blocker.tasks[0]['task'], 'a1.0.0.1')
 
-    def test_a_due_time_is_told(self) -> None:
-        """Of the next occurrence."""
+    def test_a_due_time_is_reported(self) -> None:
+        """It is that of the next occurrence."""
         clock = ManualClock()
         spec = make_spec('a1')._replace(
             times=2,
             start_at_s=clock.wall_s() + 30.0,
             interval_s=60.0,
         )
-        hold = Case(spec=spec).found()
-        self.assertEqual((hold.reason, hold.occurrence), (DUE, 0))
-        self.assertAlmostEqual(hold.due_in_s, 30.0)
+        blocker = Case(spec=spec).found()
+        self.assertEqual((blocker.reason, blocker.occurrence), (DUE, 0))
+        self.assertAlmostEqual(blocker.due_in_s, 30.0)
 
-    def test_a_job_that_was_not_ended_is_told(self) -> None:
+    def test_a_job_that_was_not_ended_is_reported(self) -> None:
         """All its steps are done."""
         case = Case(GANG)
         case.job.progress.done_steps.append('0.0')
         self.assertEqual(case.found().reason, ALL_DONE)
 
 
-async def start_held_gang(domain: Domain, lines: Lines) -> TestHost:
-    """Have a gang run and lose touch with one of its workers."""
+async def start_blocked_gang(domain: Domain, lines: Lines) -> TestHost:
+    """Start a gang, and cut the leader off from one of its workers."""
     host = domain.start_host('h1')
     await domain.leader()
     step = GANG._replace(width=2, max_per_worker=1)
@@ -207,17 +207,17 @@
 
 
 class LineTest(unittest.TestCase):
-    """Jobs that are held, as operators see them."""
+    """The log lines of blocked jobs."""
 
-    def test_a_gang_at_a_silent_worker_is_told_until_it_starts_again(
+    def test_a_gang_at_an_unreachable_worker_is_logged_until_it_restarts(
         self,
     ) -> None:
-        """Not at once, then each second, and no more once it works."""
+        """It is logged after a delay, each second, and until it runs again."""
 
         async def case(domain: Domain) -> None:
             lines = Lines()
             with patch.object(unready, 'events', lines):
-                await start_held_gang(domain, lines)
+                await start_blocked_gang(domain, lines)
                 await domain.clock.advance(unready.LOGGED_FROM_S)
                 self.assertEqual(lines.lines, [])
                 await domain.clock.advance(5.0)
@@ -235,8 +235,8 @@
 
         in_domain(case, run_s=60.0)
 
-    def test_a_job_without_room_is_not_told_as_held(self) -> None:
-        """It is ready."""
+    def test_a_job_without_free_capacity_is_not_logged_as_blocked(self) -> None:
+        """It is ready and waits."""
 
         async def case(domain: Domain) -> None:
             lines = Lines()
@@ -252,7 +252,7 @@
         in_domain(case, run_s=60.0)
 
     def test_lines_are_bounded(self) -> None:
-        """Of many held jobs the oldest are told; one due later is not."""
+        """Of many blocked jobs the oldest are logged, not one due later."""
 
         async def case(domain: Domain) -> None:
             lines = Lines()
@@ -271,7 +271,7 @@
                 worker.cut = True
             with patch.object(unready, 'events', lines):
                 await domain.clock.advance(4.5)
-                # The one that is due later leaves no slot unused.
+                # The job that is due later uses a slot that is still free.
                 names = [line['job'] for line in lines.lines]
                 self.assertIn('due', names)
                 lines.lines.clear()
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -1,7 +1,7 @@
-"""Workers that are listed and accept no work, and why.
+"""Workers that are listed but accept no work, and the reason.
 
-Nothing told that a worker was passed over in each round: an entry of another
-incarnation has no line of its own.
+A worker could be skipped in every round without any log line: an entry of
+another incarnation, for example, is not logged by itself.
 """
 
 import unittest
@@ -16,47 +16,47 @@
 from tests.support import ManualClock
 from tests.test_waiting import Lines
 
-#: By then all that is unused has been told, a line before it included.
-TOLD_S = unused.LOGGED_FROM_S + unused.LOG_INTERVAL_S + 2.0
+#: By then all unused workers are logged, in seconds, also after another line.
+LOGGED_BY_S = unused.LOGGED_FROM_S + unused.LOG_INTERVAL_S + 2.0
 
 
 class Gauge:
-    """Keeps the newest value."""
+    """Records the newest value."""
 
     def __init__(self) -> None:
-        """Start without a value."""
+        """Initialize a gauge without a value."""
         self.amount = -1
 
     def set(self, amount: int) -> None:
-        """Keep one."""
+        """Record a value."""
         self.amount = amount
 
 
 class Session:
-    """A worker that accepts work until a test says why not."""
+    """A session that accepts work until a test sets a reason."""
 
     def __init__(self) -> None:
-        """Accept work."""
+        """Initialize a session that accepts work."""
         self.listed = True
         self.unused_reason: unused.UnusedReason | None = None
 
 
-class Watch:
-    """Workers without a network, looked at each second."""
+class Reported:
+    """Simulated sessions that are reported each second."""
 
     def __init__(self, count: int = 3) -> None:
-        """Start with all of them in use."""
+        """Initialize sessions that all accept work."""
         self.clock = ManualClock()
         self.lines = Lines()
         self.gauge = Gauge()
         self.sessions = {f'w{number:03}': Session() for number in range(count)}
         sessions: Any = self.sessions
-        self.board = unused.UnusedWorkerReporter(
+        self.reporter = unused.UnusedWorkerReporter(
             clock=self.clock, sessions=sessions
         )
 
-    async def look(self, seconds: int) -> list[dict[str, Any]]:
-        """Return the lines of some seconds."""
+    async def advance(self, seconds: int) -> list[dict[str, Any]]:
+        """Advance time by some seconds; return the lines logged."""
         self.lines.lines.clear()
         with (
             patch.object(unused, 'events', self.lines),
@@ -64,76 +64,76 @@
         ):
             for _ in range(seconds):
                 await self.clock.advance(1.0)
-                self.board.report()
+                self.reporter.report()
         return self.lines.of('workers_unused')
 
 
 class LineTest(unittest.IsolatedAsyncioTestCase):
-    """When a line is written, and what it holds."""
+    """When a line is logged, and its content."""
 
-    async def test_a_worker_is_told_of_once_it_was_unused_for_long(
+    async def test_a_worker_that_is_unused_for_long_is_logged(
         self,
     ) -> None:
-        """With its reason, and once."""
-        watch = Watch()
-        watch.sessions['w001'].unused_reason = unused.UNREACHABLE
-        self.assertEqual(await watch.look(5), [])
-        self.assertEqual(watch.gauge.amount, 0)
-        lines = await watch.look(20)
+        """It is logged once, with its reason."""
+        reported = Reported()
+        reported.sessions['w001'].unused_reason = unused.UNREACHABLE
+        self.assertEqual(await reported.advance(5), [])
+        self.assertEqual(reported.gauge.amount, 0)
+        lines = await reported.advance(20)
         self.assertEqual(len(lines), 1)
         self.assertEqual(lines[0]['workers'], {unused.UNREACHABLE: ['w001']})
         self.assertEqual((lines[0]['unused'], lines[0]['listed']), (1, 3))
-        self.assertEqual(watch.gauge.amount, 1)
-
-    async def test_a_worker_that_is_used_again_is_told_too(self) -> None:
-        """As a line without it."""
-        watch = Watch()
-        watch.sessions['w001'].unused_reason = unused.DRAINING
-        await watch.look(10)
-        watch.sessions['w001'].unused_reason = None
-        lines = await watch.look(10)
+        self.assertEqual(reported.gauge.amount, 1)
+
+    async def test_a_worker_that_is_used_again_is_logged_too(self) -> None:
+        """Another line follows that does not name it."""
+        reported = Reported()
+        reported.sessions['w001'].unused_reason = unused.DRAINING
+        await reported.advance(10)
+        reported.sessions['w001'].unused_reason = None
+        lines = await reported.advance(10)
         self.assertEqual([line['workers'] for line in lines], [{}])
-        self.assertEqual(watch.gauge.amount, 0)
+        self.assertEqual(reported.gauge.amount, 0)
 
-    async def test_a_reason_that_keeps_changing_is_told_in_intervals(
+    async def test_a_reason_that_keeps_changing_is_logged_in_intervals(
         self,
     ) -> None:
-        """At most once in five seconds, however often it changes."""
-        watch = Watch()
-        session = watch.sessions['w002']
+        """It is logged at most every five seconds."""
+        reported = Reported()
+        session = reported.sessions['w002']
         session.unused_reason = unused.NOT_SYNCED
-        await watch.look(10)
+        await reported.advance(10)
         count = 0
         for second in range(20):
             session.unused_reason = (
                 unused.UNREACHABLE if second % 2 else unused.NOT_SYNCED
             )
-            count += len(await watch.look(1))
+            count += len(await reported.advance(1))
         self.assertIn(count, {3, 4})
 
     async def test_a_line_names_a_bounded_number_of_workers(self) -> None:
-        """All of them are counted."""
-        watch = Watch(count=500)
-        for session in watch.sessions.values():
+        """The line still counts all of them."""
+        reported = Reported(count=500)
+        for session in reported.sessions.values():
             session.unused_reason = unused.CLOSED
-        lines = await watch.look(10)
+        lines = await reported.advance(10)
         self.assertEqual(lines[0]['unused'], 500)
         named = lines[0]['workers'][unused.CLOSED]
         self.assertEqual(len(named), unused.MAX_NAMED_WORKERS)
 
-    async def test_a_worker_that_is_not_listed_is_not_told(self) -> None:
-        """Nobody expects work there."""
-        watch = Watch()
-        watch.sessions['w000'].listed = False
-        watch.sessions['w000'].unused_reason = unused.NOT_LISTED
-        self.assertEqual(await watch.look(10), [])
+    async def test_a_worker_that_is_not_listed_is_not_logged(self) -> None:
+        """It is not expected to accept work."""
+        reported = Reported()
+        reported.sessions['w000'].listed = False
+        reported.sessions['w000'].unused_reason = unused.NOT_LISTED
+        self.assertEqual(await reported.advance(10), [])
 
 
 class ReasonTest(unittest.TestCase):
-    """Why a worker accepts no work, told by its session."""
+    """The reason that a session gives for accepting no work."""
 
     def test_each_state_has_its_reason(self) -> None:
-        """The same that keeps work away."""
+        """Each state with a reason also prevents placement."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -157,10 +157,10 @@
 
         in_domain(case)
 
-    def test_workers_of_a_day_are_told_with_their_reasons(self) -> None:
-        """One leaves, one has a bad row, one a closed data centre, one fails.
+    def test_unused_workers_are_logged_with_their_reasons(self) -> None:
+        """One drains, one has a bad row, one a closed data centre, one fails.
 
-        The last is at work no more, and no renewal is answered.
+        The last one runs nothing and does not respond to renewals.
         """
 
         async def case(domain: Domain) -> None:
@@ -184,7 +184,7 @@
             domain.list_worker(entry._replace(leaving=True))
             domain.rows.apply((), (RowPut(WORKER_TABLE, bad, b'[]'),), ())
             with patch.object(unused, 'events', lines):
-                await domain.clock.advance(TOLD_S)
+                await domain.clock.advance(LOGGED_BY_S)
                 found = lines.of('workers_unused')[-1]
                 silent_as = domain.session(silent).unused_reason
             assert silent_as is not None
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""What operators see of jobs that wait, and of those turned away."""
+"""How waiting jobs and refused jobs are reported to operators."""
 
 import unittest
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 def worker(gpus: int, rack: str = 'r1') -> WorkerCapacity:
-    """Return a worker with some accelerators free."""
+    """Return a worker with some free accelerators."""
     entry = WorkerEntry(
         worker_id=rack,
         service=SERVICE,
@@ -54,7 +54,7 @@
 
 def reason(
     step: Step,
-    *rooms: WorkerCapacity,
+    *capacities: WorkerCapacity,
     beyond: bool = False,
     exclusive: bool = False,
     reserved: bool = True,
@@ -65,24 +65,24 @@
     spec = make_spec('a1', step)
     job = ActiveJob(spec=spec, progress=JobProgress('q', tasks={}))
     ready = next(job.ready_steps(spec.accepted_at_s))
-    free = [room.free for room in rooms]
+    free = [capacity.free for capacity in capacities]
     found = waiting_reason(
         ready._replace(exclusive=exclusive),
-        rooms,
+        capacities,
         beyond_guarantee=beyond,
         reserved=reserved,
         advised=advised,
         wait_for_rack=wait_for_rack,
     )
-    assert [room.free for room in rooms] == free
+    assert [capacity.free for capacity in capacities] == free
     return found
 
 
 class ReasonTest(unittest.TestCase):
     """What a step waits for."""
 
-    def test_room_that_nobody_has(self) -> None:
-        """Not even idle: too large, or of another kind."""
+    def test_no_worker_is_large_enough(self) -> None:
+        """Even an idle one does not fit: too small, or of another kind."""
         wide = GANG._replace(width=3)
         self.assertEqual(
             reason(wide, worker(8), worker(8)),
@@ -94,8 +94,8 @@
             'no worker is large enough',
         )
 
-    def test_room_that_others_have(self) -> None:
-        """A gang needs all of it, a plain step some."""
+    def test_capacity_used_by_others(self) -> None:
+        """A gang needs capacity for all tasks, a plain step for some."""
         step = Step(width=2, needs=ONE_GPU, estimate_s=1.0)
         self.assertEqual(reason(step, worker(0)), 'no room')
         self.assertEqual(
@@ -107,8 +107,8 @@
             'no room, and beyond its guarantee',
         )
 
-    def test_room_in_one_rack(self) -> None:
-        """Enough in two racks, in none of them."""
+    def test_capacity_in_one_rack(self) -> None:
+        """Two racks have enough together, neither has alone."""
         pair = GANG._replace(width=2, same_rack=True)
         full = (worker(0, 'r1'), worker(0, 'r2'))
         workers = (worker(8, 'r1'), worker(8, 'r2'), *full)
@@ -122,7 +122,7 @@
     def test_a_gang_that_has_waited_for_its_rack_waits_for_others(
         self,
     ) -> None:
-        """It was told to wait for one rack, though any would do by then."""
+        """It used to be reported as waiting for a rack although any would do."""
         pair = GANG._replace(width=2, same_rack=True)
         full = (worker(0, 'r1'), worker(0, 'r2'))
         workers = (worker(8, 'r1'), worker(8, 'r2'), *full)
@@ -136,7 +136,7 @@
         )
 
     def test_an_empty_worker_for_a_suspect(self) -> None:
-        """Free capacity beside others does not do."""
+        """Free capacity beside other runs does not suffice."""
         step = Step(width=1, needs=ONE_GPU, estimate_s=1.0)
         self.assertEqual(
             reason(step, worker(3), exclusive=True),
@@ -144,8 +144,8 @@
         )
         self.assertEqual(reason(step, worker(0), exclusive=True), 'no room')
 
-    def test_room_that_is_kept_for_nobody(self) -> None:
-        """It fits: the advisor has not allowed it, or it is not its turn."""
+    def test_free_capacity_that_is_not_reserved(self) -> None:
+        """The step fits, but lacks a ticket or waits for a later round."""
         self.assertEqual(
             reason(GANG, worker(8), reserved=False, advised=True),
             'workers that its advisor allows',
@@ -157,24 +157,24 @@
 
 
 class LabelsTest(unittest.TestCase):
-    """However many workspaces there are."""
+    """The number of labels is bounded, whatever the number of workspaces."""
 
-    def test_names_past_the_most_share_a_label(self) -> None:
-        """The first ones keep theirs."""
+    def test_names_beyond_the_limit_share_a_label(self) -> None:
+        """The first names keep labels of their own."""
         labels = BoundedLabels(most=2)
         given = [labels.label(name) for name in ('a', 'b', 'c', 'a', 'd')]
         self.assertEqual(given, ['a', 'b', OTHERS, 'a', OTHERS])
 
 
 class Lines:
-    """Keeps events instead of writing them."""
+    """Records log events instead of writing them."""
 
     def __init__(self) -> None:
-        """Start without lines."""
+        """Initialize a log without lines."""
         self.lines: list[dict[str, Any]] = []
 
     def log(self, kind: str, **fields: Any) -> None:
-        """Keep one."""
+        """Record an event."""
         self.lines.append({'event': kind, 't_s': 0.0, 'host': 'h', **fields})
 
     def of(self, kind: str) -> list[dict[str, Any]]:
@@ -183,22 +183,22 @@
 
 
 class Gauge:
-    """Keeps the newest value of each label."""
+    """Records the newest value of each label."""
 
     def __init__(self) -> None:
-        """Start without values."""
+        """Initialize a gauge without values."""
         self.values: dict[str, float] = {}
 
     def set(self, amount: float, labels: dict[str, str]) -> None:
-        """Keep one."""
+        """Record a value."""
         self.values[labels['workspace']] = amount
 
 
-class BoardTest(unittest.TestCase):
-    """A full cluster as its operators see it."""
+class ReporterTest(unittest.TestCase):
+    """What is reported to operators of a full cluster."""
 
-    def test_the_oldest_waiting_jobs_are_told_with_their_reason(self) -> None:
-        """Two of each priority in a second; a trace tells it in words."""
+    def test_the_oldest_waiting_jobs_are_logged_with_their_reason(self) -> None:
+        """Two of each priority in a second; a trace puts it in words."""
 
         async def case(domain: Domain) -> None:
             lines = Lines()
@@ -211,13 +211,13 @@
             )
             self.assertEqual(len({line['job'] for line in last}), 2)
             self.assertIn('waits for no room', told(last[0], 0.0))
-            # The outlook's first second is 2 s after the term's begin.
+            # The first forecast is made 2 s after the start of the term.
             self.assertLessEqual(len(lines.of('waiting')), 2 * 4)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_the_job_that_room_is_kept_for_is_named(self) -> None:
-        """A gang of three workers waits; a small job waits for it."""
+    def test_the_job_with_reserved_capacity_is_named(self) -> None:
+        """A gang of three workers waits, and a small job waits for it."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -230,15 +230,15 @@
             lines = Lines()
             with patch.object(waiting, 'events', lines):
                 await domain.clock.advance(3.0)
-            told_of = {line['job']: line for line in lines.of('waiting')}
-            small = told_of['small']
+            logged = {line['job']: line for line in lines.of('waiting')}
+            small = logged['small']
             self.assertEqual(
                 small['waits_for'],
                 'room that is kept for others',
             )
             self.assertEqual(small['kept_for'], ('wide',))
-            self.assertEqual(told_of['wide']['waits_for'], 'no room')
-            self.assertEqual(told_of['wide']['kept_for'], ())
+            self.assertEqual(logged['wide']['waits_for'], 'no room')
+            self.assertEqual(logged['wide']['kept_for'], ())
             counts = [
                 small[f'workers_{name}']
                 for name in ('listed', 'usable', 'empty', 'with_suspect')
@@ -250,10 +250,10 @@
 
         in_domain(case, workers=3, run_s=RUN_S)
 
-    def test_a_job_that_waits_since_the_clock_was_set_back_is_told(
+    def test_a_job_that_waits_since_the_clock_was_set_back_is_logged(
         self,
     ) -> None:
-        """It was accepted in what is the future now, and was passed over."""
+        """Its acceptance lies in the future now, for which it was skipped."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -265,13 +265,13 @@
             lines = Lines()
             with patch.object(waiting, 'events', lines):
                 await domain.clock.advance(4.0)
-            told_of = {line['job'] for line in lines.of('waiting')}
-            self.assertEqual(told_of, {'late'})
+            logged = {line['job'] for line in lines.of('waiting')}
+            self.assertEqual(logged, {'late'})
 
         in_domain(case, run_s=RUN_S)
 
     def test_workers_with_a_suspect_are_counted(self) -> None:
-        """Of two workers one leaves; the other has a suspect."""
+        """Of two workers one drains; the other has a suspect."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -301,8 +301,8 @@
 
         in_domain(case, run_s=30.0)
 
-    def test_workspaces_are_counted_and_forgotten(self) -> None:
-        """The largest by name, the rest as one; nobody stays on the board."""
+    def test_workspaces_are_counted_and_reset(self) -> None:
+        """The largest by name, the rest together; in the end all are zero."""
 
         async def case(domain: Domain) -> None:
             gauge = Gauge()
@@ -330,7 +330,7 @@
         in_domain(case, run_s=RUN_S)
 
     def test_each_refusal_is_one_line(self) -> None:
-        """With the outlook's age and the expected wait."""
+        """It has the age of the forecast and the expected wait."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
