--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -103,11 +103,11 @@
         :param incarnations: of the workers that may be used now, by their ids.
         """
         now_s = self._clock.monotonic_s() + TICKET_MARGIN_S
-        kept = self._tickets.get(ready.name, {})
+        cached = self._tickets.get(ready.name, {})
         usable = incarnations.items()
         return {
             worker_id: ticket.text
-            for worker_id, ticket in kept.items()
+            for worker_id, ticket in cached.items()
             if ticket.until_s > now_s
             and (worker_id, ticket.incarnation) in usable
         }
@@ -168,11 +168,11 @@
             validity_s=advice.validity_s,
         )
         self._requested.setdefault(name, set()).update(workers.items())
-        kept = self._tickets.setdefault(name, {})
+        cached = self._tickets.setdefault(name, {})
         for worker_id, incarnation in workers.items():
             text = advice.tickets.get(worker_id)
             if text is not None:
-                kept[worker_id] = Ticket(text, until_s, incarnation)
+                cached[worker_id] = Ticket(text, until_s, incarnation)
 
     def retain_jobs(self, job_ids: set[str]) -> None:
         """Remove everything cached for jobs other than the given ones."""
@@ -182,10 +182,10 @@
             self._failed,
             self._request_numbers,
         )
-        for kept in known:
-            for name in list(kept):
+        for cached in known:
+            for name in list(cached):
                 if name.split('.', 1)[0] not in job_ids:
-                    kept.pop(name)
+                    cached.pop(name)
 
     def _record_request(self, request: TicketRequest) -> None:
         """Record a request for the order of the following ones."""
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -101,12 +101,12 @@
         self._writer = writer
         self._give_up = give_up
 
-    def record(self, run: Run, reason: str, *, leaving: bool) -> None:
+    def record(self, run: Run, reason: str, *, draining: bool) -> None:
         """Count a dropped run if it was lost with its worker.
 
-        :param leaving: whether the worker had announced that it drains.
+        :param draining: whether the worker had announced that it drains.
         """
-        if not is_lost(run, reason, leaving=leaving):
+        if not is_lost(run, reason, draining=draining):
             return
         job = self._jobs.get(run.key.job_id)
         if job is None or job.ended:
@@ -172,13 +172,13 @@
         )
 
 
-def is_lost(run: Run, reason: str, *, leaving: bool) -> bool:
+def is_lost(run: Run, reason: str, *, draining: bool) -> bool:
     """Return whether a dropped run may have crashed its worker.
 
     A run whose start was never sent cannot have done so, and a worker that
     announced that it drains was expected to stop.
     """
-    return run.state != ASSIGNED and not leaving and reason in _LOST
+    return run.state != ASSIGNED and not draining and reason in _LOST
 
 
 def is_given_up(task: TaskProgress) -> bool:
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -71,7 +71,7 @@
                 taken = taken.plus(one.needs)
         return capacity.covers(taken)
 
-    def start_answered(self, run: Run) -> None:
+    def expect_listed(self, run: Run) -> None:
         """Expect a report to list a run, unless one has listed its end."""
         if self.runs.get(run.name) is run:
             self.unconfirmed.add(run.name)
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -225,8 +225,8 @@
                 return
             if self.entry.leaving or not self.reachable:
                 # This changed while lost responses delayed the start.
-                leaving = self.entry.leaving
-                reason = 'worker leaving' if leaving else 'worker unreachable'
+                draining = self.entry.leaving
+                reason = 'worker leaving' if draining else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
                 return
             if not self._closures.allows_starts(self.entry.data_centre):
@@ -298,7 +298,7 @@
             self._read_clock(clock_s, known_clock_s)
             run.confirmed_s = self._clock.monotonic_s()
             run.set_start_clock(clock_s)
-            self._run_list.start_answered(run)
+            self._run_list.expect_listed(run)
             metrics.start_order_s.record(run.confirmed_s - sent_s)
             run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
@@ -464,7 +464,7 @@
         if not self._lease.expired:
             return
         for run in self.runs.values():
-            if is_lost(run, LEASE_LAPSED, leaving=self.entry.leaving):
+            if is_lost(run, LEASE_LAPSED, draining=self.entry.leaving):
                 self.unconfirmed_losses.add(run)
         self._run_list.drop_all(LEASE_LAPSED)
         if not self.listed:
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -186,7 +186,7 @@
         task.worker = ''
         self._stop_other_members(job, run.key, run.attempt)
         self._writer.record(job)
-        self._losses.record(run, reason, leaving=session.entry.leaving)
+        self._losses.record(run, reason, draining=session.entry.leaving)
 
     def loss_resolved(self, run: Run, *, crashed: bool) -> None:
         """Count a run with an expired lease as a crash, or not as a loss."""
