--- a/src/curranthill/scheduler/cluster.py
+++ b/src/curranthill/scheduler/cluster.py
@@ -52,7 +52,8 @@
         if not self.usable:
             return 0
         return max(
-            0, self.slots - self.non_preemptible - self.preemptible - self.quick
+            0,
+            self.slots - self.non_preemptible - self.preemptible - self.quick,
         )
 
     @property
@@ -61,7 +62,8 @@
         if not self.usable:
             return 0
         return max(
-            0, self.slots - self.non_preemptible - self.planned - self.quick
+            0,
+            self.slots - self.non_preemptible - self.planned - self.quick,
         )
 
     def capacity(self, kind: CapacityKind) -> int:
--- a/src/curranthill/scheduler/election.py
+++ b/src/curranthill/scheduler/election.py
@@ -143,7 +143,7 @@
             await self._write_heartbeat(released=True)
         except StorageError as error:
             logger.bind(step=error.step).debug(
-                'cannot write the release of the lease'
+                'cannot write the release of the lease',
             )
 
     async def _renew(self) -> None:
@@ -196,9 +196,9 @@
             self._seen_version = version
             self._seen_since_s = now_s
         released = heartbeat is None or heartbeat.document['released']
-        silent_s = now_s - self._seen_since_s
-        lapse_s = self._settings.leader_term_s + self._settings.margin_s
-        if released or silent_s > lapse_s:
+        unchanged_s = now_s - self._seen_since_s
+        expiry_s = self._settings.leader_term_s + self._settings.margin_s
+        if released or unchanged_s > expiry_s:
             await self._take_over(heartbeat, at_least_epoch)
 
     async def _take_over(
--- a/src/curranthill/scheduler/fair.py
+++ b/src/curranthill/scheduler/fair.py
@@ -15,7 +15,7 @@
 from curranthill.scheduler.cluster import CapacityKind, WorkerState
 from curranthill.scheduler.policies import Policy, policies
 from curranthill.scheduler.reservations import Reservations
-from curranthill.scheduler.search import Cost, find_place, may_fit
+from curranthill.scheduler.search import Cost, find_placement, may_fit
 from curranthill.scheduler.state import (
     Decision,
     SchedulerState,
@@ -35,8 +35,8 @@
 #: own.
 RESERVE_AFTER_RUN_TIMES: Final = 4.0
 
-#: At most this many preemptions double that wait each: the number of them is
-#: unbounded where guarantees leave no capacity for non-preemptible placement.
+#: How many preemptions of a job double that wait each; further ones do not, as
+#: their number is unbounded where guarantees leave no non-preemptible capacity.
 MAX_COUNTED_PREEMPTIONS: Final = 2
 
 #: The interval at which the order of all subqueues is computed, in seconds.
@@ -96,13 +96,13 @@
         state: SchedulerState,
         now_s: float,
     ) -> list[Decision]:
-        entitled = [
+        entitled_heads = [
             head
             for workspace_shape in state.plan.unused_shapes()
             for head in state.queue.heads_of_shape(*workspace_shape)
         ]
         decisions: list[Decision] = []
-        for key, _ in sorted(entitled, key=_waiting_since):
+        for key, _ in sorted(entitled_heads, key=_waiting_since):
             decision = self._place_on_unit(state, key, now_s)
             while decision is not None:
                 decisions.append(decision)
@@ -122,19 +122,19 @@
             return None
         job = waiting.job
         planned = state.plan.unplan_for_search(unit)
-        place = self._find_guaranteed(state, job, now_s)
-        if place is None:
+        members = self._find_guaranteed(state, job, now_s)
+        if members is None:
             state.plan.restore_plan(unit, planned)
             return None
-        self._reservations.on_placed(job.job_id, place)
+        self._reservations.on_placed(job.job_id, members)
         return state.place(
             waiting,
-            place,
+            members,
             non_preemptible=True,
             now_s=now_s,
             reason='guarantee',
             unit=unit,
-            victims=choose_victims(state, place, now_s),
+            victims=choose_victims(state, members, now_s),
         )
 
     def _find_guaranteed(
@@ -144,24 +144,29 @@
         now_s: float,
     ) -> tuple[Member, ...] | None:
         """Return free members, or else those that cost other jobs least."""
-        place = find_place(
+        members = find_placement(
             state.cluster,
             job.slots,
             job.adjacent,
             'both',
             cost=_failure_cost(job),
         )
-        if place is None:
-            place = find_place(state.cluster, job.slots, job.adjacent, 'free')
-            if place is not None and not state.plan.relocate_plans(place):
-                place = None
-        if place is not None:
-            return place
+        if members is None:
+            members = find_placement(
+                state.cluster,
+                job.slots,
+                job.adjacent,
+                'free',
+            )
+            if members is not None and not state.plan.relocate_plans(members):
+                members = None
+        if members is not None:
+            return members
 
         def cost(worker: WorkerState) -> float:  # noqa: WPS430
             return lost_work_on(state, worker, now_s)
 
-        return find_place(
+        return find_placement(
             state.cluster,
             job.slots,
             job.adjacent,
@@ -179,7 +184,10 @@
             head
             for fit_class in state.queue.fit_classes()
             if may_fit(
-                state.cluster, fit_class.slots, fit_class.adjacent, 'free'
+                state.cluster,
+                fit_class.slots,
+                fit_class.adjacent,
+                'free',
             )
             for head in state.queue.heads_of_fit_class(fit_class)
         ]
@@ -231,18 +239,21 @@
         blocking_jobs = self._reservations.blocking_jobs(state, job, now_s)
         for non_preemptible in self._allocation_modes(job):
             search_key = _SearchKey(
-                job.slots, job.adjacent, non_preemptible, blocking_jobs
+                job.slots,
+                job.adjacent,
+                non_preemptible,
+                blocking_jobs,
             )
             if search_key in failed:
                 continue
-            place = self._find_borrowed(state, job, search_key)
-            if place is None:
+            members = self._find_borrowed(state, job, search_key)
+            if members is None:
                 failed.add(search_key)
                 continue
-            self._reservations.on_placed(job.job_id, place)
+            self._reservations.on_placed(job.job_id, members)
             return state.place(
                 waiting,
-                place,
+                members,
                 non_preemptible=non_preemptible,
                 now_s=now_s,
                 reason='borrowed, non-preemptible'
@@ -275,9 +286,9 @@
         For non-preemptible work overlapping plans are relocated.
         """
         excluded = self._reservations.reserved_workers(search_key.blocking_jobs)
-        place: tuple[Member, ...] | None = None
+        members: tuple[Member, ...] | None = None
         for kind in _BORROWED_KINDS:
-            place = place or find_place(
+            members = members or find_placement(
                 state.cluster,
                 job.slots,
                 job.adjacent,
@@ -285,9 +296,9 @@
                 excluded=excluded,
                 cost=_failure_cost(job),
             )
-        if place is None or not search_key.non_preemptible:
-            return place
-        return place if state.plan.relocate_plans(place) else None
+        if members is None or not search_key.non_preemptible:
+            return members
+        return members if state.plan.relocate_plans(members) else None
 
     def _update_reservations(self, state: SchedulerState, now_s: float) -> None:
         """Reserve workers for gangs that have waited long enough.
@@ -307,7 +318,8 @@
             if self._reservations.full or waiting is None:
                 return
             if now_s - waiting.since_s >= _reservation_delay_s(
-                state, waiting.job
+                state,
+                waiting.job,
             ):
                 self._reservations.reserve_for(state, waiting.job, now_s)
 
--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -19,7 +19,7 @@
 _MIN_WAIT_S: Final = 0.1
 _MAX_WAIT_S: Final = 5.0
 
-_FETCH_TRIES: Final = 5
+_MAX_FETCH_ATTEMPTS: Final = 5
 
 
 class BackOff:
@@ -64,7 +64,7 @@
         job, attempt = self._attempt_id
         if body is None:
             stored_result = await self._context.objects.get(
-                f'results/{job}/{attempt}'
+                f'results/{job}/{attempt}',
             )
             return None if stored_result is None else len(stored_result)
         back_off = BackOff()
@@ -159,7 +159,7 @@
 
     async def _fetch(self, worker: Worker) -> bytes | None:
         back_off = BackOff()
-        for _ in range(_FETCH_TRIES):
+        for _ in range(_MAX_FETCH_ATTEMPTS):
             try:
                 return await worker.fetch_result(self._attempt_id)
             except WorkerError as error:
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -154,10 +154,10 @@
         for stopped in self._wait_for:
             await stopped.wait()
         self.state = RESERVED
-        refused = await self._members.reserve()
-        if refused or self._stop_request:
+        rejected_by = await self._members.reserve()
+        if rejected_by or self._stop_request:
             await self._members.release()
-            return self._not_started(f'Refused by {refused}.')
+            return self._not_started(f'Rejected by {rejected_by}.')
         if not await self._record_start():
             await self._members.release()
             return self._not_started('The start record was not written.')
@@ -259,9 +259,9 @@
             self._changed.clear()
 
     def _must_stop(self) -> bool:
-        ended_badly = {TASK_FAILED, STOPPED, LOST}
+        failure_states = {TASK_FAILED, STOPPED, LOST}
         return bool(self._stop_request) or any(
-            state in ended_badly for state in self._states.values()
+            state in failure_states for state in self._states.values()
         )
 
     def _complete(self) -> bool:
@@ -324,8 +324,8 @@
         )
 
     def _worker_in(self, state: str) -> str:
-        for worker, known in self._states.items():
-            if known == state:
+        for worker, member_state in self._states.items():
+            if member_state == state:
                 return worker
         return ''
 
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -14,7 +14,7 @@
 from curranthill.configuration import Adjacency, ConfigurationDocument
 from curranthill.jobs import Member
 from curranthill.scheduler.cluster import Cluster
-from curranthill.scheduler.search import find_place
+from curranthill.scheduler.search import find_placement
 from curranthill.telemetry import metrics
 
 
@@ -96,7 +96,7 @@
         """Return all units of a workspace and shape."""
         return [unit for unit in self if unit.unit_id[:2] == (workspace, shape)]
 
-    def use(self, unit: GuaranteeUnit, job_id: str) -> None:
+    def assign(self, unit: GuaranteeUnit, job_id: str) -> None:
         """Assign a unit to a job, which replaces its planned placement."""
         self._unplan(unit)
         unit.job_id = job_id
@@ -166,7 +166,8 @@
         for unit in unplanned:
             if unit.unit_id not in self.at_risk:
                 logger.bind(
-                    step='guarantee', workspace=unit.unit_id[0]
+                    step='guarantee',
+                    workspace=unit.unit_id[0],
                 ).warning(
                     'guarantee {} is at risk: no workers can hold it',
                     unit.unit_id,
@@ -230,10 +231,15 @@
         )
 
     def _replan(self, unit: GuaranteeUnit) -> bool:
-        place = find_place(self._cluster, unit.slots, unit.adjacent, 'open')
-        if place is None:
+        members = find_placement(
+            self._cluster,
+            unit.slots,
+            unit.adjacent,
+            'open',
+        )
+        if members is None:
             return False
-        self._set_plan(unit, place)
+        self._set_plan(unit, members)
         return True
 
     def _set_plan(
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -21,7 +21,7 @@
 
 #: How long the slots of moved jobs count as taken at the neighbour, in seconds;
 #: longer than its next load update takes.
-SENT_RETENTION_S: Final = 3.0
+RECENT_MOVE_S: Final = 3.0
 
 #: The maximum number of jobs that one check moves.
 MAX_MOVES: Final = 16
@@ -55,7 +55,7 @@
     reason: str
 
 
-class _Sent(NamedTuple):
+class _RecentMove(NamedTuple):
     data_centre: str
     slots: int
     at_s: float
@@ -78,13 +78,15 @@
         self._state = state
         self._clock = clock
         self._neighbours = neighbours
-        self._sent: list[_Sent] = []
+        self._recent_moves: list[_RecentMove] = []
 
     def choose(self) -> list[Move]:
         """Return the moves to make, longest waiting jobs first."""
         now_s = self._clock.monotonic_s()
-        self._sent = [
-            sent for sent in self._sent if now_s - sent.at_s < SENT_RETENTION_S
+        self._recent_moves = [
+            recent
+            for recent in self._recent_moves
+            if now_s - recent.at_s < RECENT_MOVE_S
         ]
         neighbours = self._neighbours()
         moves: list[Move] = []
@@ -97,17 +99,19 @@
                 continue
             neighbour = self._target_for(waiting, neighbours)
             if neighbour is not None:
-                moves.append(self._send(waiting, neighbour, now_s))
+                moves.append(self._make_move(waiting, neighbour, now_s))
         return moves
 
     def _must_stay(self, waiting: WaitingJob, now_s: float) -> bool:
         job = waiting.job
-        entitled = self._state.plan.free_unit(job.workspace, job.shape)
+        unused_unit = self._state.plan.free_unit(job.workspace, job.shape)
         may_borrow = self._state.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
         moved = birth_of(job.job_id) != job.home
         min_wait_s = MOVED_MIN_WAIT_S if moved else MIN_WAIT_S
-        return entitled is not None or not may_borrow or waited_s < min_wait_s
+        return (
+            unused_unit is not None or not may_borrow or waited_s < min_wait_s
+        )
 
     def _target_for(
         self,
@@ -118,7 +122,7 @@
         eligible = [
             (self._surplus(neighbour), neighbour)
             for neighbour in neighbours
-            if neighbour.widest_free - self._sent_to(neighbour) >= slots
+            if neighbour.widest_free - self._recent_slots_to(neighbour) >= slots
         ]
         if not eligible:
             return None
@@ -126,17 +130,17 @@
 
     def _surplus(self, neighbour: Neighbour) -> int:
         """Return the free slots that its own queue does not need."""
-        taken = neighbour.waiting_slots + self._sent_to(neighbour)
+        taken = neighbour.waiting_slots + self._recent_slots_to(neighbour)
         return neighbour.free_slots - taken
 
-    def _sent_to(self, neighbour: Neighbour) -> int:
+    def _recent_slots_to(self, neighbour: Neighbour) -> int:
         return sum(
-            sent.slots
-            for sent in self._sent
-            if sent.data_centre == neighbour.data_centre
+            recent.slots
+            for recent in self._recent_moves
+            if recent.data_centre == neighbour.data_centre
         )
 
-    def _send(
+    def _make_move(
         self,
         waiting: WaitingJob,
         neighbour: Neighbour,
@@ -144,7 +148,9 @@
     ) -> Move:
         job = waiting.job
         surplus = self._surplus(neighbour)
-        self._sent.append(_Sent(neighbour.data_centre, job.slots, now_s))
+        self._recent_moves.append(
+            _RecentMove(neighbour.data_centre, job.slots, now_s),
+        )
         return Move(
             job_id=job.job_id,
             data_centre=neighbour.data_centre,
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -93,13 +93,13 @@
             return self._grow(wanted - held)
         return ()
 
-    def set_yielding(self, *, wanted: bool) -> None:
+    def set_yielding(self, *, yielding: bool) -> None:
         """Start or stop yielding the reserve to a gang as large as a rack.
 
         Gateways are directed elsewhere at once; the slots are released only
         after the notice, when all gateways should have received it.
         """
-        if not wanted:
+        if not yielding:
             self._yielding_since_s = None
         elif self._yielding_since_s is None:
             self._yielding_since_s = self._clock.monotonic_s()
@@ -174,7 +174,10 @@
     """
 
     def __init__(self, *, clock: Clock, pool: int) -> None:
-        """Grant nothing for one term: a previous leader's may be valid."""
+        """Initialize without grants.
+
+        None are made for one term: a previous leader's may still be valid.
+        """
         self._clock = clock
         self._pool = pool
         self._grants: dict[str, list[Grant]] = {}
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -67,7 +67,8 @@
 
 
 async def fence_workers(
-    context: Context, workers: list[HostEntry]
+    context: Context,
+    workers: list[HostEntry],
 ) -> WorkerLeases:
     """Increment the epoch on each worker and get its leases in one call."""
     semaphore = asyncio.Semaphore(MAX_PARALLEL_CALLS)
@@ -103,7 +104,9 @@
 
 
 def _restore_jobs(
-    term: Term, stored_jobs: list[Stored], held: WorkerLeases
+    term: Term,
+    stored_jobs: list[Stored],
+    held: WorkerLeases,
 ) -> set[AttemptId]:
     """Queue accepted jobs and resume started attempts; return the latter."""
     resumed: set[AttemptId] = set()
@@ -117,7 +120,9 @@
 
 
 def _release_orphans(
-    term: Term, resumed: set[AttemptId], held: WorkerLeases
+    term: Term,
+    resumed: set[AttemptId],
+    held: WorkerLeases,
 ) -> int:
     orphans = [
         (worker, lease)
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -33,7 +33,7 @@
 
     Other jobs may use a reserved worker only if they are expected to end
     before the gang starts (backfill). A reservation covers workers, not the
-    rest of their rack, although :func:`find_place` skips the whole rack. At
+    rest of their rack, although :func:`find_placement` skips the whole rack. At
     least three quarters of all workers stay unreserved, unless the first gang
     needs more.
 
@@ -73,12 +73,17 @@
         return self._reservations.get(job_id)
 
     def reserve_for(
-        self, state: SchedulerState, job: Job, now_s: float
+        self,
+        state: SchedulerState,
+        job: Job,
+        now_s: float,
     ) -> None:
         """Reserve the workers on which a job will fit first, if possible."""
         reserved_workers = self.reserved_workers(self._reservations)
         excluded = _with_workers(
-            state, reserved_workers, self._windows.cooling_down(now_s)
+            state,
+            reserved_workers,
+            self._windows.cooling_down(now_s),
         )
         best: Reservation | None = None
         for name, rack in state.cluster.racks.items():
@@ -88,16 +93,9 @@
         if best is None or best.until_s == _NEVER:
             return
         reserved = sum(len(workers) for workers in reserved_workers.values())
-        unreserved_after = (
-            len(state.cluster.workers) - reserved - len(best.workers)
-        )
-        if (
-            not self._reservations
-            or unreserved_after
-            >= MIN_UNRESERVED_SHARE
-            * len(
-                state.cluster.workers,
-            )
+        unreserved = len(state.cluster.workers) - reserved - len(best.workers)
+        if not self._reservations or unreserved >= MIN_UNRESERVED_SHARE * len(
+            state.cluster.workers,
         ):
             until_s = max(now_s, best.until_s)
             self._reservations[job.job_id] = best._replace(until_s=until_s)
--- a/src/curranthill/scheduler/roster.py
+++ b/src/curranthill/scheduler/roster.py
@@ -159,7 +159,9 @@
         changed = _set_membership(self._unresponsive, worker, not responds)
         if responds:
             changed |= _set_membership(
-                self._reported_draining, worker, draining
+                self._reported_draining,
+                worker,
+                draining,
             )
         if changed:
             self.refresh_usable()
--- a/src/curranthill/scheduler/search.py
+++ b/src/curranthill/scheduler/search.py
@@ -20,7 +20,7 @@
 Cost = Callable[[WorkerState], float]
 
 
-def find_place(  # noqa: WPS211
+def find_placement(  # noqa: WPS211
     cluster: Cluster,
     slots: int,
     adjacent: Adjacency,
@@ -74,12 +74,12 @@
     kind: CapacityKind,
 ) -> bool:
     """Return whether a shape may fit without exclusions, from cached sums."""
-    most = cluster.max_capacity(kind)
-    if most.max_on_worker >= slots:
+    largest = cluster.max_capacity(kind)
+    if largest.max_on_worker >= slots:
         return True
     if adjacent == ON_WORKER:
         return False
-    return adjacent == ANYWHERE or most.total >= slots
+    return adjacent == ANYWHERE or largest.total >= slots
 
 
 def first_fit(
@@ -192,7 +192,7 @@
     'NONE_EXCLUDED',
     'Cost',
     'ExcludedWorkers',
-    'find_place',
+    'find_placement',
     'first_fit',
     'may_fit',
 )
--- a/src/curranthill/scheduler/state.py
+++ b/src/curranthill/scheduler/state.py
@@ -77,11 +77,12 @@
     """Waiting jobs in one subqueue for each shape key, oldest first."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize without waiting jobs."""
         self._keys: dict[str, ShapeKey] = {}
         self._subqueues: dict[ShapeKey, deque[WaitingJob]] = {}
         self._by_fit_class: dict[
-            FitClass, dict[ShapeKey, deque[WaitingJob]]
+            FitClass,
+            dict[ShapeKey, deque[WaitingJob]],
         ] = {}
         self._by_shape: dict[tuple[str, str], set[ShapeKey]] = {}
 
@@ -146,7 +147,8 @@
         return list(self._by_fit_class)
 
     def heads_of_fit_class(
-        self, fit_class: FitClass
+        self,
+        fit_class: FitClass,
     ) -> list[tuple[ShapeKey, WaitingJob]]:
         """Return the oldest job of each subqueue of a fit class."""
         subqueues = self._by_fit_class.get(fit_class, {})
@@ -187,7 +189,7 @@
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize without workers, guarantees and jobs."""
         self.cluster = Cluster()
         self.plan = GuaranteePlan(cluster=self.cluster)
         self.queue = JobQueue()
@@ -217,7 +219,7 @@
         job = waiting.job
         self.queue.remove(job.job_id)
         if unit is not None:
-            self.plan.use(unit, job.job_id)
+            self.plan.assign(unit, job.job_id)
         self._allocate(
             job,
             members,
@@ -241,7 +243,7 @@
         """
         unit = self.plan.free_unit(job.workspace, job.shape)
         if unit is not None:
-            self.plan.use(unit, job.job_id)
+            self.plan.assign(unit, job.job_id)
         non_preemptible = unit is not None or not job.preemptible
         self._allocate(
             job,
@@ -353,11 +355,11 @@
 
 
 __all__ = (
-    'SchedulerState',
     'Decision',
     'FitClass',
-    'PlacedJob',
     'JobQueue',
+    'PlacedJob',
+    'SchedulerState',
     'ShapeKey',
     'WaitingJob',
     'fit_class_of',
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -87,7 +87,7 @@
         self._directory = directory
         self._configuration = configuration
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._known: dict[str, Stored] = {}
+        self._waiting_rows: dict[str, Stored] = {}
         self._last_attempt: dict[str, int] = {}
         self._loader = RowLoader(
             store=context.store,
@@ -133,7 +133,7 @@
         job = stored.job
         if job.job_id in self.gangs or job.job_id in self.state.queue:
             return
-        self._known[job.job_id] = stored
+        self._waiting_rows[job.job_id] = stored
         waited_s = max(0, self._context.clock.wall_s() - job.accepted_at_s)
         since_s = self._context.clock.monotonic_s() - waited_s
         self.state.queue.add(WaitingJob(job=job, since_s=since_s))
@@ -161,10 +161,10 @@
         """Return plain sentences on the state of a job."""
         gang = self.gangs.get(job_id)
         if gang is not None:
-            places = ', '.join(
+            placements_text = ', '.join(
                 f'{member.slots} on {member.worker}' for member in gang.members
             )
-            return [f'{job_id} is {gang.state}: {places}.']
+            return [f'{job_id} is {gang.state}: {placements_text}.']
         return self._policy.explain(
             self.state,
             job_id,
@@ -190,7 +190,7 @@
                 gang.cancel()
         elif job.state in ENDED:
             self.state.queue.remove(job.job_id)
-            self._known.pop(job.job_id, None)
+            self._waiting_rows.pop(job.job_id, None)
         elif job.state == ACCEPTED and job.home == self._data_centre:
             self.submit(stored)
 
@@ -199,7 +199,8 @@
             await self._context.clock.sleep(TICK_S)
             self.roster.refresh_usable()
             self.quick.set_yielding(
-                wanted=bool(self._neighbours()) and self._full_rack_is_wanted(),
+                yielding=bool(self._neighbours())
+                and self._full_rack_is_wanted(),
             )
             self._preempt(self.quick.adjust(), 'for quick work')
             for move in self._offload.choose():
@@ -210,7 +211,7 @@
         """Move a waiting job to a data centre with free capacity for it."""
         job_id = move.job_id
         waiting = self.state.queue.remove(job_id)
-        stored = self._known.pop(job_id, None)
+        stored = self._waiting_rows.pop(job_id, None)
         if waiting is None or stored is None:
             return
         logger.bind(job=job_id, step='offload', peer=move.data_centre).info(
@@ -262,7 +263,7 @@
 
     def _launch(self, decision: Decision) -> None:
         job = decision.job
-        stored = self._known.pop(job.job_id)
+        stored = self._waiting_rows.pop(job.job_id)
         metrics.placements.add(1)
         logger.bind(
             job=job.job_id,
@@ -276,13 +277,13 @@
             [(member.worker, member.slots) for member in decision.members],
             list(decision.victims) or 'none',
         )
-        waits = self._preempt(decision.victims, f'for {job.job_id}')
+        stopped_events = self._preempt(decision.victims, f'for {job.job_id}')
         attempt = next_attempt(
             job,
             self._context.election.token.epoch,
             self._last_attempt.get(job.job_id, 0),
         )
-        gang = self._gang(stored, decision.members, attempt, waits)
+        gang = self._gang(stored, decision.members, attempt, stopped_events)
         self._spawn(self._finish(gang, gang.run()))
 
     def _preempt(
@@ -290,21 +291,21 @@
         victims: Iterable[str],
         reason: str,
     ) -> list[asyncio.Event]:
-        waits: list[asyncio.Event] = []
+        stopped_events: list[asyncio.Event] = []
         for victim in victims:
             metrics.preemptions.add(1)
             gang = self.gangs[victim]
             logger.bind(job=victim, step='preempt').info('preempted {}', reason)
             gang.preempt()
-            waits.append(gang.stopped)
-        return waits
+            stopped_events.append(gang.stopped)
+        return stopped_events
 
     def _gang(
         self,
         stored: Stored,
         members: Iterable[Member],
         attempt: int,
-        waits: Iterable[asyncio.Event] = (),
+        stopped_events: Iterable[asyncio.Event] = (),
     ) -> Gang:
         gang = Gang(
             context=self._context,
@@ -312,7 +313,7 @@
             members=members,
             attempt=attempt,
             watches=self.roster.watches,
-            wait_for=waits,
+            wait_for=stopped_events,
         )
         self._last_attempt[stored.job.job_id] = attempt
         self.gangs[stored.job.job_id] = gang
@@ -391,9 +392,9 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._on_task_done)
 
-    def _forget(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error('a task failed')
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -130,7 +130,9 @@
         for attempt_id in report.unknown:
             if attempt_id in self._live:
                 self._report(
-                    attempt_id, LOST, 'The worker does not have its lease.'
+                    attempt_id,
+                    LOST,
+                    'The worker does not have its lease.',
                 )
         for attempt_id, lease in reported.items():
             update = MemberUpdate(
@@ -148,13 +150,15 @@
         self._ended.intersection_update(reported)
 
     def _on_no_response(self, error: WorkerError) -> None:
-        silent_s = self._context.clock.monotonic_s() - self._last_contact_s
+        unresponsive_s = (
+            self._context.clock.monotonic_s() - self._last_contact_s
+        )
         logger.bind(step=error.step, peer=self.name).debug(
             'no response for {:.1f} s: {}',
-            silent_s,
+            unresponsive_s,
             error.message,
         )
-        if silent_s < self._context.leases.member_term_s:
+        if unresponsive_s < self._context.leases.member_term_s:
             return
         # The worker has stopped its members by now, as their leases expired.
         self._listener.on_contact(self.name, False, False)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,7 +22,7 @@
     RunTimeEstimates,
 )
 from curranthill.scheduler.quick import QuickReserve
-from curranthill.scheduler.search import find_place
+from curranthill.scheduler.search import find_placement
 from curranthill.scheduler.victims import choose_victims
 from tests.support import (
     ManualClock,
@@ -209,7 +209,7 @@
         """Only what cannot be placed at all is left without a plan."""
         for unit in self.state.plan:
             if unit.at_risk:
-                place = find_place(
+                place = find_placement(
                     self.state.cluster,
                     unit.slots,
                     unit.adjacent,
@@ -229,7 +229,8 @@
                 held[part.worker] = held.get(part.worker, 0) + part.slots
         for worker in self.state.cluster.workers.values():
             assert worker.non_preemptible + worker.preemptible == held.get(
-                worker.name, 0
+                worker.name,
+                0,
             )
             if worker.usable:
                 assert (
@@ -391,7 +392,7 @@
                     ends.pop(job_id)
             for decision in policy.decide(state, second):
                 ends[decision.job.job_id] = second + int(
-                    decision.job.run_time_s
+                    decision.job.run_time_s,
                 )
                 if decision.job.job_id == 'dc-gang':
                     # It waits sixteen run times before workers are kept.
