--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
-"""A data centre in one event loop, under a clock that tests move.
+"""A data centre in one event loop, with a clock that tests advance.
 
-The schedulers are the real ones; the table, the object store and the workers
-are the stand-ins' models without a network.
+The schedulers are real; the table, the object store and the workers are the
+models of the stand-ins, without a network.
 """
 
 from typing import Any, cast
@@ -52,7 +52,7 @@
         slots: int = 8,
         document: Json | None = None,
     ) -> None:
-        """Make the stand-ins."""
+        """Create the stand-ins."""
         self.clock = ManualClock()
         self.table = EmbeddedTable(clock=self.clock)
         self.objects = EmbeddedObjects(clock=self.clock)
@@ -70,7 +70,7 @@
         self.schedulers: list[TestScheduler] = []
 
     async def hosts(self, data_centre: str = '') -> tuple[HostEntry, ...]:
-        """Return the platform's list."""
+        """Return the host list of the platform."""
         return tuple(
             HostEntry(
                 host=worker.name,
@@ -100,7 +100,7 @@
         return await self.store.accept(make_job(**fields), None)
 
     async def job(self, job_id: str) -> Job:
-        """Return a job as the table has it."""
+        """Return a job as stored in the table, without injected faults."""
         faults = self.table.faults
         before = faults.settings
         faults.settings = FaultSettings()
@@ -110,7 +110,7 @@
         return stored.job
 
     def starts(self, job_id: str) -> dict[int, int]:
-        """Return how many members of each attempt started, by the workers."""
+        """Return how many members of each attempt the workers started."""
         counts: dict[int, int] = {}
         for worker in self.workers.values():
             for start in worker.starts:
@@ -119,7 +119,7 @@
         return counts
 
     def running(self, job_id: str) -> dict[int, int]:
-        """Return how many members of each attempt run now."""
+        """Return how many members of each attempt are running."""
         counts: dict[int, int] = {}
         for worker in self.workers.values():
             for attempt_id in worker.running():
@@ -129,7 +129,7 @@
         return counts
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Kill the schedulers and close the workers."""
         for scheduler in self.schedulers:
             await scheduler.kill()
         for worker in self.workers.values():
@@ -137,7 +137,7 @@
 
 
 class TestScheduler:
-    """One real scheduler of a site, without its network side."""
+    """One real scheduler of a site, without its network interfaces."""
 
     __test__ = False
 
@@ -148,7 +148,7 @@
         site: Site,
         placement: dict[str, Any],
     ) -> None:
-        """Make the parts as the daemon does."""
+        """Create the parts as the daemon does."""
         self.app = Application(name=name, clock=site.clock)
         self.leases = LeaseSettings()
         self.election = Election(
@@ -196,15 +196,15 @@
         )
 
     def _on_moved(self, data_centre: str, job_id: str) -> None:
-        """Nobody is told: a site has one data centre."""
+        """Do nothing: a site has only one data centre."""
 
     async def start(self) -> None:
-        """Read the host list and stand for election."""
+        """Read the host list and start the election."""
         await self.directory.start()
         await self.leader.start()
 
     async def kill(self) -> None:
-        """End as a crash does: nothing is told to anybody."""
+        """Stop as in a crash, without notifying other processes."""
         term = self.leader.term
         self.leader.term = None
         if term is not None:
@@ -213,7 +213,7 @@
 
     @property
     def active(self) -> bool:
-        """Return whether it leads and has recovered."""
+        """Return whether it leads and has recovered its state."""
         return self.leader.term is not None
 
 
--- a/tests/test_own_starvation.py
+++ b/tests/test_own_starvation.py
@@ -1,4 +1,4 @@
-"""The scheduler of a data centre: what fits starts, and gangs do in time."""
+"""Starvation: jobs that fit start in time beside gangs that wait."""
 
 import unittest
 
@@ -7,23 +7,24 @@
 from curranthill.scheduler.reservation_windows import MIN_WINDOW_S
 from tests.support import make_job, make_state, members_on, wait_on
 
-#: How long what fits may wait for a gang that waits for overdue work, in
-#: seconds.
+#: How long a job that fits may wait while workers are reserved for a gang that
+#: waits for overdue work, in seconds.
 MAX_WAIT_S = 2 * MIN_WINDOW_S
 
 #: How long a gang may wait once the work that it waits for has ended, in
-#: seconds: small jobs of the stream run on, and a pause may come between.
-REST_WAIT_S = 120
+#: seconds: small jobs of the stream are still running, and a cooldown may come
+#: first.
+MAX_GANG_WAIT_S = 120
 
 #: Slots of a gang that needs both workers.
-BOTH = 16
+BOTH_WORKERS = 16
 
 
-class Player:
-    """Decides once a second; small jobs end after their estimates."""
+class SchedulerSimulation:
+    """Runs the policy once a second; jobs that it starts run for 10 s."""
 
     def __init__(self) -> None:
-        """Start with two idle workers."""
+        """Initialize with two idle workers."""
         self.state = make_state(racks=1, workers=2)
         self.policy = policies.get('guarantees')(3)
         self.now_s = 0.0
@@ -31,7 +32,7 @@
         self._number = 0
 
     def occupy(self, job: Job, worker: str) -> None:
-        """Run a job on a worker; it ends when it is released."""
+        """Run a job on a worker until it is released."""
         self.state.place(
             wait_on(self.state, job, self.now_s),
             members_on((worker, job.slots)),
@@ -40,15 +41,15 @@
             reason='test',
         )
 
-    def stream(self) -> None:
-        """Let one more small job wait; each runs for ten seconds."""
+    def add_stream_job(self) -> None:
+        """Queue one more small job, which runs for ten seconds."""
         self._number += 1
         name = f'stream-{self._number}'
         job = make_job(name, workspace='b', run_time_s=10.0)
         wait_on(self.state, job, self.now_s)
 
     def step(self) -> set[str]:
-        """Go on by a second; return the jobs that start."""
+        """Advance time by a second; return the jobs that start."""
         self.now_s += 1.0
         for job_id, end_s in list(self._ends_s.items()):
             if end_s <= self.now_s:
@@ -69,116 +70,124 @@
         *,
         streaming: bool = False,
     ) -> float | None:
-        """Return after how long a job starts, if it does in time."""
+        """Return how long a job waits until it starts, if it does in time."""
         since_s = self.now_s
         while self.now_s - since_s < within_s:
             if streaming:
-                self.stream()
+                self.add_stream_job()
             if job_id in self.step():
                 return self.now_s - since_s
         return None
 
 
-def wait_for_overdue(*, run_s: float, gang_s: float = 1.0) -> Player:
-    """Return a play with work on one worker, for which a gang waits.
+def simulate_overdue_job(
+    *,
+    run_s: float,
+    gang_s: float = 1.0,
+) -> SchedulerSimulation:
+    """Return a simulation of a gang that waits for a job on one worker.
 
-    :param run_s: the work's estimate; it has run for 400 s.
-    :param gang_s: that of the gang.
+    :param run_s: the estimate of the job, which has run for 400 s.
+    :param gang_s: the estimate of the gang.
     """
-    player = Player()
-    player.occupy(make_job('long', slots=8, run_time_s=run_s), 'r0-w0')
-    gang = make_job('gang', slots=BOTH, run_time_s=gang_s)
-    wait_on(player.state, gang, 1.0)
-    player.now_s = 400.0
-    player.step()
-    return player
+    simulation = SchedulerSimulation()
+    simulation.occupy(make_job('long', slots=8, run_time_s=run_s), 'r0-w0')
+    gang = make_job('gang', slots=BOTH_WORKERS, run_time_s=gang_s)
+    wait_on(simulation.state, gang, 1.0)
+    simulation.now_s = 400.0
+    simulation.step()
+    return simulation
 
 
 class OverdueTest(unittest.TestCase):
-    """Work outlasts its estimate, and a gang waits for it."""
+    """A gang waits for a job that outlasts its estimate."""
 
     def test_what_fits_starts_beside_a_job_that_is_overdue(self) -> None:
-        """The gang keeps the idle worker for a while, not for ever."""
-        player = wait_for_overdue(run_s=10.0)
+        """The idle worker is reserved for a window only."""
+        simulation = simulate_overdue_job(run_s=10.0)
         small = make_job('small', run_time_s=1.0)
-        wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
+        wait_on(simulation.state, small, simulation.now_s)
+        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_each_later_job_starts_in_time_as_well(self) -> None:
-        """The gang's next turns end, too."""
-        player = wait_for_overdue(run_s=10.0)
+        """Later reservation windows of the gang end as well."""
+        simulation = simulate_overdue_job(run_s=10.0)
         for number in range(20):
             job_id = f'small-{number}'
             small = make_job(job_id, run_time_s=1000.0)
-            wait_on(player.state, small, player.now_s)
-            self.assertIsNotNone(player.started_s(job_id, MAX_WAIT_S))
-            player.state.release(job_id)
+            wait_on(simulation.state, small, simulation.now_s)
+            self.assertIsNotNone(simulation.started_s(job_id, MAX_WAIT_S))
+            simulation.state.release(job_id)
 
-    def test_gangs_do_not_take_turns_on_the_same_worker(self) -> None:
-        """The pause is the worker's: four gangs wait for the same job."""
-        player = wait_for_overdue(run_s=10.0)
+    def test_the_cooldown_of_a_worker_applies_to_all_gangs(self) -> None:
+        """Four gangs that wait for the same job do not alternate."""
+        simulation = simulate_overdue_job(run_s=10.0)
         for number in range(3):
             workspace = f'other-{number}'
-            gang = make_job(workspace, slots=BOTH, workspace=workspace)
-            wait_on(player.state, gang, -1000.0)
+            gang = make_job(workspace, slots=BOTH_WORKERS, workspace=workspace)
+            wait_on(simulation.state, gang, -1000.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
+        wait_on(simulation.state, small, simulation.now_s)
+        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
-    def test_a_long_gang_keeps_workers_for_no_longer(self) -> None:
-        """How long it will run does not count, only how long it waits."""
-        player = wait_for_overdue(run_s=10.0, gang_s=20.0)
+    def test_the_run_time_of_a_gang_does_not_extend_its_window(self) -> None:
+        """The window depends on the expected wait only."""
+        simulation = simulate_overdue_job(run_s=10.0, gang_s=20.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(player.state, small, player.now_s)
-        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
+        wait_on(simulation.state, small, simulation.now_s)
+        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_before_long_work_starts_beside_it(self) -> None:
-        """It ends before the gang is expected to start."""
-        player = wait_for_overdue(run_s=9000.0)
-        wait_on(player.state, make_job('small', run_time_s=1.0), 400.0)
-        self.assertIsNotNone(player.started_s('small', MAX_WAIT_S))
+        """A job that ends before the gang is expected to start runs."""
+        simulation = simulate_overdue_job(run_s=9000.0)
+        wait_on(simulation.state, make_job('small', run_time_s=1.0), 400.0)
+        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_after_long_work_waits(self) -> None:
-        """The worker is kept as long as the estimate holds."""
-        player = wait_for_overdue(run_s=2000.0)
-        wait_on(player.state, make_job('small', run_time_s=5000.0), 400.0)
-        self.assertIsNone(player.started_s('small', 1500.0))
+        """The worker stays reserved while the estimate holds."""
+        simulation = simulate_overdue_job(run_s=2000.0)
+        wait_on(simulation.state, make_job('small', run_time_s=5000.0), 400.0)
+        self.assertIsNone(simulation.started_s('small', 1500.0))
 
     def test_a_gang_starts_soon_after_the_overdue_job_has_ended(self) -> None:
-        """A stream of small jobs takes the worker in each pause."""
-        player = wait_for_overdue(run_s=10.0)
-        self.assertIsNone(player.started_s('gang', 300.0, streaming=True))
-        player.state.release('long')
-        started_s = player.started_s('gang', REST_WAIT_S, streaming=True)
+        """Small jobs use the worker during each cooldown."""
+        simulation = simulate_overdue_job(run_s=10.0)
+        self.assertIsNone(simulation.started_s('gang', 300.0, streaming=True))
+        simulation.state.release('long')
+        started_s = simulation.started_s(
+            'gang',
+            MAX_GANG_WAIT_S,
+            streaming=True,
+        )
         self.assertIsNotNone(started_s)
 
 
-class StoppedGangTest(unittest.TestCase):
+class PreemptedGangTest(unittest.TestCase):
     """A gang of one second beside a stream of small jobs."""
 
-    def test_a_gang_that_was_not_stopped_has_workers_kept(self) -> None:
-        """After sixteen of its run times."""
+    def test_a_gang_that_was_not_preempted_gets_a_reservation(self) -> None:
+        """Workers are reserved after sixteen of its run times."""
         self.assert_starts(preemptions=0, within_s=60)
 
-    def test_a_gang_that_was_stopped_often_has_workers_kept(self) -> None:
-        """Stops lengthen the wait four times at most."""
+    def test_a_gang_that_was_preempted_often_gets_a_reservation(self) -> None:
+        """Preemptions lengthen the wait at most fourfold."""
         for preemptions in (2, 5, 12, 2000):
             with self.subTest(preemptions=preemptions):
                 self.assert_starts(preemptions=preemptions, within_s=120)
 
     def assert_starts(self, *, preemptions: int, within_s: float) -> None:
-        """Check that a gang of both workers starts in time."""
-        player = Player()
-        player.stream()
-        player.step()
+        """Check that a gang on both workers starts in time."""
+        simulation = SchedulerSimulation()
+        simulation.add_stream_job()
+        simulation.step()
         gang = make_job(
             'gang',
-            slots=BOTH,
+            slots=BOTH_WORKERS,
             run_time_s=1.0,
             preemptions=preemptions,
         )
-        wait_on(player.state, gang, player.now_s)
-        started_s = player.started_s('gang', within_s, streaming=True)
+        wait_on(simulation.state, gang, simulation.now_s)
+        started_s = simulation.started_s('gang', within_s, streaming=True)
         self.assertIsNotNone(started_s)
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: promises hold at each decision, gangs fit, nobody starves."""
+"""Placement: guarantees hold after each decision and no job starves."""
 
 import unittest
 from typing import Any
@@ -39,15 +39,15 @@
     'pair': {'accelerators': 16, 'adjacent': 'rack'},
     'rack': {'accelerators': 32, 'adjacent': 'rack'},
 }
-PROMISES = {
+GUARANTEES = {
     'audit': [('pair', 1), ('quad', 2)],
     'ledger': [('rack', 1)],
     'casework': [],
 }
 
 
-def document(promises: dict[str, list[tuple[str, int]]]) -> Any:
-    """Return a checked configuration with some promises."""
+def document(guarantees: dict[str, list[tuple[str, int]]]) -> Any:
+    """Return a checked configuration with guarantees by workspace."""
     return checked(
         {
             'shapes': SHAPES,
@@ -65,21 +65,21 @@
                     'token_digests': [],
                     'guarantees': [
                         {'shape': shape, 'count': count, 'data_centre': 'dc'}
-                        for shape, count in promised
+                        for shape, count in shapes
                     ],
                 }
-                for name, promised in promises.items()
+                for name, shapes in guarantees.items()
             },
         },
     )
 
 
 def guaranteed_state(
-    promises: dict[str, list[tuple[str, int]]] | None = None,
+    guarantees: dict[str, list[tuple[str, int]]] | None = None,
 ) -> SchedulerState:
     """Return a scheduler state that holds guarantees."""
     state = make_state()
-    state.plan.configure(document(promises or PROMISES), 'dc')
+    state.plan.configure(document(guarantees or GUARANTEES), 'dc')
     return state
 
 
@@ -97,10 +97,10 @@
 
 
 class SchedulerStateMachine(RuleBasedStateMachine):
-    """Arrivals, ends, worker losses and reclaims in any order."""
+    """Arrivals, ends, worker losses and reclaimed guarantees in any order."""
 
     def __init__(self) -> None:
-        """Initialize an empty state and its guarantees."""
+        """Initialize an empty state with guarantees."""
         super().__init__()
         self.state = guaranteed_state()
         self.policy = policies.get('guarantees')(2)
@@ -108,8 +108,8 @@
         self.number = 0
 
     @initialize(quick=st.integers(min_value=0, max_value=3))
-    def keep_quick_slots(self, quick: int) -> None:
-        """Keep some slots for quick work, as the reserve does."""
+    def reserve_quick_slots(self, quick: int) -> None:
+        """Reserve some slots for quick work."""
         reserve = QuickReserve(
             state=self.state,
             clock=ManualClock(),
@@ -118,7 +118,7 @@
         reserve.adjust()
 
     @rule(
-        workspace=st.sampled_from(sorted(PROMISES)),
+        workspace=st.sampled_from(sorted(GUARANTEES)),
         shape=st.sampled_from(sorted(SHAPES)),
         idempotent=st.booleans(),
         checkpointable=st.booleans(),
@@ -132,7 +132,7 @@
         checkpointable: bool,
         preemptions: int,
     ) -> None:
-        """A job arrives and all that can be placed is."""
+        """Add a job and place what can be placed."""
         self.number += 1
         job = shaped(
             f'dc-{self.number}',
@@ -145,19 +145,19 @@
         wait_on(self.state, job, self.now_s)
         self.decide()
 
-    @rule(place=st.integers(min_value=0, max_value=99))
-    def end(self, place: int) -> None:
-        """A placed job ends."""
+    @rule(index=st.integers(min_value=0, max_value=99))
+    def end(self, index: int) -> None:
+        """End a placed job."""
         names = sorted(self.state.placed)
         if names:
-            self.state.release(names[place % len(names)])
+            self.state.release(names[index % len(names)])
         self.decide()
 
-    @rule(place=st.integers(min_value=0, max_value=7), usable=st.booleans())
-    def lose_or_return(self, place: int, usable: bool) -> None:
-        """A worker is lost, its jobs with it, or comes back."""
+    @rule(index=st.integers(min_value=0, max_value=7), usable=st.booleans())
+    def change_worker(self, index: int, usable: bool) -> None:
+        """Lose a worker with its jobs, or make it usable again."""
         names = sorted(self.state.cluster.workers)
-        worker = self.state.cluster.workers[names[place]]
+        worker = self.state.cluster.workers[names[index]]
         self.state.cluster.set_usable(worker, usable)
         if not usable:
             for job_id in list(worker.jobs):
@@ -166,7 +166,7 @@
         self.decide()
 
     def decide(self) -> None:
-        """Place what can be placed; victims wait again."""
+        """Place what can be placed and queue the victims again."""
         self.now_s += 1
         before = {
             job_id: placed.job for job_id, placed in self.state.placed.items()
@@ -182,16 +182,18 @@
                 )
 
     @invariant()
-    def every_guarantee_could_be_restored_now(self) -> None:
-        """Hard, planned and quick slots fit together on each worker."""
+    def every_guarantee_can_be_restored(self) -> None:
+        """Non-preemptible, planned and quick slots fit on each worker."""
         for worker in self.state.cluster.workers.values():
             if worker.usable:
-                kept = worker.non_preemptible + worker.planned + worker.quick
-                assert kept <= worker.slots, worker
+                committed = (
+                    worker.non_preemptible + worker.planned + worker.quick
+                )
+                assert committed <= worker.slots, worker
 
     @invariant()
-    def plans_keep_their_adjacency(self) -> None:
-        """Each plan is whole, on usable workers of one worker or rack."""
+    def plans_respect_adjacency(self) -> None:
+        """Each plan is complete and uses usable workers of one rack."""
         for unit in self.state.plan:
             if not unit.planned:
                 continue
@@ -205,21 +207,21 @@
                 assert len(workers) == 1
 
     @invariant()
-    def a_unit_at_risk_has_no_place(self) -> None:
-        """Only what cannot be placed at all is left without a plan."""
+    def a_unit_at_risk_fits_nowhere(self) -> None:
+        """Only a unit that fits nowhere has no planned placement."""
         for unit in self.state.plan:
             if unit.at_risk:
-                place = find_placement(
+                placement = find_placement(
                     self.state.cluster,
                     unit.slots,
                     unit.adjacent,
                     'open',
                 )
-                assert place is None, (unit, place)
+                assert placement is None, (unit, placement)
 
     @invariant()
-    def counts_agree_with_what_is_placed(self) -> None:
-        """Slots on each worker are those of its jobs, gangs whole."""
+    def counts_match_placed_jobs(self) -> None:
+        """The slots in use on a worker are those of its jobs' members."""
         held: dict[str, int] = {}
         for placed in self.state.placed.values():
             assert (
@@ -239,7 +241,7 @@
                 )
 
     @invariant()
-    def nobody_with_a_free_guarantee_waits(self) -> None:
+    def no_job_with_a_free_guarantee_waits(self) -> None:
         """A guaranteed job waits only while its unit is at risk or in use."""
         for key, _ in self.state.queue.heads():
             unit = self.state.plan.free_unit(key.workspace, key.shape)
@@ -247,10 +249,10 @@
 
 
 class PropertyTest(unittest.TestCase):
-    """The invariants over any sequence."""
+    """Invariants over generated inputs."""
 
-    def test_promises_hold_over_any_sequence(self) -> None:
-        """Run the machine with the profile's settings."""
+    def test_invariants_hold_over_any_sequence(self) -> None:
+        """Run the state machine with the settings of the profile."""
         run_state_machine_as_test(SchedulerStateMachine)
 
     @given(
@@ -260,11 +262,11 @@
             max_size=4,
         ),
     )
-    def test_fragmentation_is_a_share_and_grows_with_size(
+    def test_fragmentation_is_a_share(
         self,
         free: list[list[int]],
     ) -> None:
-        """Between 0 and 1, and nothing is unusable to a gang of one."""
+        """Shares are between 0 and 1, and 0 for a gang of one."""
         shares = fragmentation(
             {str(number): workers for number, workers in enumerate(free)},
         )
@@ -273,10 +275,10 @@
 
 
 class GuaranteeTest(unittest.TestCase):
-    """Reclaim, one by one and all at once."""
+    """Restoring guarantees one by one and all at once."""
 
     def test_a_guarantee_is_restored_from_borrowers(self) -> None:
-        """Borrowed work is stopped, no more of it than must be."""
+        """Only as much borrowed work is preempted as needed."""
         state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(8):
@@ -288,7 +290,7 @@
         self.assertEqual(len(decision.victims), 2)
 
     def test_all_workspaces_reclaim_at_once(self) -> None:
-        """Every promise is met in one pass."""
+        """All guarantees are restored in one pass."""
         state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(64):
@@ -305,18 +307,18 @@
         }
         self.assertEqual(restored, {'dc-g0', 'dc-g1', 'dc-g2'})
 
-    def test_work_that_cannot_be_stopped_keeps_off_promises(self) -> None:
-        """Hard borrowed work takes only what no promise needs."""
+    def test_non_preemptible_work_avoids_guaranteed_slots(self) -> None:
+        """Non-preemptible borrowed work takes only unguaranteed slots."""
         state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(64):
             job = shaped(f'dc-{number}', 'casework', 'single', idempotent=False)
             wait_on(state, job)
-        # 64 slots less 16, 8 and 32 that are promised.
+        # 64 slots less 16, 8 and 32 guaranteed ones.
         self.assertEqual(len(policy.decide(state, 1)), 8)
 
-    def test_the_victims_lose_least(self) -> None:
-        """A checkpointed task goes before one that would lose its work."""
+    def test_victims_lose_the_least_work(self) -> None:
+        """A checkpointable job is preempted before one that loses work."""
         state = make_state(racks=1, workers=1)
         policy = policies.get('guarantees')(5)
         wait_on(state, shaped('dc-1', 'casework', 'quad'))
@@ -325,8 +327,8 @@
         victims = choose_victims(state, members_on(('r0-w0', 4)), 100)
         self.assertEqual(victims, ('dc-2',))
 
-    def test_a_lost_rack_scales_promises_and_its_return_restores(self) -> None:
-        """Promises that still stand are kept; the lost one is at risk."""
+    def test_a_lost_rack_puts_guarantees_at_risk_until_it_returns(self) -> None:
+        """Plans that still fit stay; the one of the lost rack is at risk."""
         state = guaranteed_state()
         rack = state.cluster.racks['r0'].workers
         for worker in rack:
@@ -339,8 +341,10 @@
         state.plan.repair()
         self.assertFalse([unit for unit in state.plan if unit.at_risk])
 
-    def test_a_unit_at_risk_is_planned_once_hard_work_ends(self) -> None:
-        """The end of borrowed work that stood in the way restores it."""
+    def test_a_unit_at_risk_is_planned_when_non_preemptible_work_ends(
+        self,
+    ) -> None:
+        """Borrowed non-preemptible work ends and frees slots for it."""
         state = guaranteed_state({'ledger': [('rack', 1)]})
         policy = policies.get('guarantees')(5)
         wait_on(state, shaped('dc-1', 'audit', 'rack', idempotent=False))
@@ -356,8 +360,8 @@
         state.release('dc-1')
         self.assertEqual(state.plan.at_risk, set())
 
-    def test_a_job_that_was_stopped_often_still_runs(self) -> None:
-        """Where promises leave no place to stay, it borrows again."""
+    def test_a_job_that_was_preempted_often_still_runs(self) -> None:
+        """It is preemptible again if guarantees leave no other slots."""
         state = guaranteed_state()
         policy = policies.get('guarantees')(2)
         for number in range(8):
@@ -365,15 +369,17 @@
             wait_on(state, job)
         placed = policy.decide(state, 1)
         self.assertEqual(len(placed), 8)
-        stay = [one for one in state.placed.values() if one.non_preemptible]
-        self.assertEqual(len(stay), 1)
+        non_preemptible = [
+            one for one in state.placed.values() if one.non_preemptible
+        ]
+        self.assertEqual(len(non_preemptible), 1)
 
 
 class OrderTest(unittest.TestCase):
-    """Large gangs and small jobs."""
+    """Order among large gangs and small jobs."""
 
     def test_a_large_gang_does_not_starve_behind_small_jobs(self) -> None:
-        """A rack drains for it although small jobs keep arriving."""
+        """Workers are reserved for it while small jobs keep arriving."""
         state = make_state(racks=1)
         policy = policies.get('guarantees')(5)
         number = 0
@@ -395,13 +401,13 @@
                     decision.job.run_time_s,
                 )
                 if decision.job.job_id == 'dc-gang':
-                    # It waits sixteen run times before workers are kept.
+                    # It waits sixteen run times before workers are reserved.
                     self.assertLess(second, 20 + 16 * 5 + 20)
                     return
-        self.fail('the gang starved')
+        self.fail('the gang did not start')
 
-    def test_small_jobs_fill_what_a_reservation_leaves(self) -> None:
-        """A job that ends before the gang could start may pass it."""
+    def test_small_jobs_backfill_reserved_workers(self) -> None:
+        """A job that ends before the gang is expected to start runs."""
         state = make_state(racks=1)
         policy = policies.get('guarantees')(5)
         wait_on(state, shaped('dc-1', 'a', 'block', run_time_s=1000))
@@ -412,8 +418,8 @@
         placed = {decision.job.job_id for decision in policy.decide(state, 161)}
         self.assertEqual(placed, {'dc-3'})
 
-    def test_no_worker_is_kept_for_what_promises_never_leave(self) -> None:
-        """A gang that needs promised slots does not idle the rest."""
+    def test_no_worker_is_reserved_for_guaranteed_slots(self) -> None:
+        """A gang that only fits on guaranteed slots leaves no worker idle."""
         state = make_state(racks=1)
         one_rack = document({'ledger': [('pair', 1)]})
         state.plan.configure(one_rack, 'dc')
@@ -426,8 +432,8 @@
         placed = [one.job.job_id for one in policy.decide(state, 502)]
         self.assertEqual(placed, ['dc-3'])
 
-    def test_estimates_follow_what_runs_took(self) -> None:
-        """A kind that takes twice its declared time is expected to."""
+    def test_estimates_follow_actual_run_times(self) -> None:
+        """The estimate is the quantile of actual over declared times."""
         estimates = RunTimeEstimates()
         self.assertEqual(estimates.run_time_s('w', 'k', 10), 10)
         for actual in range(MAX_SAMPLES):
@@ -436,7 +442,7 @@
         self.assertAlmostEqual(estimates.run_time_s('w', 'k', 10), expected_s)
 
     def test_fifo_first_fit_lets_the_head_block(self) -> None:
-        """The baseline does what its name says."""
+        """Later jobs pass one that does not fit only with skipping."""
         state = make_state(racks=1, workers=1)
         wait_on(state, shaped('dc-1', 'a', 'quad'), 1)
         wait_on(state, shaped('dc-2', 'a', 'block'), 2)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Jobs run whole and as often as they may, whatever dies, pauses or lies."""
+"""Attempts run completely and as often as allowed, despite failures."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 def on_site(test: Callable[[Site], Awaitable[None]]) -> None:
-    """Run a test on a site of its own and clean up."""
+    """Run a test on a new site and close it."""
 
     async def main() -> None:
         site = Site()
@@ -32,14 +32,14 @@
     run(main())
 
 
-def writes_mark(transaction: Transaction) -> bool:
-    """Return whether a transaction writes a start mark."""
+def writes_start_record(transaction: Transaction) -> bool:
+    """Return whether a transaction writes a start record."""
     documents = [write.document or {} for write in transaction.writes]
     return any(document.get('state') == 'marked' for document in documents)
 
 
 async def ended(site: Site, job_id: str, within_s: float = 120) -> str:
-    """Move time on until a job has ended; return its state."""
+    """Advance time until a job has ended; return its state."""
     state = ''
     for _ in range(int(within_s * 2)):
         await site.clock.advance(0.5)
@@ -50,12 +50,12 @@
 
 
 class GangTest(unittest.TestCase):
-    """All of a gang or nothing."""
+    """All members of a gang run or none."""
 
-    def test_a_gang_runs_whole_and_its_result_is_kept(self) -> None:
-        """Sixteen accelerators on two workers, one result, slots back."""
+    def test_a_gang_runs_and_its_result_is_stored(self) -> None:
+        """Sixteen accelerators on two workers, one result, slots released."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(**GANG)
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
@@ -67,12 +67,12 @@
             free = [worker.free_slots() for worker in site.workers.values()]
             self.assertEqual(free, [8, 8])
 
-        on_site(case)
+        on_site(scenario)
 
     def test_a_lost_member_stops_the_rest_within_one_term(self) -> None:
-        """The bound on a partial gang is the member term."""
+        """A partial gang stops within the member term."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             scheduler = await site.scheduler('s1')
             await site.accept(**GANG, body='{"run_s": 500}')
             await site.clock.until(
@@ -84,52 +84,52 @@
             await site.clock.advance(bound_s + scheduler.leases.poll_wait_s + 2)
             self.assertNotIn(attempt, site.running('dc-1'))
 
-        on_site(case)
+        on_site(scenario)
 
     def test_two_gangs_that_want_the_same_workers_both_end(self) -> None:
-        """They run one after the other."""
+        """They run sequentially."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(job_id='dc-1', **GANG)
             await site.accept(job_id='dc-2', **GANG)
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
             self.assertEqual(await ended(site, 'dc-2'), 'finished')
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_a_failing_kind_is_given_up_after_different_workers(self) -> None:
-        """A poison job ends as failed; nobody retries it for ever."""
+    def test_a_job_that_fails_on_different_workers_ends(self) -> None:
+        """A job that always fails is not retried indefinitely."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1', failures=2)
             await site.accept(body='{"run_s": 1, "fail": true}')
             self.assertEqual(await ended(site, 'dc-1'), 'failed')
             job = await site.job('dc-1')
             self.assertEqual(len(job.failed_on), 2)
 
-        on_site(case)
+        on_site(scenario)
 
 
 class FenceTest(unittest.TestCase):
-    """A paused holder does no harm after its lease."""
+    """A suspended holder has no effect after its lease has expired."""
 
     def test_lower_epoch_and_second_holder_are_refused(self) -> None:
-        """The worker keeps the highest epoch and its first holder."""
+        """The worker stores the highest epoch and its first holder."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             worker = site.workers['w0']
             worker.fence(Token(5, 'a'))
             for token in (Token(4, 'a'), Token(5, 'b')):
                 with self.assertRaises(FencedError):
                     worker.fence(token)
 
-        on_site(case)
+        on_site(scenario)
 
     def test_holder_paused_between_check_and_effect(self) -> None:
-        """The check passed, then it slept: its start is still refused."""
+        """A start after a passed check and a suspension is still rejected."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             old = await site.scheduler('s1')
             await site.clock.until(lambda: old.active)
             old.election.require('start')
@@ -143,12 +143,12 @@
                 worker.start(token, attempt, Task('s', 'k', '{}', 0, 1))
             self.assertEqual(site.starts('dc-9'), {})
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_a_replaced_holder_cannot_write_a_start_mark(self) -> None:
-        """The mark checks the leader row in the same transaction."""
+    def test_a_replaced_holder_cannot_write_a_start_record(self) -> None:
+        """The start record checks the leader row in the same transaction."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             old = await site.scheduler('s1')
             await site.clock.until(lambda: old.active)
             check = old.election.check()
@@ -163,12 +163,12 @@
                     (check,),
                 )
 
-        on_site(case)
+        on_site(scenario)
 
     def test_a_start_after_release_never_runs(self) -> None:
-        """A released attempt is remembered as ended."""
+        """The worker records a released attempt as ended."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             worker = site.workers['w0']
             token, attempt = Token(1, 'a'), AttemptId('dc-1', 1)
             worker.reserve(token, LeaseRequest(attempt, 1, 60))
@@ -179,16 +179,16 @@
                 worker.reserve(token, LeaseRequest(attempt, 1, 60))
             self.assertEqual(worker.starts, [])
 
-        on_site(case)
+        on_site(scenario)
 
 
 class TakeoverTest(unittest.TestCase):
-    """Another scheduler becomes active and goes on."""
+    """Another scheduler becomes active and takes over."""
 
     def test_running_work_is_adopted_not_run_again(self) -> None:
-        """A non-idempotent gang survives the death of its scheduler."""
+        """A non-idempotent gang survives the crash of its scheduler."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             old = await site.scheduler('s1')
             await site.accept(**GANG, **ONCE, body='{"run_s": 60}')
             await site.clock.until(
@@ -199,27 +199,27 @@
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
             self.assertEqual(list(site.starts('dc-1').values()), [2])
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_a_mark_without_any_start_is_given_back(self) -> None:
-        """Marked, then the scheduler died: provably not run, run once."""
+    def test_a_start_record_without_any_start_is_requeued(self) -> None:
+        """The scheduler crashes after the start record, before any start."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             old = await site.scheduler('s1')
             await site.clock.until(lambda: old.active)
-            marked = asyncio.Event()
+            start_recorded = asyncio.Event()
 
-            def stop_at_mark(transaction: Transaction) -> None:
-                if not writes_mark(transaction):
+            def stop_at_start_record(transaction: Transaction) -> None:
+                if not writes_start_record(transaction):
                     return
-                marked.set()
+                start_recorded.set()
                 for worker in site.workers.values():
                     worker.faults.settings = FaultSettings(down=True)
 
-            site.table.before_write = stop_at_mark
+            site.table.before_write = stop_at_start_record
             await site.accept(**GANG, **ONCE)
             old.leader.term.notify(['dc-1'])  # type: ignore[union-attr]
-            await site.clock.until(marked.is_set)
+            await site.clock.until(start_recorded.is_set)
             await old.kill()
             site.table.before_write = None
             await site.clock.advance(30)
@@ -229,12 +229,12 @@
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
             self.assertEqual(list(site.starts('dc-1').values()), [2])
 
-        on_site(case)
+        on_site(scenario)
 
     def test_orphans_are_released(self) -> None:
-        """A lease that belongs to no open job gives its slots back."""
+        """A lease that belongs to no open job is released."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             worker = site.workers['w0']
             worker.reserve(
                 Token(0, ''),
@@ -245,54 +245,54 @@
             await site.clock.advance(1)
             self.assertEqual(worker.free_slots(), 8)
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_work_that_loses_its_workers_is_given_up(self) -> None:
-        """It may be what crashes them; its job says so as it fails."""
+    def test_a_job_that_loses_its_workers_fails(self) -> None:
+        """The job may crash them, which its reason for failing states."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(body='{"run_s": 500}')
             for _ in range(8):
-                await lose_place(site)
+                await crash_running_worker(site)
             self.assertEqual(await ended(site, 'dc-1', 200), 'failed')
             job = await site.job('dc-1')
             self.assertIn('lost 5 times', job.reason)
             self.assertEqual(sum(site.starts('dc-1').values()), 5)
 
-        on_site(case)
+        on_site(scenario)
 
     def test_work_whose_worker_crashed_is_not_run_again(self) -> None:
-        """The worker is back at once and knows of no start."""
+        """The worker restarts at once and has no record of the start."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(**ONCE, body='{"run_s": 500}')
-            await lose_place(site)
+            await crash_running_worker(site)
             self.assertEqual(await ended(site, 'dc-1', 200), 'unknown')
             self.assertEqual(sum(site.starts('dc-1').values()), 1)
 
-        on_site(case)
+        on_site(scenario)
 
     def test_lost_non_idempotent_work_ends_as_unknown(self) -> None:
-        """It is never started again, and the job says so."""
+        """It is not started again, and the state of the job shows it."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(**ONCE, body='{"run_s": 500}')
             await site.clock.until(lambda: bool(site.running('dc-1')))
-            place = next(
+            worker = next(
                 worker for worker in site.workers.values() if worker.running()
             )
-            place.faults.settings = FaultSettings(down=True)
+            worker.faults.settings = FaultSettings(down=True)
             self.assertEqual(await ended(site, 'dc-1', 200), 'unknown')
             self.assertEqual(sum(site.starts('dc-1').values()), 1)
 
-        on_site(case)
+        on_site(scenario)
 
 
-async def lose_place(site: Site) -> None:
-    """Have the worker that runs something crash and start again."""
+async def crash_running_worker(site: Site) -> None:
+    """Crash and restart the worker that runs a member."""
     if (await site.job('dc-1')).state == 'failed':
         return
     await site.clock.until(lambda: bool(site.running('dc-1')))
@@ -302,12 +302,12 @@
 
 
 class PlatformOutageTest(unittest.TestCase):
-    """The table or the object store is away for long."""
+    """Long outages of the table or the object store."""
 
-    def test_running_work_goes_on_and_settles_after_the_outage(self) -> None:
+    def test_running_work_is_finalized_after_the_outage(self) -> None:
         """Ten minutes without the table cost no lease and no result."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.accept(**GANG, **ONCE, body='{"run_s": 300}')
             await site.clock.until(
@@ -319,12 +319,12 @@
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
             self.assertEqual(list(site.starts('dc-1').values()), [2])
 
-        on_site(case)
+        on_site(scenario)
 
     def test_a_result_waits_for_the_object_store(self) -> None:
-        """Nothing is lost while the worker holds the result."""
+        """The worker holds the result until it is stored."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             site.objects.faults.settings = FaultSettings(down=True)
             await site.accept(**GANG)
@@ -333,16 +333,16 @@
             site.objects.faults.settings = FaultSettings()
             self.assertEqual(await ended(site, 'dc-1'), 'finished')
 
-        on_site(case)
+        on_site(scenario)
 
 
 class NotifyTest(unittest.TestCase):
-    """News of many jobs at once."""
+    """Notifications of many jobs at once."""
 
     def test_a_burst_is_read_although_the_table_is_slow(self) -> None:
-        """News is taken at once; the rows are read side by side."""
+        """Notifications are accepted at once; rows are read concurrently."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             scheduler = await site.scheduler('s1', scan_interval_s=1000)
             await site.clock.until(lambda: scheduler.active)
             jobs = [f'dc-{number}' for number in range(64)]
@@ -357,16 +357,16 @@
             known = len(term.state.queue) + len(term.gangs)
             self.assertEqual(known, 64)
 
-        on_site(case)
+        on_site(scenario)
 
 
 class KeyTest(unittest.TestCase):
-    """Idempotency keys and the ends of jobs."""
+    """Idempotency keys and the expiry of jobs."""
 
     def test_two_hosts_accept_one_job_for_a_key(self) -> None:
         """The second of two simultaneous repeats conflicts."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             key_row = 'keys/audit/k'
             outcomes = await asyncio.gather(
                 *(
@@ -386,12 +386,14 @@
             first = accepted[0].job.job_id
             self.assertEqual(found, KeyRecord(first, 'digest'))
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_keys_and_jobs_expire_together_whoever_cleans(self) -> None:
-        """Two cleaners at once delete each row once, and nothing is left."""
+    def test_keys_and_jobs_expire_together_with_concurrent_cleanups(
+        self,
+    ) -> None:
+        """Two concurrent cleanups delete each row once, and none is left."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.scheduler('s1')
             await site.store.accept(
                 make_job('dc-1', key_row='keys/audit/k'),
@@ -407,21 +409,24 @@
             self.assertIsNone(await site.store.load('dc-1'))
             self.assertIsNone(await site.store.key_record('keys/audit/k'))
 
-        on_site(case)
+        on_site(scenario)
 
     @given(st.sampled_from(['shah-alam', 'a', 'a-b-c']))
-    def test_a_job_id_says_where_it_was_accepted(self, place: str) -> None:
+    def test_a_job_id_contains_the_accepting_data_centre(
+        self,
+        data_centre: str,
+    ) -> None:
         """Data centre names may hold dashes."""
-        self.assertEqual(birth_of(new_job_id(place)), place)
+        self.assertEqual(birth_of(new_job_id(data_centre)), data_centre)
 
 
 class CancellationTest(unittest.TestCase):
-    """Waves of cancellations."""
+    """Many cancellations at once."""
 
-    def test_a_wave_ends_each_job_once(self) -> None:
+    def test_concurrent_cancellations_end_each_job_once(self) -> None:
         """Cancelled or finished, never both; none starts afterwards."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             scheduler = await site.scheduler('s1')
             await site.clock.until(lambda: scheduler.active)
             jobs = [f'dc-{number}' for number in range(60)]
@@ -446,16 +451,16 @@
             for job_id, starts in before.items():
                 self.assertEqual(site.starts(job_id), starts)
 
-        on_site(case)
+        on_site(scenario)
 
 
 class WriteRateLimiterTest(unittest.TestCase):
-    """A burst of jobs must not cost the lease, nor storm the table."""
+    """A burst of jobs must neither cost the lease nor overload the table."""
 
     def test_writes_pass_at_the_limiters_rate(self) -> None:
-        """After the burst's second, so many a second and no more."""
+        """After a burst of one second, writes pass at the budgeted rate."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             limiter = WriteRateLimiter(clock=site.clock, per_s=10)
             passed: list[float] = []
 
@@ -470,12 +475,14 @@
                 by_then = [one for one in passed if one <= begun_s + second]
                 self.assertLessEqual(len(by_then), 10 * (second + 1))
 
-        on_site(case)
+        on_site(scenario)
 
-    def test_what_would_wait_too_long_is_refused_as_not_sent(self) -> None:
-        """The caller hears at once that nothing was written."""
+    def test_a_write_that_would_wait_too_long_is_refused_as_not_sent(
+        self,
+    ) -> None:
+        """The caller learns at once that nothing was written."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             limiter = WriteRateLimiter(clock=site.clock, per_s=1)
             tasks = [asyncio.create_task(limiter.acquire()) for _ in range(10)]
             await site.clock.advance(20)
@@ -483,16 +490,16 @@
             self.assertEqual(len(refused), 4)
             self.assertIsInstance(refused[0].exception(), NotSentError)
 
-        on_site(case)
+        on_site(scenario)
 
 
 class UsageTest(unittest.TestCase):
-    """Workers report what tasks use, with a lag."""
+    """Workers report the usage of tasks with a delay."""
 
     def test_overuse_is_reported_only_after_the_lag(self) -> None:
-        """A named lease that uses more than it holds becomes news."""
+        """A lease that uses more slots than it holds is reported."""
 
-        async def case(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             worker = site.workers['w0']
             token, attempt = Token(1, 'a'), AttemptId('dc-1', 1)
             worker.reserve(token, LeaseRequest(attempt, 1, 60))
@@ -505,4 +512,4 @@
             late = await worker.poll(token, 60, 0, None, [])
             self.assertEqual([one.used_slots for one in late.leases], [3])
 
-        on_site(case)
+        on_site(scenario)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Which workers a data centre's own scheduler uses, by what is said of them."""
+"""Which workers a scheduler uses, by the host list, polls and operators."""
 
 import unittest
 from types import SimpleNamespace
@@ -15,15 +15,15 @@
     wait_on,
 )
 
-STAYING = HostEntry('w', 'worker', 'dc', 'a', 'r', 8)
-LEAVING = STAYING._replace(leaving=True)
+ACTIVE = HostEntry('w', 'worker', 'dc', 'a', 'r', 8)
+DRAINING = ACTIVE._replace(leaving=True)
 
 
-class Lister:
-    """A roster of one worker, which is listed and polled by tests."""
+class RosterFixture:
+    """A roster of one worker, whose listing and polls tests control."""
 
     def __init__(self) -> None:
-        """List the worker."""
+        """Initialize with the worker listed."""
         self.state = make_state(racks=1, workers=0)
         context: Any = SimpleNamespace(
             clock=ManualClock(),
@@ -39,7 +39,7 @@
             on_orphan=lambda worker, lease: None,
             on_change=self._count,
         )
-        self.roster.update([STAYING])
+        self.roster.update([ACTIVE])
 
     @property
     def usable(self) -> bool:
@@ -47,7 +47,7 @@
         return self.state.cluster.workers['w'].usable
 
     def hold(self) -> None:
-        """Have a job hold the worker, so that it is not removed."""
+        """Place a job on the worker, so that it is not removed."""
         waiting = wait_on(self.state, make_job('held'))
         self.state.place(
             waiting,
@@ -57,75 +57,77 @@
             reason='test',
         )
 
-    def contact(self, *, answers: bool = True, leaving: bool = False) -> None:
-        """Have the worker answer a poll, or not."""
+    def contact(self, *, responds: bool = True, draining: bool = False) -> None:
+        """Simulate a poll with or without a response."""
         listener = self.roster.watches['w']._listener  # noqa: SLF001
-        listener.on_contact('w', answers, leaving)
+        listener.on_contact('w', responds, draining)
 
     def _count(self) -> None:
         self.changes += 1
 
 
-class LeavingTest(unittest.TestCase):
-    """A worker leaves, and may come back under its name."""
-
-    def test_a_worker_that_is_listed_as_staying_again_is_used(self) -> None:
-        """Its host started again while a job held it."""
-        lister = Lister()
-        lister.hold()
-        lister.roster.update([LEAVING])
-        self.assertFalse(lister.usable)
-        lister.roster.update([STAYING])
-        self.assertTrue(lister.usable)
-        self.assertEqual(lister.changes, 2)
-
-    def test_a_worker_that_says_that_it_stays_again_is_used(self) -> None:
-        """Its answers say so; the list never told that it leaves."""
-        lister = Lister()
-        lister.contact(leaving=True)
-        self.assertFalse(lister.usable)
-        lister.contact()
-        self.assertTrue(lister.usable)
-
-    def test_a_leaving_worker_that_is_listed_no_more_is_not_used(self) -> None:
-        """A job holds it still."""
-        lister = Lister()
-        lister.hold()
-        lister.roster.update([LEAVING])
-        lister.roster.update([])
-        self.assertFalse(lister.usable)
-
-    def test_a_list_that_lags_takes_nothing_back(self) -> None:
-        """The worker said that it leaves; the list does not know yet."""
-        lister = Lister()
-        lister.contact(leaving=True)
-        lister.roster.update([STAYING])
-        self.assertFalse(lister.usable)
-        lister.contact(answers=False)
-        self.assertFalse(lister.usable)
-
-    def test_an_answer_does_not_take_the_list_back(self) -> None:
-        """The platform takes the worker away without telling it."""
-        lister = Lister()
-        lister.roster.update([LEAVING])
-        lister.contact()
-        self.assertFalse(lister.usable)
-
-    def test_a_worker_that_an_operator_drained_stays_so(self) -> None:
-        """Neither the list nor the worker knows of it."""
-        lister = Lister()
-        self.assertTrue(lister.roster.drain('w'))
-        lister.roster.update([STAYING])
-        lister.contact()
-        self.assertFalse(lister.usable)
-
-    def test_a_silent_worker_that_answers_again_is_used(self) -> None:
-        """It was not to leave."""
-        lister = Lister()
-        lister.contact(answers=False)
-        self.assertFalse(lister.usable)
-        lister.contact()
-        self.assertTrue(lister.usable)
+class DrainingTest(unittest.TestCase):
+    """A worker drains and may return under its name."""
+
+    def test_a_worker_that_is_listed_as_active_again_is_used(self) -> None:
+        """Its host restarted while a job held slots on it."""
+        fixture = RosterFixture()
+        fixture.hold()
+        fixture.roster.update([DRAINING])
+        self.assertFalse(fixture.usable)
+        fixture.roster.update([ACTIVE])
+        self.assertTrue(fixture.usable)
+        self.assertEqual(fixture.changes, 2)
+
+    def test_a_worker_that_reports_itself_active_again_is_used(self) -> None:
+        """Only its responses reported that it was draining."""
+        fixture = RosterFixture()
+        fixture.contact(draining=True)
+        self.assertFalse(fixture.usable)
+        fixture.contact()
+        self.assertTrue(fixture.usable)
+
+    def test_a_draining_worker_that_is_not_listed_any_more_is_not_used(
+        self,
+    ) -> None:
+        """A job still holds slots on it."""
+        fixture = RosterFixture()
+        fixture.hold()
+        fixture.roster.update([DRAINING])
+        fixture.roster.update([])
+        self.assertFalse(fixture.usable)
+
+    def test_an_outdated_list_does_not_revoke_a_report(self) -> None:
+        """The worker reports that it drains, the list does not yet."""
+        fixture = RosterFixture()
+        fixture.contact(draining=True)
+        fixture.roster.update([ACTIVE])
+        self.assertFalse(fixture.usable)
+        fixture.contact(responds=False)
+        self.assertFalse(fixture.usable)
+
+    def test_a_report_does_not_revoke_the_list(self) -> None:
+        """The platform drains the worker without notifying it."""
+        fixture = RosterFixture()
+        fixture.roster.update([DRAINING])
+        fixture.contact()
+        self.assertFalse(fixture.usable)
+
+    def test_a_worker_that_an_operator_drained_stays_drained(self) -> None:
+        """Neither the list nor the worker reports the drain."""
+        fixture = RosterFixture()
+        self.assertTrue(fixture.roster.drain('w'))
+        fixture.roster.update([ACTIVE])
+        fixture.contact()
+        self.assertFalse(fixture.usable)
+
+    def test_an_unresponsive_worker_that_responds_again_is_used(self) -> None:
+        """It was not draining."""
+        fixture = RosterFixture()
+        fixture.contact(responds=False)
+        self.assertFalse(fixture.usable)
+        fixture.contact()
+        self.assertTrue(fixture.usable)
 
 
 if __name__ == '__main__':
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two versions side by side, and the pages that must not drift."""
+"""Compatibility of records between versions, and generated pages."""
 
 import unittest
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 class UpgradeTest(unittest.TestCase):
-    """Rows and messages of an older or newer version."""
+    """Rows and messages written by older or newer versions."""
 
     def test_a_row_with_unknown_fields_is_read(self) -> None:
         """A newer version has added a field."""
@@ -27,7 +27,7 @@
         self.assertEqual(job_from(older), make_job())
 
     def test_a_lease_report_may_have_more_fields(self) -> None:
-        """Workers are upgraded by others than us."""
+        """Workers are operated and upgraded separately."""
         lease = lease_from(
             {
                 'job': 'j',
@@ -43,9 +43,9 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """The settings page is made from the records."""
+    """The settings page is generated from the records."""
 
-    def test_the_settings_page_is_what_the_records_say(self) -> None:
-        """Run ``python -m curranthill.settings.reference`` to renew it."""
+    def test_the_settings_page_matches_the_records(self) -> None:
+        """Run ``python -m curranthill.settings.reference`` to update it."""
         page = ROOT / 'docs' / 'operations' / 'settings.md'
         self.assertEqual(page.read_text('utf-8'), reference.page())
