--- a/src/curranthill/dispatch/holds.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -1,7 +1,7 @@
-"""What keeps a job from being ready while none of its runs is at work.
+"""Finds what keeps a job from being ready while none of its runs is active.
 
-Tells a job that cannot start from one that finds no room: a run or a mark in
-the store holds its tasks, or nothing of it is due yet.
+Distinguishes a job that can't start from one that lacks free capacity: its
+tasks have a run or a stored assignment, or nothing of it is due yet.
 """
 
 from collections.abc import Iterator, Mapping
@@ -12,8 +12,8 @@
 from curranthill.placement import RUNNING, ActiveJob, Run, RunState
 from curranthill.tasks import TaskKey
 
-#: Why a job is not ready, in an operator's words.
-HoldReason = Literal[
+#: Why a job is not ready, as logged for operators.
+BlockReason = Literal[
     'a run that is not at work',
     'a stored worker without a run',
     'a gang of which a part is done',
@@ -27,26 +27,26 @@
 DUE: Final = 'its due time'
 ALL_DONE: Final = 'nothing, all its steps are done'
 
-#: What holds a task. ``stored``: its progress names a worker and no run is
-#: known; ``done``: it is done and the rest of its gang is not.
-HeldState = RunState | Literal['stored', 'done']
+#: What blocks a task. ``stored``: it has a stored assignment and no known run;
+#: ``done``: it is done and the rest of its gang is not.
+BlockingState = RunState | Literal['stored', 'done']
 
 _STORED_TASK: Final = 'stored'
 _DONE_TASK: Final = 'done'
 
 
-class HeldTask(TypedDict):
-    """One task that a run or a mark holds, and what is known of its worker.
+class BlockingTask(TypedDict):
+    """A task that a run or an assignment blocks, and its worker's state.
 
-    :param held_s: for how long its run has been known, 0 without one.
-    :param stop_wanted: its run is to end.
-    :param tracked: the worker's session knows the run.
+    :param held_s: for how long its run has been known; 0 without a run.
+    :param stop_wanted: whether its run is to end.
+    :param tracked: whether the worker's session tracks the run.
     """
 
     task: str
     attempt: int
     worker: str
-    state: HeldState
+    state: BlockingState
     held_s: float
     stop_wanted: bool
     tracked: bool
@@ -56,27 +56,27 @@
     gone: bool
 
 
-class Hold(NamedTuple):
-    """What holds a job.
+class Blocker(NamedTuple):
+    """What blocks a job.
 
-    :param step: the first one that is held, or the next one that is due.
-    :param tasks: those whose run goes on and waits for its fellows come last.
-    :param later_steps: how many of the occurrence wait for earlier ones.
-    :param due_in_s: 0 unless it waits for its due time.
+    :param step: the first step that is blocked, or the next one that is due.
+    :param tasks: those whose run only waits for its gang come last.
+    :param later_steps: how many steps of the occurrence wait for others.
+    :param due_in_s: the time until it is due; 0 unless that is the reason.
     """
 
-    reason: HoldReason
+    reason: BlockReason
     occurrence: int = 0
     step: int = 0
-    tasks: tuple[HeldTask, ...] = ()
+    tasks: tuple[BlockingTask, ...] = ()
     later_steps: int = 0
     due_in_s: float = 0.0
 
 
-class Holds:
-    """Finds out what holds a job.
+class BlockerFinder:
+    """Finds what blocks a job.
 
-    :param sessions: by worker.
+    :param sessions: the worker sessions by worker id.
     """
 
     def __init__(
@@ -85,23 +85,23 @@
         clock: Clock,
         sessions: Mapping[str, WorkerSession],
     ) -> None:
-        """Keep where to look."""
+        """Initialize the finder with the sessions that it reads."""
         self._clock = clock
         self._sessions = sessions
 
-    def of(self, job: ActiveJob) -> Hold | None:
-        """Return what holds a job; nothing if it is ready, ended or at work."""
-        if job.ended or self._is_at_work(job):
+    def find(self, job: ActiveJob) -> Blocker | None:
+        """Return what blocks a job; None if it is ready, ended or running."""
+        if job.ended or self._is_running(job):
             return None
         ready = False
         for occurrence, number in self._startable_steps(job):
             found = (
-                self._held_task(job, key)
+                self._blocking_task(job, key)
                 for key in job.keys_of(occurrence, number)
             )
-            tasks = tuple(sorted(filter(None, found), key=_goes_on_alone))
+            tasks = tuple(sorted(filter(None, found), key=_waits_only_for_gang))
             if tasks:
-                return Hold(
+                return Blocker(
                     _reason_of(tasks),
                     occurrence,
                     number,
@@ -109,24 +109,27 @@
                     later_steps=_later_steps(job, occurrence),
                 )
             ready = True
-        return None if ready else self._idle_hold(job)
+        return None if ready else self._idle_blocker(job)
 
-    def _is_at_work(self, job: ActiveJob) -> bool:
-        """Return whether a run goes on; a gang's does with all its fellows."""
+    def _is_running(self, job: ActiveJob) -> bool:
+        """Return whether a run of the job, or a whole gang, is active."""
         return any(
-            all(self._goes_on(job.runs.get(one)) for one in job.members_of(key))
+            all(
+                self._is_run_active(job.runs.get(one))
+                for one in job.members_of(key)
+            )
             for key, run in job.runs.items()
-            if self._goes_on(run)
+            if self._is_run_active(run)
         )
 
-    def _goes_on(self, run: Run | None) -> bool:
+    def _is_run_active(self, run: Run | None) -> bool:
         if run is None or run.state != RUNNING or run.stop_wanted:
             return False
         session = self._sessions.get(run.worker_id)
         return session is not None and session.reachable
 
     def _startable_steps(self, job: ActiveJob) -> Iterator[tuple[int, int]]:
-        """Yield the steps that are due, undone and wait for no other step."""
+        """Yield the steps that are due, not done and wait for no other step."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
             if job.spec.due_s(occurrence) > now_s:
@@ -135,37 +138,41 @@
                 if not _awaits_step(job, occurrence, number):
                     yield (occurrence, number)
 
-    def _held_task(self, job: ActiveJob, key: TaskKey) -> HeldTask | None:
+    def _blocking_task(
+        self, job: ActiveJob, key: TaskKey
+    ) -> BlockingTask | None:
         run = job.runs.get(key)
         if run is not None:
-            return self._held_by_run(run)
+            return self._blocking_run(run)
         task = job.progress.peek(key)
         if task is None:
             return None
         if task.worker:
-            return self._held(key, task.attempt, task.worker, _STORED_TASK)
+            return self._describe(key, task.attempt, task.worker, _STORED_TASK)
         if task.done and job.step_of(key).gang:
-            return self._held(key, task.attempt, '', _DONE_TASK)
+            return self._describe(key, task.attempt, '', _DONE_TASK)
         return None
 
-    def _held_by_run(self, run: Run) -> HeldTask:
-        held = self._held(run.key, run.attempt, run.worker_id, run.state)
-        held['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
-        held['stop_wanted'] = run.stop_wanted
+    def _blocking_run(self, run: Run) -> BlockingTask:
+        blocking = self._describe(
+            run.key, run.attempt, run.worker_id, run.state
+        )
+        blocking['held_s'] = round(self._clock.monotonic_s() - run.started_s, 1)
+        blocking['stop_wanted'] = run.stop_wanted
         session = self._sessions.get(run.worker_id)
         if session is not None:
-            held['tracked'] = session.runs.get(run.name) is run
-        return held
+            blocking['tracked'] = session.runs.get(run.name) is run
+        return blocking
 
-    def _held(
+    def _describe(
         self,
         key: TaskKey,
         attempt: int,
         worker_id: str,
-        state: HeldState,
-    ) -> HeldTask:
+        state: BlockingState,
+    ) -> BlockingTask:
         session = self._sessions.get(worker_id)
-        return HeldTask(
+        return BlockingTask(
             task=str(key),
             attempt=attempt,
             worker=worker_id,
@@ -176,33 +183,35 @@
             listed=session is not None and session.listed,
             reachable=session is not None and session.reachable,
             synced=session is not None and session.synced,
-            gone=session is not None and session.gone,
+            gone=session is not None and session.removed,
         )
 
-    def _idle_hold(self, job: ActiveJob) -> Hold:
-        """Return what holds a job of which no step that is due is undone."""
+    def _idle_blocker(self, job: ActiveJob) -> Blocker:
+        """Return what blocks a job whose due steps are all done."""
         now_s = self._clock.wall_s()
         for occurrence in range(job.spec.occurrences):
             due_s = job.spec.due_s(occurrence)
             if due_s > now_s:
-                return Hold(
+                return Blocker(
                     DUE,
                     occurrence,
                     due_in_s=round(due_s - now_s, 1),
                 )
-        return Hold(ALL_DONE)
+        return Blocker(ALL_DONE)
 
 
-def _goes_on_alone(held: HeldTask) -> bool:
-    """Return whether only its fellows keep a task's run from being at work.
+def _waits_only_for_gang(blocking: BlockingTask) -> bool:
+    """Return whether a run is blocked only by other members of its gang.
 
-    What holds all of a gang is named first.
+    Tasks that block the whole gang are listed first.
     """
-    answers = held['reachable'] and held['tracked']
-    return held['state'] == RUNNING and answers and not held['stop_wanted']
+    answers = blocking['reachable'] and blocking['tracked']
+    return (
+        blocking['state'] == RUNNING and answers and not blocking['stop_wanted']
+    )
 
 
-def _reason_of(tasks: tuple[HeldTask, ...]) -> HoldReason:
+def _reason_of(tasks: tuple[BlockingTask, ...]) -> BlockReason:
     states = {task['state'] for task in tasks}
     if states - {_STORED_TASK, _DONE_TASK}:
         return RUN
@@ -210,7 +219,7 @@
 
 
 def _later_steps(job: ActiveJob, occurrence: int) -> int:
-    """Return how many steps of an occurrence wait for others."""
+    """Return how many steps of an occurrence wait for other steps."""
     return sum(
         1
         for number in _undone_steps(job, occurrence)
@@ -238,7 +247,7 @@
     'PARTLY_DONE',
     'RUN',
     'STORED',
-    'HeldTask',
-    'Hold',
-    'Holds',
+    'Blocker',
+    'BlockerFinder',
+    'BlockingTask',
 )
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -1,14 +1,14 @@
-"""Takes in what the store holds: jobs, cancellations and workers."""
+"""Reads and follows the stored jobs, cancellations and worker entries."""
 
 from typing import Final, Protocol
 
 from curranthill.clock import Clock
 from curranthill.dispatch.leadership import Leadership
-from curranthill.dispatch.looks import LookTurns
 from curranthill.dispatch.owner import ClosureSource
-from curranthill.dispatch.session import RAISES_PER_EPOCH, WorkerSession
+from curranthill.dispatch.probing import ProbeLimiter
+from curranthill.dispatch.session import TOKENS_PER_EPOCH, WorkerSession
 from curranthill.dispatch.spawner import Spawner
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.dispatch.workers import WorkerConnector
 from curranthill.placement import ActiveJob, WorkerEntry
 from curranthill.storage.follower import RowsCallback, TableFollower
@@ -25,31 +25,31 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How long entries of workers are gathered between two readings, in seconds:
-#: each worker rewrites its own every second or two, and hundreds of them would
-#: have the leader ask without a rest.
+#: How long changes of worker entries are gathered between two reads, in
+#: seconds: each worker rewrites its entry every second or two, so with
+#: hundreds of workers the leader would otherwise read without a pause.
 GATHER_S: Final = 0.2
 
 
 class WorkerFeed(Protocol):
-    """What the leader needs to follow the platform's list of workers."""
+    """The platform's list of workers, as the leader follows it."""
 
     @property
     def table(self) -> str:
-        """Return the table that workers register in."""
+        """Return the table in which workers register."""
 
     def decode(self, row: StoredRow) -> WorkerEntry:
-        """Return a worker's entry.
+        """Decode a worker's entry.
 
-        :raises MalformedRecordError: if it is not as workers write them.
+        :raises MalformedRecordError: if the row is not a valid entry.
         """
 
 
 class Feeds:
-    """Reads the tables at the start of a term and follows them.
+    """Reads the tables at the start of a term, then follows their changes.
 
-    :param leadership: the term, which bounds the tokens of its sessions.
-    :param closures: the data centres where nothing starts.
+    :param leadership: the term, whose epoch determines the fencing tokens.
+    :param closures: the data centres in which nothing may start.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         *,
         store: RowStore,
         clock: Clock,
-        work: Work,
+        term: TermState,
         spawner: Spawner,
         connector: WorkerConnector,
         worker_feed: WorkerFeed,
@@ -65,35 +65,37 @@
         leadership: Leadership,
         closures: ClosureSource,
     ) -> None:
-        """Start with nothing read."""
+        """Initialize the feeds before the first read."""
         self._closures = closures
-        self._looks = LookTurns(clock=clock)
+        self._probe_limiter = ProbeLimiter(clock=clock)
         self._store = store
         self._clock = clock
-        self._work = work
+        self._term = term
         self._spawner = spawner
         self._connector = connector
         self._worker_feed = worker_feed
         self._timing = timing
         self._leadership = leadership
         self._progress: dict[str, bytes] = {}
-        self._bad: dict[tuple[str, str], int] = {}
+        self._bad_versions: dict[tuple[str, str], int] = {}
 
     async def start(self) -> None:
-        """Read everything once, then follow what changes."""
-        # Jobs first: an end that a worker reports must find its job.
-        intake = self._follower(tables.INTAKE, self._take_jobs, self._take_jobs)
+        """Read all tables once, then follow their changes."""
+        # Jobs are read first, so that each end a worker reports has its job.
+        intake = self._follower(
+            tables.INTAKE, self._apply_jobs, self._apply_jobs
+        )
         await self._read_progress()
         await intake.read()
-        # Of the rest only the state is kept.
+        # Of jobs without an intake row only the final state is kept.
         for job_id, content in self._progress.items():
-            if job_id not in self._work.jobs:
-                self._note_ended(job_id, content)
+            if job_id not in self._term.jobs:
+                self._record_ended(job_id, content)
         self._progress.clear()
         workers = self._follower(
             self._worker_feed.table,
-            self._take_workers_anew,
-            self._take_workers,
+            self._replace_workers,
+            self._apply_workers,
             gather_s=GATHER_S,
         )
         await workers.read()
@@ -118,19 +120,19 @@
         )
 
     async def _read_progress(self) -> None:
-        """Read how far all jobs have come.
+        """Read the progress of all jobs.
 
-        Only the leader writes progress, so what is read here is still true
-        when the jobs are read, and a job accepted in between has none.
+        Only the leader writes progress, so it does not change until the jobs
+        are read; a job accepted in between has none.
         """
         progress = self._follower(
             tables.PROGRESS,
-            self._take_progress,
-            self._take_progress,
+            self._keep_progress,
+            self._keep_progress,
         )
         await progress.read()
 
-    def _note_ended(self, job_id: str, content: bytes) -> None:
+    def _record_ended(self, job_id: str, content: bytes) -> None:
         try:
             progress = decode(content, JobProgress)
         except MalformedRecordError as error:
@@ -138,31 +140,31 @@
             metrics.records_bad.add(1, {'kind': 'progress'})
             return
         if progress.ended_at_s:
-            self._work.ended_at_s[job_id] = progress.ended_at_s
+            self._term.ended_at_s[job_id] = progress.ended_at_s
 
-    def _take_progress(self, rows: tuple[StoredRow, ...]) -> None:
+    def _keep_progress(self, rows: tuple[StoredRow, ...]) -> None:
         self._progress.update({row.key: row.content for row in rows})
 
-    def _take_jobs(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_jobs(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             try:
-                self._take_intake(row)
+                self._apply_intake(row)
             except MalformedRecordError as error:
-                # Of a job whose progress is unknown nothing may start.
-                self._tell_bad(row, 'job', error)
-        self._work.changed.set()
+                # Nothing may start of a job whose progress is unknown.
+                self._log_bad_row(row, 'job', error)
+        self._term.changed.set()
 
-    def _tell_bad(
+    def _log_bad_row(
         self,
         row: StoredRow,
         kind: str,
         error: MalformedRecordError,
     ) -> None:
-        """Tell once of a version of a row that can't be read."""
+        """Log an unreadable row, once for each of its versions."""
         name = (row.table, row.key)
-        if self._bad.get(name) == row.version:
+        if self._bad_versions.get(name) == row.version:
             return
-        self._bad[name] = row.version
+        self._bad_versions[name] = row.version
         events.log(
             f'{kind}_row_bad',
             key=row.key,
@@ -171,114 +173,114 @@
         )
         metrics.records_bad.add(1, {'kind': kind})
 
-    def _take_workers_anew(self, rows: tuple[StoredRow, ...]) -> None:
+    def _replace_workers(self, rows: tuple[StoredRow, ...]) -> None:
         present = {row.key for row in rows}
-        for worker_id in list(self._work.sessions):
+        for worker_id in list(self._term.sessions):
             if worker_id not in present:
                 self._delist(worker_id)
-        self._take_workers(rows)
+        self._apply_workers(rows)
 
-    def _take_workers(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_workers(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             if row.removed:
                 self._delist(row.key)
             else:
-                self._take_worker(row)
-        self._work.changed.set()
+                self._apply_worker(row)
+        self._term.changed.set()
 
     def _delist(self, worker_id: str) -> None:
-        session = self._work.sessions.get(worker_id)
+        session = self._term.sessions.get(worker_id)
         if session is not None and session.listed:
             events.log('worker_delisted', worker=worker_id)
             session.listed = False
             session.wake()
 
-    def _take_worker(self, row: StoredRow) -> None:
+    def _apply_worker(self, row: StoredRow) -> None:
         try:
             entry = self._worker_feed.decode(row)
         except MalformedRecordError as error:
-            self._tell_bad(row, 'worker', error)
+            self._log_bad_row(row, 'worker', error)
             self._mark_unreadable(row.key)
             return
-        session = self._work.sessions.get(entry.worker_id)
-        if session is None or session.gone:
+        session = self._term.sessions.get(entry.worker_id)
+        if session is None or session.removed:
             session = self._open_session(entry)
         elif entry.address != session.entry.address:
             session.connect(self._connector.connect(entry))
         if entry.leaving and not session.entry.leaving:
             events.log('worker_leaving', worker=entry.worker_id)
-        session.relist(entry)
+        session.update_entry(entry)
 
     def _mark_unreadable(self, worker_id: str) -> None:
-        """Place nothing at a worker whose entry can't be read.
+        """Exclude a worker from placement while its entry can't be read.
 
-        It may live and be what it was: what runs there goes on, its lease is
-        renewed at the address known before, and a good entry makes it usable.
+        The worker may be unchanged: its runs continue, its lease is renewed at
+        its last known address, and a valid entry makes it usable again.
         """
-        session = self._work.sessions.get(worker_id)
+        session = self._term.sessions.get(worker_id)
         if session is not None:
             session.readable = False
 
     def _open_session(self, entry: WorkerEntry) -> WorkerSession:
-        token = self._leadership.epoch * RAISES_PER_EPOCH
-        former = self._work.sessions.get(entry.worker_id)
-        if former is not None:
-            # A worker that was given up may have seen all of its tokens; one
-            # that it rejects would be taken for another leader's.
-            token = former.token + 1
+        token = self._leadership.epoch * TOKENS_PER_EPOCH
+        previous = self._term.sessions.get(entry.worker_id)
+        if previous is not None:
+            # A worker that was given up may have seen all of its tokens, and
+            # one that it rejects would be taken for another leader's.
+            token = previous.token + 1
         session = WorkerSession(
             entry=entry,
             worker=self._connector.connect(entry) if entry.address else None,
-            owner=self._work,
+            owner=self._term,
             clock=self._clock,
             timing=self._timing,
             token=token,
-            former_s=self._leadership.former_s,
+            previous_s=self._leadership.previous_s,
             closures=self._closures,
-            looks=self._looks,
+            probe_limiter=self._probe_limiter,
         )
-        if former is not None:
-            session.doubtful.take_over(former.doubtful)
-        self._work.sessions[entry.worker_id] = session
+        if previous is not None:
+            session.unconfirmed_losses.adopt(previous.unconfirmed_losses)
+        self._term.sessions[entry.worker_id] = session
         self._spawner.spawn(session.run())
         return session
 
-    def _take_intake(self, row: StoredRow) -> None:
+    def _apply_intake(self, row: StoredRow) -> None:
         if row.removed:
             return
         if row.key.endswith(tables.CANCEL_SUFFIX):
-            self._work.cancel(row.key.removesuffix(tables.CANCEL_SUFFIX))
+            self._term.cancel(row.key.removesuffix(tables.CANCEL_SUFFIX))
             return
-        if row.key in self._work.jobs or row.key in self._work.ended_at_s:
-            self._work.handed_in_again(row.key)
+        if row.key in self._term.jobs or row.key in self._term.ended_at_s:
+            self._term.drop_duplicate(row.key)
             return
         spec = decode(row.content, JobSpec)
         state = JobProgress(queue=spec.queue.name)
         progress = self._progress.get(spec.job_id)
         if progress is not None:
             state = decode(progress, JobProgress)
-        job = self._work.take_job(spec, state)
+        job = self._term.add_job(spec, state)
         self._recover_runs(job)
-        self._work.recovered(job)
+        self._term.resume_job(job)
 
     def _recover_runs(self, job: ActiveJob) -> None:
-        """Take each stored mark as a run that may exist."""
+        """Recover a run from each stored assignment, as it may exist."""
         for name, task in job.progress.tasks.items():
             if task.worker:
                 key = TaskKey.parse(f'{job.spec.job_id}.{name}')
                 self.recover(job, key)
 
     def recover(self, job: ActiveJob, key: TaskKey) -> None:
-        """Take a task's stored mark as a run that may exist."""
+        """Recover the run of a task's stored assignment, as it may exist."""
         worker_id = job.progress.task(key).worker
-        session = self._work.sessions.get(worker_id)
-        if session is None or session.gone:
-            session = self._open_session(_unlisted(worker_id))
-        self._work.recover_run(job, key, session)
+        session = self._term.sessions.get(worker_id)
+        if session is None or session.removed:
+            session = self._open_session(_unlisted_entry(worker_id))
+        self._term.recover_run(job, key, session)
 
 
-def _unlisted(worker_id: str) -> WorkerEntry:
-    """Return an entry for a worker that the platform lists no more."""
+def _unlisted_entry(worker_id: str) -> WorkerEntry:
+    """Return an entry for a worker that the platform does not list."""
     return WorkerEntry(
         worker_id=worker_id,
         service='',
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of placement: a snapshot, decisions, stored starts, orders."""
+"""Placement rounds: decide on a snapshot, store the assignments, order them."""
 
 import asyncio
 from typing import Final, Protocol
@@ -6,16 +6,16 @@
 import msgspec
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.dispatch.advice import Question, TicketOffice
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.advice import TicketCache, TicketRequest
+from curranthill.dispatch.forecasts import ForecastPublisher
 from curranthill.dispatch.leadership import LeadershipLostError
-from curranthill.dispatch.outlooks import OutlookMaker
+from curranthill.dispatch.migration import RunMigrator
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
-from curranthill.dispatch.unused import UnusedWorkers
-from curranthill.dispatch.waiting import WaitingBoard
-from curranthill.dispatch.watch import RunWatch
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
+from curranthill.dispatch.unused import UnusedWorkerReporter
+from curranthill.dispatch.waiting import WaitingReporter
 from curranthill.placement import (
     FAILURE_SCORE,
     LOAD_SHEDDING,
@@ -36,131 +36,134 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: The pause between two rounds of placement, in seconds: lets news that
-#: comes together be decided together.
+#: The pause before a round of placement, in seconds: changes that arrive
+#: together are then decided together.
 ROUND_PAUSE_S: Final = 0.004
 
-#: A round is made at least so often, in seconds, for what becomes due.
+#: The longest interval between two rounds, in seconds: steps become due
+#: without any other change.
 ROUND_INTERVAL_S: Final = 0.25
 
-#: How long a run that failed or stood still counts against its worker, in
-#: seconds: longer than the spells for which workers misbehave.
-TROUBLE_MEMORY_S: Final = 10.0
+#: How long a failed or stalled run counts against its worker, in seconds:
+#: longer than the periods for which workers misbehave.
+FAILURE_MEMORY_S: Final = 10.0
 
-#: How often the gauges are set, in seconds.
+#: The interval between updates of the gauges, in seconds.
 GAUGES_INTERVAL_S: Final = 1.0
 
-#: Priorities that the gauges tell apart.
+#: The priorities for which the gauges have labels.
 PRIORITIES: Final = (0, 1, 2)
 
 
 class RevisionSource(Protocol):
-    """Holds the configuration in force."""
+    """Provides the configuration in force."""
 
     @property
     def current(self) -> Revision | None:
-        """Return the configuration, or nothing before the first."""
+        """Return the configuration, or None before the first."""
 
 
-class Rounds:
-    """Makes rounds whenever something has changed."""
+class PlacementRounds:
+    """Makes a placement round whenever something has changed."""
 
     def __init__(
         self,
         *,
         clock: Clock,
-        work: Work,
-        journal: Journal,
+        term: TermState,
+        writer: ProgressWriter,
         spawner: Spawner,
         revision: RevisionSource,
-        office: TicketOffice,
+        ticket_cache: TicketCache,
         disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
-        """Start without a round.
+        """Initialize the rounds of a term.
 
         :param disabled: mechanisms that are switched off.
         """
         self._disabled = disabled
-        self._watch = RunWatch(
+        self._migrator = RunMigrator(
             clock=clock,
-            work=work,
-            journal=journal,
+            term=term,
+            writer=writer,
             disabled=disabled,
         )
-        self._office = office
-        self._asking = False
-        self._questions: list[Question] = []
+        self._ticket_cache = ticket_cache
+        self._requesting = False
+        self._requests: list[TicketRequest] = []
         self._clock = clock
-        self._work = work
-        self._journal = journal
+        self._term = term
+        self._writer = writer
         self._spawner = spawner
         self._revision = revision
-        self._outlooks = OutlookMaker(clock=clock, work=work)
-        self._board = WaitingBoard(clock=clock, work=work)
+        self._forecasts = ForecastPublisher(clock=clock, term=term)
+        self._waiting_reporter = WaitingReporter(clock=clock, term=term)
         self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
-        self._unused = UnusedWorkers(clock=clock, sessions=work.sessions)
+        self._unused_reporter = UnusedWorkerReporter(
+            clock=clock, sessions=term.sessions
+        )
         self._reserved_for: tuple[str, ...] = ()
-        self._shown_s = 0.0
+        self._gauges_set_s = 0.0
 
     async def run(self) -> None:
         """Make a round whenever something has changed."""
         while True:
             await wait_at_most(
-                self._work.changed.wait(),
+                self._term.changed.wait(),
                 timeout_s=ROUND_INTERVAL_S,
                 clock=self._clock,
             )
             await self._clock.sleep(ROUND_PAUSE_S)
-            self._work.changed.clear()
+            self._term.changed.clear()
             self._plan_round()
-            self._note_pending()
-            self._note_outlook()
+            self._record_pending()
+            self._publish_forecast()
 
     def _plan_round(self) -> None:
         self._reserved_for = ()
-        if not self._work.may_order():
+        if not self._term.may_order():
             return
-        self._work.empty_leaving_workers()
+        self._term.evacuate_draining_workers()
         began_s = self._clock.monotonic_s()
         now_s = self._clock.wall_s()
         waits = self._anything_waits(now_s)
-        self._work.learning.refresh(self._work.sessions.values(), began_s)
-        self._watch.look(idle=not waits)
+        self._term.estimates.refresh(self._term.sessions.values(), began_s)
+        self._migrator.check(idle=not waits)
         if not waits:
-            # Most rounds end here: reports and ends cause rounds too, and
-            # adding up all workers' room is the costly part of a round.
+            # Reports and run ends also trigger rounds, so usually nothing
+            # waits; summing up the workers' capacity is the costly part.
             return
-        self._questions.clear()
+        self._requests.clear()
         planner = Planner(
-            workers=self._rooms(),
+            workers=self._capacities(),
             guaranteed=self._guaranteed(),
             now_s=now_s,
-            tickets=self._tickets,
+            tickets=self._valid_tickets,
             windows=self._windows,
             backlog=self._backlog,
             disabled=self._disabled,
-            ratio_of=self._work.learning.ratio_of,
+            ratio_of=self._term.estimates.ratio_of,
         )
-        plan = planner.plan(self._work.jobs.values())
-        self._ask_next()
+        plan = planner.plan(self._term.jobs.values())
+        self._request_next()
         self._reserved_for = plan.reserved_for
         metrics.decision_s.record(self._clock.monotonic_s() - began_s)
         self._preempt(plan)
         for placement in plan.placements:
-            self._mark(placement)
+            self._assign(placement)
 
     def _preempt(self, plan: Plan) -> None:
-        """Stop the victims; a job's stops of one round count as one."""
+        """Stop the victims; the stops of a job in one round count as one."""
         stopped = {run.key.job_id for run in plan.victims}
         for job_id in stopped:
-            job = self._work.jobs.get(job_id)
+            job = self._term.jobs.get(job_id)
             if job is not None:
                 job.progress.stops += 1
         for run, for_job in zip(plan.victims, plan.stopped_for, strict=True):
             metrics.preemptions.add(1)
             metrics.preempted_core_s.add(run.needs.weight_cores * run.lost_s)
-            job = self._work.jobs.get(run.key.job_id)
+            job = self._term.jobs.get(run.key.job_id)
             events.log(
                 'preempted',
                 task=str(run.key),
@@ -171,81 +174,83 @@
                 workspace=job.spec.workspace if job else '',
                 stops=job.stops if job else 0,
             )
-            self._work.stop_run(run)
+            self._term.stop_run(run)
 
     def _anything_waits(self, now_s: float) -> bool:
         """Return whether some step may start at a wall-clock time."""
         return any(
             ready.tasks
-            for job in self._work.jobs.values()
+            for job in self._term.jobs.values()
             for ready in job.ready_steps(now_s)
         )
 
-    def _tickets(self, job: ActiveJob, ready: ReadyStep) -> dict[str, str]:
-        """Return a step's good tickets; note what to ask if they do not do."""
+    def _valid_tickets(
+        self, job: ActiveJob, ready: ReadyStep
+    ) -> dict[str, str]:
+        """Return a step's valid tickets; if too few, queue a request."""
         usable = {
             session.worker_id: session.incarnation
-            for session in self._work.sessions.values()
+            for session in self._term.sessions.values()
             if session.accepts_work
             and session.entry.service == job.spec.queue.service
         }
-        good = self._office.good(ready, usable)
-        if not self._asking and len(good) < len(ready.tasks):
-            without = {
+        valid_tickets = self._ticket_cache.valid_tickets(ready, usable)
+        if not self._requesting and len(valid_tickets) < len(ready.tasks):
+            remaining = {
                 worker_id: incarnation
                 for worker_id, incarnation in usable.items()
-                if worker_id not in good
+                if worker_id not in valid_tickets
             }
-            question = self._office.question(ready, without)
-            if question is not None:
-                self._questions.append(question)
-        return good
-
-    def _ask_next(self) -> None:
-        """Ask one of the questions of this round."""
-        question = self._office.choose(self._questions)
-        if question is not None:
-            self._asking = True
-            self._spawner.spawn(self._ask(question))
-
-    async def _ask(self, question: Question) -> None:
+            request = self._ticket_cache.next_request(ready, remaining)
+            if request is not None:
+                self._requests.append(request)
+        return valid_tickets
+
+    def _request_next(self) -> None:
+        """Send one of the ticket requests of this round."""
+        request = self._ticket_cache.choose(self._requests)
+        if request is not None:
+            self._requesting = True
+            self._spawner.spawn(self._request_tickets(request))
+
+    async def _request_tickets(self, request: TicketRequest) -> None:
         try:
-            await self._office.ask(question)
+            await self._ticket_cache.request(request)
         finally:
-            self._asking = False
-        self._office.forget_except(set(self._work.jobs))
-        self._work.changed.set()
+            self._requesting = False
+        self._ticket_cache.retain_jobs(set(self._term.jobs))
+        self._term.changed.set()
 
-    def _rooms(self) -> dict[str, list[WorkerCapacity]]:
-        rooms: dict[str, list[WorkerCapacity]] = {}
-        for session in self._work.sessions.values():
+    def _capacities(self) -> dict[str, list[WorkerCapacity]]:
+        capacities: dict[str, list[WorkerCapacity]] = {}
+        for session in self._term.sessions.values():
             if not session.accepts_work:
                 continue
-            room = WorkerCapacity(
+            capacity = WorkerCapacity(
                 entry=session.entry,
                 runs=session.runs.values(),
-                failure_score=self._doubt(session),
+                failure_score=self._failure_score(session),
                 speed=self._speed(session),
             )
-            rooms.setdefault(session.entry.service, []).append(room)
-        return rooms
+            capacities.setdefault(session.entry.service, []).append(capacity)
+        return capacities
 
     def _speed(self, session: WorkerSession) -> float:
-        """Return a worker's speed, 1.0 if it is not known to differ."""
+        """Return a worker's speed factor, 1.0 unless a deviation is known."""
         if SPEEDS in self._disabled:
             return 1.0
-        return self._work.learning.speed_of(session).factor
+        return self._term.estimates.speed_of(session).factor
 
-    def _doubt(self, session: WorkerSession) -> float:
-        """Return how many runs failed or stood still at a worker of late."""
+    def _failure_score(self, session: WorkerSession) -> float:
+        """Return how many runs recently failed or stalled at a worker."""
         if FAILURE_SCORE in self._disabled:
             return 0.0
-        if session.troubles_s:
-            oldest_s = self._clock.monotonic_s() - TROUBLE_MEMORY_S
-            session.troubles_s = [
-                one for one in session.troubles_s if one > oldest_s
+        if session.failure_times_s:
+            oldest_s = self._clock.monotonic_s() - FAILURE_MEMORY_S
+            session.failure_times_s = [
+                one for one in session.failure_times_s if one > oldest_s
             ]
-        return len(session.troubles_s) + session.stalled_runs
+        return len(session.failure_times_s) + session.stalled_runs
 
     def _guaranteed(self) -> dict[str, int]:
         revision = self._revision.current
@@ -253,8 +258,8 @@
             return {}
         return {one.name: one.guaranteed_gpus for one in revision.workspaces}
 
-    def _mark(self, placement: Placement) -> None:
-        """Store the starts, then order them."""
+    def _assign(self, placement: Placement) -> None:
+        """Store the assignments, then order the starts."""
         job = placement.job
         tasks = tuple(key for key, _ in placement.workers)
         gang = placement.ready.step.gang
@@ -264,7 +269,7 @@
             checkpoint = newest_checkpoint(
                 [job.progress.task(key) for key in tasks],
             )
-        runs = self._mark_runs(placement, shared, checkpoint)
+        runs = self._assign_runs(placement, shared, checkpoint)
         if job.progress.state == QUEUED:
             job.progress.state = RUNNING
             waited_s = self._clock.wall_s() - job.spec.accepted_at_s
@@ -280,16 +285,16 @@
             tasks=[f'{run.key.rank}@{run.worker_id}' for run in runs],
             attempt=shared,
         )
-        self._journal.note(job)
+        self._writer.record(job)
         self._spawner.spawn(self._start(job, runs))
 
-    def _mark_runs(
+    def _assign_runs(
         self,
         placement: Placement,
         shared: int,
         checkpoint: str,
     ) -> list[Run]:
-        """Note the starts; a gang shares its attempt and its checkpoint."""
+        """Assign tasks; a gang shares its attempt and its checkpoint."""
         job = placement.job
         gang = placement.ready.step.gang
         runs = []
@@ -298,9 +303,9 @@
             task = job.progress.task(key)
             task.attempt = attempt
             task.worker = worker_id
-            session = self._work.sessions[worker_id]
+            session = self._term.sessions[worker_id]
             task.incarnation = session.incarnation
-            run = self._work.new_run(job, key, attempt, session)
+            run = self._term.new_run(job, key, attempt, session)
             run.exclusive = placement.ready.exclusive
             run.checkpoint = checkpoint if gang else task.checkpoint
             run.ticket = (placement.ready.tickets or {}).get(worker_id, '')
@@ -308,9 +313,9 @@
         return runs
 
     async def _start(self, job: ActiveJob, runs: list[Run]) -> None:
-        """Order the starts once they are stored, one worker after another."""
+        """Order the starts once stored, sequentially at each worker."""
         try:
-            await self._journal.saved()
+            await self._writer.stored()
         except LeadershipLostError:
             return
         by_worker: dict[str, list[Run]] = {}
@@ -321,19 +326,19 @@
         )
 
     async def _start_at(self, job: ActiveJob, runs: list[Run]) -> None:
-        session = self._work.sessions[runs[0].worker_id]
+        session = self._term.sessions[runs[0].worker_id]
         for run in runs:
             if job.ended:
                 await session.stop(run)
             else:
                 await session.start(run, job.spec.payload)
 
-    def _show_waiting(self, waiting: list[JobSpec]) -> None:
-        """Show how many jobs wait, and for how long, by priority."""
+    def _set_gauges(self, waiting: list[JobSpec]) -> None:
+        """Set the number and age of waiting jobs by priority."""
         now_s = self._clock.wall_s()
-        if now_s - self._shown_s < GAUGES_INTERVAL_S:
+        if now_s - self._gauges_set_s < GAUGES_INTERVAL_S:
             return
-        self._shown_s = now_s
+        self._gauges_set_s = now_s
         for priority in PRIORITIES:
             ages_s = [
                 now_s - spec.accepted_at_s
@@ -346,34 +351,36 @@
         metrics.workers_unreachable.set(
             sum(
                 1
-                for session in self._work.sessions.values()
+                for session in self._term.sessions.values()
                 if session.listed and not session.reachable
             ),
         )
 
-    def _note_pending(self) -> None:
-        """Count each queue's jobs of which nothing has started."""
+    def _record_pending(self) -> None:
+        """Store how many jobs of each queue have not started yet."""
         waiting = [
             job.spec
-            for job in self._work.jobs.values()
+            for job in self._term.jobs.values()
             if not job.ended and not job.begun
         ]
         counts: dict[str, int] = {}
         for spec in waiting:
             counts[spec.queue.name] = counts.get(spec.queue.name, 0) + 1
-        self._show_waiting(waiting)
-        self._journal.note_pending(msgspec.json.encode(counts))
+        self._set_gauges(waiting)
+        self._writer.record_pending(msgspec.json.encode(counts))
 
-    def _note_outlook(self) -> None:
-        """Tell all hosts and operators of what waits for long."""
-        if not self._outlooks.due:
+    def _publish_forecast(self) -> None:
+        """Publish the forecast, and log what has waited for long."""
+        if not self._forecasts.due:
             return
-        outlook = self._outlooks.make(self._revision.current)
+        forecast = self._forecasts.make(self._revision.current)
         if LOAD_SHEDDING not in self._disabled:
-            told = msgspec.to_builtins(outlook, str_keys=True)
-            self._journal.note_outlook(told)
-        self._board.show(self._guaranteed(), self._rooms, self._reserved_for)
-        self._unused.show()
+            content = msgspec.to_builtins(forecast, str_keys=True)
+            self._writer.publish_forecast(content)
+        self._waiting_reporter.report(
+            self._guaranteed(), self._capacities, self._reserved_for
+        )
+        self._unused_reporter.report()
 
 
-__all__ = ('RevisionSource', 'Rounds')
+__all__ = ('PlacementRounds', 'RevisionSource')
--- a/src/curranthill/dispatch/runlist.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -1,10 +1,10 @@
-"""The runs that may exist at one worker, judged by what the worker lists."""
+"""The runs that may exist at one worker, reconciled with its reports."""
 
 from typing import TYPE_CHECKING, Final
 
 from curranthill.clock import Clock
 from curranthill.dispatch.crashes import WORKER_RESTARTED
-from curranthill.dispatch.ends import EndLog
+from curranthill.dispatch.ends import EndTracker
 from curranthill.dispatch.owner import SessionOwner
 from curranthill.dispatch.workers import (
     EndReport,
@@ -19,20 +19,21 @@
 if TYPE_CHECKING:
     from curranthill.dispatch.session import WorkerSession
 
-#: How soon an unanswered stop is sent again, in seconds.
+#: An unanswered stop is sent again after so long, in seconds.
 STOP_REPEAT_S: Final = 0.5
 
-#: An end tells how long a run took only if the report before is no older, in
-#: seconds: twice as long as a renewal waits for an end.
-PROMPT_S: Final = 3.0
+#: The end of a run gives its duration only if the previous report is at most
+#: so old, in seconds: twice as long as a renewal waits for a run to end.
+MAX_REPORT_GAP_S: Final = 3.0
 
 
 class RunList:
-    """All runs that may exist at a worker, and which of its ends are noted.
+    """All runs that may exist at a worker, and how far its ends are recorded.
 
     :param runs: by task and attempt.
-    :param ends: of the worker's present incarnation.
-    :param unproven: runs whose start was answered and that no list has shown.
+    :param ends: of the worker's current incarnation.
+    :param unconfirmed: runs whose start got a response and that no report has
+        listed yet.
     """
 
     def __init__(
@@ -42,94 +43,96 @@
         owner: SessionOwner,
         clock: Clock,
     ) -> None:
-        """Start with nothing known of the worker."""
+        """Initialize the list of a worker that has not reported yet."""
         self.runs: dict[tuple[TaskKey, int], Run] = {}
-        self.unproven: set[tuple[TaskKey, int]] = set()
-        self._outlived: set[tuple[TaskKey, int]] = set()
-        self._clock_s = 0.0
+        self.unconfirmed: set[tuple[TaskKey, int]] = set()
+        self._previous_runs: set[tuple[TaskKey, int]] = set()
+        self._reported_clock_s = 0.0
         self._session = session
         self._owner = owner
         self._clock = clock
-        self.ends = EndLog(saved=owner.ends_saved, clock=clock)
+        self.ends = EndTracker(wait_stored=owner.ends_stored, clock=clock)
 
     @property
-    def any_unproven(self) -> bool:
+    def any_unconfirmed(self) -> bool:
         """Return whether some start may have reached another incarnation."""
-        if self.unproven:
+        if self.unconfirmed:
             return True
         return any(run.state == ORDERED for run in self.runs.values())
 
-    def fits(self, run: Run, room: Resources) -> bool:
-        """Return whether a room holds one more run beside those sent there.
+    def fits(self, run: Run, capacity: Resources) -> bool:
+        """Return whether a run fits into a capacity beside those sent there.
 
-        What is being stopped still takes its room.
+        Runs that are being stopped still use capacity.
         """
         taken = run.needs
         for one in self.runs.values():
             if one is not run and one.state != ASSIGNED:
                 taken = taken.plus(one.needs)
-        return room.covers(taken)
+        return capacity.covers(taken)
 
     def start_answered(self, run: Run) -> None:
-        """Wait for a list to show a run, unless one has shown its end."""
+        """Expect a report to list a run, unless one has listed its end."""
         if self.runs.get(run.name) is run:
-            self.unproven.add(run.name)
+            self.unconfirmed.add(run.name)
 
-    def begin_anew(self, *, restarted: bool = True) -> None:
-        """Forget the numbers of ends: another incarnation counts anew.
+    def reset(self, *, restarted: bool = True) -> None:
+        """Start to count ends from zero, as another incarnation does.
 
-        Taken for those of the former one, its first ends would pass for known
-        and be acknowledged unread: tasks that are done would run again. Runs
-        are judged by the lists of the new incarnation.
+        With the old count, its first ends would be taken for known ones and be
+        acknowledged unread, so tasks that are done would run again. Runs are
+        checked against the reports of the new incarnation.
 
-        :param restarted: whether there was a former one that was known.
+        :param restarted: whether a previous incarnation was known.
         """
         self.ends.close()
-        self.ends = EndLog(saved=self._owner.ends_saved, clock=self._clock)
+        self.ends = EndTracker(
+            wait_stored=self._owner.ends_stored, clock=self._clock
+        )
         if restarted:
-            self._outlived.update(self.runs)
+            self._previous_runs.update(self.runs)
 
-    def take(
+    def apply(
         self,
         report: LeaseReport,
         order: LeaseOrder,
         sent_s: float,
     ) -> None:
-        """Take in a list that answers an order sent at a moment."""
+        """Apply the report that responds to an order sent at the given time."""
         seen = {(one.task, one.attempt) for one in report.runs}
-        new_ends = self.ends.new_of(report.ends)
-        self._tell_passed_over(report.ends)
+        new_ends = self.ends.unrecorded(report.ends)
+        self._log_skipped_ends(report.ends)
         seen.update((end.task, end.attempt) for end in new_ends)
-        self.unproven.difference_update(seen)
-        self._outlived.difference_update(seen)
+        self.unconfirmed.difference_update(seen)
+        self._previous_runs.difference_update(seen)
         for one in report.runs:
-            self._take_run(one, report.clock_s)
+            self._apply_run(one, report.clock_s)
         for run in list(self.runs.values()):
             if run.name not in seen:
                 self._check_absent(run, order, sent_s)
-        self._take_ends(new_ends, report.clock_s)
+        self._apply_ends(new_ends, report.clock_s)
 
-    def doubt_ordered(self) -> None:
-        """Take it as unknown whether starts under way took effect."""
+    def invalidate_ordered(self) -> None:
+        """Set starts under way to unknown: they may or may not take effect."""
         for run in self.runs.values():
             if run.state == ORDERED:
                 run.state = UNKNOWN
 
-    def vanish(self, run: Run, reason: str) -> None:
-        """Give up a run that will never exist again."""
+    def drop_absent(self, run: Run, reason: str) -> None:
+        """Drop a run that does not exist and never will."""
         if self.runs.get(run.name) is not run:
             return
         self.runs.pop(run.name)
-        self.unproven.discard(run.name)
-        self._outlived.discard(run.name)
-        self._owner.run_vanished(self._session, run, reason)
+        self.unconfirmed.discard(run.name)
+        self._previous_runs.discard(run.name)
+        self._owner.run_absent(self._session, run, reason)
 
-    def vanish_all(self, reason: str) -> None:
-        """Give up all runs."""
+    def drop_all(self, reason: str) -> None:
+        """Drop all runs as absent."""
         for run in list(self.runs.values()):
-            self.vanish(run, reason)
+            self.drop_absent(run, reason)
 
-    def _take_run(self, report: RunReport, clock_s: float) -> None:
+    def _apply_run(self, report: RunReport, clock_s: float) -> None:
         run = self.runs.get((report.task, report.attempt))
         now_s = self._clock.monotonic_s()
         if run is None:
@@ -147,12 +150,12 @@
         if run.stop_wanted:
             if now_s - run.stop_sent_s > STOP_REPEAT_S:
                 run.stop_sent_s = now_s
-                self._owner.stop_again(self._session, run)
+                self._owner.resend_stop(self._session, run)
             return
         self._owner.run_reported(self._session, run)
 
     def _adopt_stray(self, report: RunReport, now_s: float) -> Run:
-        """Take in a run that no row names; it is stopped."""
+        """Track a run without a stored assignment, in order to stop it."""
         events.log(
             'stray_run',
             task=str(report.task),
@@ -174,25 +177,27 @@
         return run
 
     def _check_absent(self, run: Run, order: LeaseOrder, sent_s: float) -> None:
-        """Give up a run that an answer should have listed and did not."""
-        outlived = self._is_outlived(run)
+        """Drop a run that a report should have listed and did not."""
+        previous = self._is_previous(run)
         if run.state == UNKNOWN:
             if run.ordered_token < order.token:
-                reason = WORKER_RESTARTED if outlived else 'never started'
-                self.vanish(run, reason)
+                reason = WORKER_RESTARTED if previous else 'never started'
+                self.drop_absent(run, reason)
         elif run.state == RUNNING and run.confirmed_s < sent_s:
-            self.vanish(run, WORKER_RESTARTED if outlived else 'not listed')
+            self.drop_absent(
+                run, WORKER_RESTARTED if previous else 'not listed'
+            )
 
-    def _is_outlived(self, run: Run) -> bool:
-        """Return whether a run was placed in a former life of the worker."""
+    def _is_previous(self, run: Run) -> bool:
+        """Return whether a run was placed in a previous incarnation."""
         if run.incarnation and self._session.incarnation:
             return run.incarnation != self._session.incarnation
-        return run.name in self._outlived
+        return run.name in self._previous_runs
 
-    def _tell_passed_over(self, ends: tuple[EndReport, ...]) -> None:
-        """Tell of an end that passes for known though its run is not over."""
+    def _log_skipped_ends(self, ends: tuple[EndReport, ...]) -> None:
+        """Log ends that count as recorded although their runs are tracked."""
         for end in ends:
-            known = end.number <= self.ends.noted
+            known = end.number <= self.ends.recorded
             if known and (end.task, end.attempt) in self.runs:
                 events.log(
                     'end_passed_over',
@@ -201,12 +206,12 @@
                     how=end.kind,
                     worker=self._session.worker_id,
                     number=end.number,
-                    noted=self.ends.noted,
+                    noted=self.ends.recorded,
                 )
 
-    def _take_ends(self, ends: list[EndReport], clock_s: float) -> None:
-        prompt = clock_s - self._clock_s < PROMPT_S
-        self._clock_s = clock_s
+    def _apply_ends(self, ends: list[EndReport], clock_s: float) -> None:
+        prompt = clock_s - self._reported_clock_s < MAX_REPORT_GAP_S
+        self._reported_clock_s = clock_s
         if not ends:
             return
         for end in ends:
@@ -215,7 +220,7 @@
                 run.update_final_rate(clock_s)
             self._owner.run_ended(self._session, end)
             self.runs.pop((end.task, end.attempt), None)
-            self.ends.note(end)
+            self.ends.record(end)
         self._owner.session_changed(self._session)
 
 
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -1,7 +1,7 @@
-"""The work of one term: jobs, their runs, and what is learnt of both.
+"""The state of one term: its jobs, their runs and the worker sessions.
 
-Whatever is kept here is in the store or at the workers too, so that any host
-can take over.
+All of it is also in the store or at the workers, so that any host can take
+over.
 """
 
 import asyncio
@@ -9,10 +9,10 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.cleanup import IntakeCleanup
-from curranthill.dispatch.crashes import LossCounts
-from curranthill.dispatch.journal import Journal
-from curranthill.dispatch.learning import Learning
+from curranthill.dispatch.crashes import LossCounter
 from curranthill.dispatch.leadership import RENEW_WITHOUT_STORE_S, Leadership
+from curranthill.dispatch.progress_writer import ProgressWriter
+from curranthill.dispatch.run_estimates import RunEstimates
 from curranthill.dispatch.session import WorkerSession
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.workers import DONE, RUN_FAILED, EndReport
@@ -39,17 +39,19 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import workspace_labels
 
-#: Orders are given only so long after a confirmed write, in seconds: below
+#: Orders are given only so long after a confirmed write, in seconds: less than
 #: the silence after which another host takes over.
 ORDER_FRESHNESS_S: Final = 1.2
 
 
-class Work:
-    """Jobs and runs; told by sessions, asked by rounds, stored by a journal.
+class TermState:
+    """Updates jobs and runs from what the worker sessions report.
 
-    :param ended_at_s: jobs of which only the state is kept, and their ends in
-        wall-clock seconds.
-    :param changed: set whenever a round of placement may find something new.
+    Placement rounds read this state, and the progress writer stores it.
+
+    :param ended_at_s: when jobs ended of which only the final state is kept,
+        in wall-clock seconds.
+    :param changed: set whenever a placement round may find something new.
     """
 
     def __init__(
@@ -57,11 +59,11 @@
         *,
         clock: Clock,
         leadership: Leadership,
-        journal: Journal,
+        writer: ProgressWriter,
         spawner: Spawner,
         cleanup: IntakeCleanup,
     ) -> None:
-        """Start without jobs and workers."""
+        """Initialize a term without jobs and workers."""
         self._cleanup = cleanup
         self.jobs: dict[str, ActiveJob] = {}
         self.ended_at_s: dict[str, float] = {}
@@ -69,17 +71,17 @@
         self.changed = asyncio.Event()
         self._clock = clock
         self._leadership = leadership
-        self._journal = journal
+        self._writer = writer
         self._spawner = spawner
-        self.learning = Learning()
+        self.estimates = RunEstimates()
         self._cancelled: set[str] = set()
-        self._losses = LossCounts(
+        self._losses = LossCounter(
             jobs=self.jobs,
-            journal=journal,
+            writer=writer,
             give_up=self._end_job,
         )
 
-    # What sessions ask and tell.
+    # The interface of worker sessions.
 
     def may_renew(self) -> bool:
         """Return whether leases may still be extended."""
@@ -93,11 +95,11 @@
         return not over and self._leadership.age_s < ORDER_FRESHNESS_S
 
     def session_changed(self, session: WorkerSession) -> None:
-        """Make a round soon."""
+        """Request a placement round."""
         self.changed.set()
 
     def run_reported(self, session: WorkerSession, run: Run) -> None:
-        """Keep the newest checkpoint; stop runs of jobs that are over."""
+        """Store the newest checkpoint; stop runs of jobs that have ended."""
         job = self.jobs.get(run.key.job_id)
         if job is None or job.ended or job.runs.get(run.key) is not run:
             run.stop_wanted = True
@@ -108,23 +110,25 @@
             return
         if run.checkpoint:
             task.checkpoint = run.checkpoint
-        self.learning.note(session, job, run)
-        self._losses.clear_if_lasting(run)
+        self.estimates.record(session, job, run)
+        self._losses.clear_if_perpetual(run)
 
     def fenced(self, session: WorkerSession) -> None:
-        """End the term: a worker has seen another leader's token."""
+        """End the term, as a worker has seen another leader's token."""
         events.log('fenced', worker=session.worker_id, token=session.token)
         self._leadership.abandon()
         self._spawner.over.set()
 
-    def stop_again(self, session: WorkerSession, run: Run) -> None:
-        """Order a stop once more that has had no effect yet."""
+    def resend_stop(self, session: WorkerSession, run: Run) -> None:
+        """Order a stop again that has had no effect yet."""
         self._spawner.spawn(session.stop(run))
 
     def run_ended(self, session: WorkerSession, end: EndReport) -> None:
-        """Note an end in its job's progress, if it is the newest run's."""
+        """Record the end of a run in its job's progress, if it counts."""
         job = self.jobs.get(end.task.job_id)
-        counts = job is not None and self._counts(job, end, session.worker_id)
+        counts = job is not None and self._end_counts(
+            job, end, session.worker_id
+        )
         events.log(
             'run_ended',
             task=str(end.task),
@@ -136,29 +140,29 @@
         )
         metrics.runs_ended.add(1, {'how': end.kind})
         if end.kind == RUN_FAILED:
-            session.troubles_s.append(self._clock.monotonic_s())
+            session.failure_times_s.append(self._clock.monotonic_s())
         elif end.kind == DONE:
-            session.troubles_s.clear()
+            session.failure_times_s.clear()
         if job is None:
             return
         run = job.runs.get(end.task)
         if run is not None and run.attempt == end.attempt:
             job.runs.pop(end.task)
             if end.kind == DONE and not job.step_of(end.task).gang:
-                self.learning.note(session, job, run)
+                self.estimates.record(session, job, run)
         if counts:
-            self._note_end(job, end)
-            self._journal.note(job)
+            self._record_end(job, end)
+            self._writer.record(job)
             self.changed.set()
-        self._settle(job)
+        self._drop_if_ended(job)
 
-    def run_vanished(
+    def run_absent(
         self,
         session: WorkerSession,
         run: Run,
         reason: str,
     ) -> None:
-        """Let the task start anew: this run will never exist again."""
+        """Release the task of a run that does not exist and never will."""
         events.log(
             'run_vanished',
             task=str(run.key),
@@ -175,58 +179,58 @@
             return
         if job.runs.get(run.key) is run:
             job.runs.pop(run.key)
-        self._settle(job)
+        self._drop_if_ended(job)
         task = job.progress.peek(run.key)
         if task is None or task.attempt != run.attempt or task.done:
             return
         task.worker = ''
-        self._stop_fellows(job, run.key, run.attempt)
-        self._journal.note(job)
-        self._losses.note(run, reason, leaving=session.entry.leaving)
+        self._stop_other_members(job, run.key, run.attempt)
+        self._writer.record(job)
+        self._losses.record(run, reason, leaving=session.entry.leaving)
 
-    def loss_settled(self, run: Run, *, crashed: bool) -> None:
-        """Count a lapsed run as a crash of its worker, or not at all."""
-        self._losses.settle(run, crashed=crashed)
+    def loss_resolved(self, run: Run, *, crashed: bool) -> None:
+        """Count a run with an expired lease as a crash, or not as a loss."""
+        self._losses.resolve(run, crashed=crashed)
 
     def needs_of(self, key: TaskKey) -> Resources:
-        """Return the room a task takes."""
+        """Return the resources a task needs."""
         job = self.jobs.get(key.job_id)
         if job is None or key.step >= len(job.spec.steps):
             return Resources()
         return resources_needed(job.step_of(key))
 
-    async def ends_saved(self) -> None:
-        """Return once all ends noted so far are stored."""
-        await self._journal.saved()
+    async def ends_stored(self) -> None:
+        """Return once all ends recorded so far are stored."""
+        await self._writer.stored()
 
     # Jobs.
 
-    def take_job(self, spec: JobSpec, progress: JobProgress) -> ActiveJob:
-        """Take in an accepted job."""
+    def add_job(self, spec: JobSpec, progress: JobProgress) -> ActiveJob:
+        """Add an accepted job."""
         job = ActiveJob(spec=spec, progress=progress)
         self.jobs[spec.job_id] = job
         return job
 
-    def recovered(self, job: ActiveJob) -> None:
-        """Go on with a job whose stored runs have been taken in."""
+    def resume_job(self, job: ActiveJob) -> None:
+        """Resume a job whose stored runs have been recovered."""
         if job.spec.job_id in self._cancelled:
             self.cancel(job.spec.job_id)
-        self._settle(job)
+        self._drop_if_ended(job)
 
-    def handed_in_again(self, job_id: str) -> None:
-        """Drop the new row of a job that is known already."""
+    def drop_duplicate(self, job_id: str) -> None:
+        """Remove the new intake row of a job that is already known."""
         if job_id in self.ended_at_s:
             self._cleanup.add(job_id)
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a job, known already or not."""
+        """Cancel a job, also one whose row has not been read yet."""
         self._cancelled.add(job_id)
         job = self.jobs.get(job_id)
         if job is not None and not job.ended:
             self._end_job(job, CANCELLED)
 
-    def empty_leaving_workers(self) -> None:
-        """Stop what can go on elsewhere from its checkpoint."""
+    def evacuate_draining_workers(self) -> None:
+        """Stop runs on draining workers that can continue elsewhere."""
         for session in self.sessions.values():
             if not session.entry.leaving:
                 continue
@@ -240,15 +244,15 @@
                     self.stop_run(run)
 
     def forget(self, job_id: str) -> None:
-        """Drop the state of a job that ended long ago.
+        """Remove the stored state of a job that ended long ago.
 
-        As long as the job's own row may be there its state stays: without it
-        the job would be taken for a new one.
+        It is kept while the job's intake row may exist: without it, that row
+        would be taken for a new job.
         """
-        if self._cleanup.awaits(job_id):
+        if self._cleanup.is_pending(job_id):
             return
         self.ended_at_s.pop(job_id)
-        self._journal.remove(RowRemoval(tables.PROGRESS, job_id))
+        self._writer.remove(RowRemoval(tables.PROGRESS, job_id))
         if job_id in self._cancelled:
             self._cancelled.discard(job_id)
             self._cleanup.add(tables.cancel_key(job_id))
@@ -260,7 +264,7 @@
         attempt: int,
         session: WorkerSession,
     ) -> Run:
-        """Add a run that takes room at its worker from now on."""
+        """Add a run that uses capacity of its worker from now on."""
         step = job.step_of(key)
         run = Run(
             key=key,
@@ -287,7 +291,7 @@
         key: TaskKey,
         session: WorkerSession,
     ) -> None:
-        """Take a stored mark as a run that may exist."""
+        """Recover a run that may exist from a stored assignment."""
         task = job.progress.task(key)
         run = self.new_run(job, key, task.attempt, session)
         run.state = UNKNOWN
@@ -298,11 +302,14 @@
 
     # Ends.
 
-    def _counts(self, job: ActiveJob, end: EndReport, worker_id: str) -> bool:
-        """Return whether an end tells something of its task.
+    def _end_counts(
+        self, job: ActiveJob, end: EndReport, worker_id: str
+    ) -> bool:
+        """Return whether the end of a run says something about its task.
 
-        It is that of the newest run, or a late "done" of a run that was
-        given up when its lease lapsed: then the newer run is needless.
+        It does if the run is the newest one, and also if a run that was
+        dropped when its lease expired turns out to be done: a newer run is
+        then superfluous.
         """
         task = job.progress.peek(end.task)
         if task is None or task.done or job.ended:
@@ -311,24 +318,24 @@
             return end.kind == DONE
         return task.worker == worker_id or end.kind == DONE
 
-    def _note_end(self, job: ActiveJob, end: EndReport) -> None:
+    def _record_end(self, job: ActiveJob, end: EndReport) -> None:
         task = job.progress.task(end.task)
         if task.attempt == end.attempt:
             task.worker = ''
         if end.checkpoint and job.step_of(end.task).checkpointable:
             task.checkpoint = end.checkpoint
         if end.kind == DONE and not job.step_of(end.task).perpetual:
-            self.finish(job, end.task, end.attempt)
+            self.finish_task(job, end.task, end.attempt)
         elif end.kind == RUN_FAILED:
-            self._note_failure(job, end)
+            self._record_failure(job, end)
         else:
-            self._stop_fellows(job, end.task, end.attempt)
+            self._stop_other_members(job, end.task, end.attempt)
 
-    def _settle(self, job: ActiveJob) -> None:
-        """Drop what nobody needs of a job that ended and runs no more.
+    def _drop_if_ended(self, job: ActiveJob) -> None:
+        """Reduce a job that has ended and has no runs to its final state.
 
-        A leader that takes over then reads only the jobs that matter: with
-        400 ended jobs, a host with 5 Mbit/s took over a second for the rest.
+        A leader that takes over then reads only the jobs that still matter:
+        reading 400 ended jobs in full took a host with 5 Mbit/s over a second.
         """
         job_id = job.spec.job_id
         if job_id not in self.jobs or not job.ended or job.runs:
@@ -338,13 +345,15 @@
         self.ended_at_s[job_id] = job.progress.ended_at_s
         job.progress.tasks.clear()
         job.progress.done_steps.clear()
-        self._journal.note(job)
+        self._writer.record(job)
         self._cleanup.add(job_id)
 
-    def finish(self, job: ActiveJob, key: TaskKey, attempt: int = 0) -> None:
-        """Take a task and its fellows as done.
+    def finish_task(
+        self, job: ActiveJob, key: TaskKey, attempt: int = 0
+    ) -> None:
+        """Set a task, and the other members of its gang, to done.
 
-        :param attempt: runs of any other attempt are needless and stopped.
+        :param attempt: runs of any other attempt are superfluous and stopped.
         """
         for member in job.members_of(key):
             task = job.progress.task(member)
@@ -353,11 +362,11 @@
             run = job.runs.get(member)
             if run is not None and run.attempt != attempt:
                 self.stop_run(run)
-        self.complete(job)
+        self.check_completion(job)
 
-    def complete(self, job: ActiveJob) -> None:
+    def check_completion(self, job: ActiveJob) -> None:
         """End a job if all its tasks are done."""
-        self._journal.note(job)
+        self._writer.record(job)
         now_s = self._clock.wall_s()
         if job.check_completed(now_s):
             events.log(
@@ -366,26 +375,28 @@
                 took_s=round(now_s - job.spec.accepted_at_s, 2),
                 late_s=round(now_s - job.spec.objective_s, 2),
             )
-            self._settle(job)
+            self._drop_if_ended(job)
 
-    def _note_failure(self, job: ActiveJob, end: EndReport) -> None:
+    def _record_failure(self, job: ActiveJob, end: EndReport) -> None:
         failures = 0
         for key in job.members_of(end.task):
             task = job.progress.task(key)
             if end.attempt > task.failed_attempt:
-                # Other members of this attempt may have failed too.
+                # An attempt counts once, however many members fail.
                 task.failed_attempt = end.attempt
                 task.failures += 1
             failures = max(failures, task.failures)
-        self._stop_fellows(job, end.task, end.attempt)
+        self._stop_other_members(job, end.task, end.attempt)
         if job.step_of(end.task).perpetual:
             return
         if failures >= job.spec.queue.attempts:
             reason = f'Task {end.task} failed {failures} times.'
             self._end_job(job, FAILED, reason)
 
-    def _stop_fellows(self, job: ActiveJob, key: TaskKey, attempt: int) -> None:
-        """Stop the rest of a gang that lost one of its members."""
+    def _stop_other_members(
+        self, job: ActiveJob, key: TaskKey, attempt: int
+    ) -> None:
+        """Stop the rest of a gang after one of its members was lost."""
         for member in job.members_of(key):
             run = job.runs.get(member)
             if run is not None and run.attempt == attempt and member != key:
@@ -397,7 +408,7 @@
         state: JobState,
         reason: str = '',
     ) -> None:
-        """Make a job's state final and stop what it still runs."""
+        """Set a job's final state and stop its remaining runs."""
         job.progress.state = state
         job.progress.reason = reason
         job.progress.ended_at_s = self._clock.wall_s()
@@ -409,11 +420,11 @@
         )
         for run in list(job.runs.values()):
             self.stop_run(run)
-        self._journal.note(job)
-        self._settle(job)
+        self._writer.record(job)
+        self._drop_if_ended(job)
 
     def stop_run(self, run: Run) -> None:
-        """Order a run to stop, unless it is stopping already."""
+        """Order a run to stop, unless it is being stopped already."""
         session = self.sessions.get(run.worker_id)
         if session is None or run.stop_wanted:
             return
@@ -424,4 +435,4 @@
         self._spawner.spawn(session.stop(run))
 
 
-__all__ = ('Work',)
+__all__ = ('TermState',)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 from curranthill.clock import SystemClock
 from curranthill.dispatch import LeaseOrder, RejectedError, StartOrder
 from curranthill.dispatch.leadership import LeaderRow
-from curranthill.dispatch.workers import WorkerGoneError
+from curranthill.dispatch.workers import WorkerReplacedError
 from curranthill.errors import (
     NotSentError,
     ReplyLostError,
@@ -48,7 +48,7 @@
 )
 from curranthill.tasks import Resources, TaskKey, decode, tables
 from curranthill.telemetry.events import events
-from tests.domain import ROOM
+from tests.domain import WORKER_CAPACITY
 from tests.platform_standin import StoreServer, WorkerServer, serve, worker_row
 from tests.support import run
 
@@ -115,7 +115,9 @@
         runner, address = await serve(self.store_server.handle)
         self.store_address = address
         self.closers.append(runner.cleanup)
-        entry = WorkerEntry('i-1', 'calc', '', 'dc', ROOM, ('a', 'r1'))
+        entry = WorkerEntry(
+            'i-1', 'calc', '', 'dc', WORKER_CAPACITY, ('a', 'r1')
+        )
         self.worker = TaskWorkerModel(entry=entry, clock=self.clock, run_s=0.2)
         runner, address = await serve(WorkerServer(model=self.worker).handle)
         self.closers.append(runner.cleanup)
@@ -322,7 +324,7 @@
         async def case(bench: Bench) -> None:
             connector = PlatformConnector(caller=bench.caller)
             other = connector.connect(bench.entry._replace(worker_id='i-0'))
-            with self.assertRaises(WorkerGoneError):
+            with self.assertRaises(WorkerReplacedError):
                 await other.stop(TASK, 1, 8)
             closed = connector.connect(
                 bench.entry._replace(address='127.0.0.1:1'),
