--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -281,10 +281,10 @@
             await site.scheduler('s1')
             await site.accept(**ONCE, body='{"run_s": 500}')
             await site.clock.until(lambda: bool(site.running('dc-1')))
-            worker = next(
+            lost_worker = next(
                 worker for worker in site.workers.values() if worker.running()
             )
-            worker.faults.settings = FaultSettings(down=True)
+            lost_worker.faults.settings = FaultSettings(down=True)
             self.assertEqual(await ended(site, 'dc-1', 200), 'unknown')
             self.assertEqual(sum(site.starts('dc-1').values()), 1)
 
