--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -19,6 +19,7 @@
 _MIN_WAIT_S: Final = 0.1
 _MAX_WAIT_S: Final = 5.0
 
+#: How often a result is requested before it counts as lost.
 _MAX_FETCH_ATTEMPTS: Final = 5
 
 
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -23,7 +23,10 @@
     Worker,
 )
 
+#: The delay between attempts of a call, in seconds.
 RETRY_S: Final = 0.2
+
+#: How often a start is sent before its member counts as lost.
 _MAX_START_ATTEMPTS: Final = 5
 
 
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -20,7 +20,10 @@
 
 
 class Reservation(NamedTuple):
-    """Workers of one rack reserved for a job until it is expected to fit."""
+    """Workers of one rack reserved for a job until it is expected to fit.
+
+    :param until_s: monotonic time at which it is expected to fit, in seconds.
+    """
 
     job_id: str
     rack: str
--- a/src/curranthill/scheduler/state.py
+++ b/src/curranthill/scheduler/state.py
@@ -56,7 +56,12 @@
 
 
 class Decision(NamedTuple):
-    """One placement and the jobs to preempt before it starts."""
+    """One placement and the jobs to preempt before it starts.
+
+    :param victims: ids of the jobs to preempt.
+    :param guaranteed: whether it uses a guarantee unit.
+    :param reason: a few words for the log.
+    """
 
     job: Job
     members: tuple[Member, ...]
