--- a/tests/test_stale_configuration.py
+++ b/tests/test_stale_configuration.py
@@ -23,7 +23,7 @@
     status,
     until,
 )
-from tests.test_store_return import KNOWN_S
+from tests.test_store_return import RECOVERY_S
 
 #: Time within which a change must be in force, in seconds: the shortest of any
 #: deployment.
@@ -149,7 +149,7 @@
             await asyncio.sleep(IN_FORCE_S + FEED_WAIT_S)
             self.assertEqual(await status(caller.get('/quick/')), 503)
             bench.store_server.connections.paused = False
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(RECOVERY_S)
             self.assertEqual(await status(caller.get('/quick/')), 200)
             self.assertTrue(host.is_ready)
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -19,7 +19,7 @@
 READS_PER_S = 6
 
 #: Time within which a changed entry must be read, in seconds.
-KNOWN_S = 0.25
+READ_WITHIN_S = 0.25
 
 
 #: Hosts of a deployment, of which all but one poll the leader's row.
@@ -100,7 +100,7 @@
                 await domain.clock.advance(ENTRY_INTERVAL_S)
             entry = domain.session('w1').entry._replace(leaving=True)
             domain.list_worker(entry)
-            await domain.clock.advance(KNOWN_S)
+            await domain.clock.advance(READ_WITHIN_S)
             self.assertTrue(domain.session('w1').entry.leaving)
 
         in_domain(case)
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -18,14 +18,14 @@
 
 #: All hosts notice the end of an outage within this time, in seconds: callers
 #: that were told to retry after a second must then be accepted.
-KNOWN_S = 0.6
+RECOVERY_S = 0.6
 
 #: One and a half polls of the leader's row, in seconds; less than the silence
 #: after which a leader is replaced.
 LAST_ROW_READ_S = 0.6
 
 #: A leader sends orders again within this time, in seconds.
-LED_S = 1.0
+TAKEOVER_S = 1.0
 
 
 class ReadinessTest(unittest.TestCase):
@@ -48,7 +48,7 @@
             bench.store_server.connections.paused = True
             await asyncio.sleep(3)
             bench.store_server.connections.paused = False
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(RECOVERY_S)
             self.assertTrue(all(host.is_ready for host in hosts))
 
         on_bench(case)
@@ -74,7 +74,7 @@
             domain.rows.down.discard('*')
             await domain.clock.until(
                 lambda: any(one.name != 'h1' for one in domain.leading()),
-                within_s=GIVE_UP_S + LED_S,
+                within_s=GIVE_UP_S + TAKEOVER_S,
             )
 
         in_domain(case)
