--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -1,41 +1,41 @@
-"""Finds tasks that wait for an event which can't come any more.
+"""Detects and repairs tasks that wait for an event that can't happen.
 
 Each task of a job that has not ended is done, has a run that its worker's
-session holds, or may start once its turn comes. Anything else is a fault of
-the program or of a stored record: it is told, and put back into one of these
-states, never beside a run that may exist.
+session tracks, or may be placed later. Any other state results from a fault in
+the program or in a stored record: it is logged, and the task is put back into
+one of these states, but never while another run of it may exist.
 """
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import Final, NamedTuple
 
 from curranthill.clock import Clock
-from curranthill.dispatch.journal import Journal
+from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.session import WorkerSession
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
 from curranthill.placement import ActiveJob
 from curranthill.registry import Registry
 from curranthill.tasks import TaskKey
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How often all jobs are looked at, in seconds. What two looks in a row find
-#: is no passing state.
+#: The interval at which all jobs are checked, in seconds. A finding of two
+#: consecutive checks is not a transient state.
 CHECK_INTERVAL_S: Final = 1.0
 
-RUN_UNHELD: Final = 'run_unheld'
-MARK_WITHOUT_RUN: Final = 'mark_without_run'
+RUN_UNTRACKED: Final = 'run_unheld'
+ASSIGNMENT_WITHOUT_RUN: Final = 'mark_without_run'
 GANG_INCOMPLETE: Final = 'gang_incomplete'
 GANG_PARTLY_DONE: Final = 'gang_partly_done'
-END_NOT_NOTED: Final = 'end_not_noted'
+END_NOT_RECORDED: Final = 'end_not_noted'
 
 Sessions = Mapping[str, WorkerSession]
 
 
 class Finding(NamedTuple):
-    """One task in a state that nothing ends.
+    """One task in a state that no event ends.
 
-    :param worker_id: where a run of it may exist, or empty.
+    :param worker_id: where a run of it may exist; empty if nowhere.
     """
 
     kind: str
@@ -49,25 +49,31 @@
 finders: Registry[Finder] = Registry(concern='inconsistency')
 
 
-@finders.register(RUN_UNHELD)
-def find_unheld_runs(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
-    """Yield runs that no session would ever tell of."""
+@finders.register(RUN_UNTRACKED)
+def find_untracked_runs(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
+    """Yield runs that no session tracks, so that no report can end them."""
     for key, run in job.runs.items():
         session = sessions.get(run.worker_id)
-        held = session is not None and session.runs.get(run.name) is run
-        if not held:
-            yield Finding(RUN_UNHELD, key, run.attempt, run.worker_id)
+        tracked = session is not None and session.runs.get(run.name) is run
+        if not tracked:
+            yield Finding(RUN_UNTRACKED, key, run.attempt, run.worker_id)
 
 
-@finders.register(MARK_WITHOUT_RUN)
-def find_unheld_marks(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
-    """Yield tasks that are marked at a worker and have no run."""
+@finders.register(ASSIGNMENT_WITHOUT_RUN)
+def find_assignments_without_run(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
+    """Yield tasks that are assigned to a worker and have no run."""
     for name, task in job.progress.tasks.items():
         if not task.worker or task.done:
             continue
         key = _key_of(job, name)
         if key not in job.runs:
-            yield Finding(MARK_WITHOUT_RUN, key, task.attempt, task.worker)
+            yield Finding(
+                ASSIGNMENT_WITHOUT_RUN, key, task.attempt, task.worker
+            )
 
 
 @finders.register(GANG_INCOMPLETE)
@@ -75,7 +81,7 @@
     job: ActiveJob,
     sessions: Sessions,
 ) -> Iterator[Finding]:
-    """Yield runs whose fellows neither run nor will, nor are done."""
+    """Yield runs of gangs in which another member has no run and no end."""
     for key, run in job.runs.items():
         if run.stop_wanted or not job.step_of(key).gang:
             continue
@@ -91,7 +97,7 @@
     job: ActiveJob,
     sessions: Sessions,
 ) -> Iterator[Finding]:
-    """Yield members that are done while a fellow is not."""
+    """Yield gang members that are done while another member is not."""
     if not any(step.gang for step in job.spec.steps):
         return
     for name, task in list(job.progress.tasks.items()):
@@ -105,77 +111,79 @@
         return
 
 
-@finders.register(END_NOT_NOTED)
-def find_unnoted_end(job: ActiveJob, sessions: Sessions) -> Iterator[Finding]:
-    """Yield a job all of whose tasks are done."""
+@finders.register(END_NOT_RECORDED)
+def find_unrecorded_end(
+    job: ActiveJob, sessions: Sessions
+) -> Iterator[Finding]:
+    """Yield a job that has not ended although all its tasks are done."""
     if job.perpetual or job.runs or not job.begun:
         return
     steps = len(job.spec.steps)
     for occurrence in range(job.spec.occurrences):
         if not all(job.step_done(occurrence, one) for one in range(steps)):
             return
-    yield Finding(END_NOT_NOTED, TaskKey(job.spec.job_id, 0, 0, 0), 0, '')
+    yield Finding(END_NOT_RECORDED, TaskKey(job.spec.job_id, 0, 0, 0), 0, '')
 
 
 class ConsistencyCheck:
-    """Looks at all jobs every now and then.
+    """Checks all jobs periodically.
 
-    :param recover: takes a task's stored mark as a run that may exist.
+    :param recover: recovers the run of a task's stored assignment.
     """
 
     def __init__(
         self,
         *,
         clock: Clock,
-        work: Work,
-        journal: Journal,
+        term: TermState,
+        writer: ProgressWriter,
         recover: Callable[[ActiveJob, TaskKey], None],
     ) -> None:
-        """Start with nothing found."""
+        """Initialize the check without findings."""
         self._clock = clock
-        self._work = work
-        self._journal = journal
+        self._term = term
+        self._writer = writer
         self._recover = recover
         self._found: set[Finding] = set()
-        self._told: set[Finding] = set()
+        self._logged: set[Finding] = set()
         self._repairs: Mapping[str, Callable[[ActiveJob, Finding], None]] = {
-            RUN_UNHELD: self._recover_mark,
-            MARK_WITHOUT_RUN: self._recover_mark,
+            RUN_UNTRACKED: self._recover_assignment,
+            ASSIGNMENT_WITHOUT_RUN: self._recover_assignment,
             GANG_INCOMPLETE: self._stop,
             GANG_PARTLY_DONE: self._finish_gang,
-            END_NOT_NOTED: self._complete,
+            END_NOT_RECORDED: self._complete,
         }
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
-            if self._work.may_order():
-                self.look()
+            if self._term.may_order():
+                self.check()
 
-    def look(self) -> None:
-        """Tell of what was found at the look before too, and mend it."""
+    def check(self) -> None:
+        """Log and repair what the previous check found as well."""
         before = self._found
         self._found = set(self._findings())
-        self._told &= self._found
+        self._logged &= self._found
         for finding in self._found & before:
-            self._tell(finding)
-            job = self._work.jobs.get(finding.key.job_id)
+            self._log(finding)
+            job = self._term.jobs.get(finding.key.job_id)
             if job is not None:
                 self._repairs[finding.kind](job, finding)
 
     def _findings(self) -> Iterator[Finding]:
-        sessions = self._work.sessions
-        for job in self._work.jobs.values():
-            # A job that has ended is kept until its runs have.
-            kinds = (RUN_UNHELD,) if job.ended else finders
+        sessions = self._term.sessions
+        for job in self._term.jobs.values():
+            # A job that has ended is tracked until its runs have ended.
+            kinds = (RUN_UNTRACKED,) if job.ended else finders
             for kind in kinds:
                 yield from finders.get(kind)(job, sessions)
 
-    def _tell(self, finding: Finding) -> None:
-        if finding in self._told:
+    def _log(self, finding: Finding) -> None:
+        if finding in self._logged:
             return
-        self._told.add(finding)
+        self._logged.add(finding)
         metrics.inconsistencies.add(1, {'kind': finding.kind})
         events.log(
             'job_inconsistent',
@@ -186,30 +194,30 @@
             worker=finding.worker_id,
         )
 
-    def _recover_mark(self, job: ActiveJob, finding: Finding) -> None:
-        """Have the worker tell whether the run exists."""
+    def _recover_assignment(self, job: ActiveJob, finding: Finding) -> None:
+        """Have the worker report whether the run exists."""
         job.runs.pop(finding.key, None)
         if _is_done(job, finding.key):
             return
         job.progress.task(finding.key).worker = finding.worker_id
-        self._journal.note(job)
+        self._writer.record(job)
         self._recover(job, finding.key)
-        session = self._work.sessions[finding.worker_id]
-        # Its start may have been ordered in this term, by the newest token.
+        session = self._term.sessions[finding.worker_id]
+        # Its start may have been ordered in this term, under the newest token.
         job.runs[finding.key].ordered_token = session.token
-        session.raise_token()
+        session.increment_token()
 
     def _stop(self, job: ActiveJob, finding: Finding) -> None:
         run = job.runs.get(finding.key)
         if run is not None:
-            self._work.stop_run(run)
+            self._term.stop_run(run)
 
     def _finish_gang(self, job: ActiveJob, finding: Finding) -> None:
-        """Take one member's end for all of them, and stop what still runs."""
-        self._work.finish(job, finding.key)
+        """Apply one member's end to the whole gang; stop remaining runs."""
+        self._term.finish_task(job, finding.key)
 
     def _complete(self, job: ActiveJob, finding: Finding) -> None:
-        self._work.complete(job)
+        self._term.check_completion(job)
 
 
 def _is_done(job: ActiveJob, key: TaskKey) -> bool:
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -1,28 +1,28 @@
-"""Slots kept for quick work, and each gateway's share of connections."""
+"""Slots reserved for quick work, and the gateways' shares of connections."""
 
 import math
 from typing import Final, NamedTuple
 
 from curranthill.clock import Clock
 from curranthill.jobs import Member
-from curranthill.scheduler.board import Board
 from curranthill.scheduler.cluster import WorkerState
+from curranthill.scheduler.state import SchedulerState
 from curranthill.scheduler.victims import choose_victims
 
-#: Slots kept for each request that was in flight at the peak.
-HEADROOM: Final = 1.25
+#: Slots reserved for each request that was in flight at the peak.
+HEADROOM_FACTOR: Final = 1.25
 
-#: How long a peak is remembered, in seconds.
-DEMAND_MEMORY_S: Final = 30.0
+#: How long a demand peak is kept, in seconds.
+DEMAND_WINDOW_S: Final = 30.0
 
-#: The most of a data centre that quick work may keep.
-MOST_SHARE: Final = 0.5
+#: The maximum share of a data centre's slots that is reserved for quick work.
+MAX_SHARE: Final = 0.5
 
-#: How long before the reserve goes gateways are told, in seconds; longer
-#: than the time between two of their reports.
-YIELD_NOTICE_S: Final = 1.5
+#: How long before the release of the reserve gateways are notified, in seconds;
+#: longer than the interval of their reports.
+RELEASE_NOTICE_S: Final = 1.5
 
-#: How long a grant of connections is good for, in seconds.
+#: How long a grant of connections is valid, in seconds.
 GRANT_TERM_S: Final = 5.0
 
 
@@ -34,103 +34,109 @@
 
 
 class QuickReserve:
-    """Keep as many slots for quick work as its measured demand asks for.
+    """Reserves slots for quick work according to its measured demand.
 
-    The slots stand together on few workers, so that they cost little of what
-    gangs need whole; they grow and shrink on the same workers first.
+    The slots are concentrated on few workers, to leave whole workers to gangs;
+    the reserve grows and shrinks on the same workers first.
     """
 
-    def __init__(self, *, board: Board, clock: Clock, least: int) -> None:
-        """Start with the least reserve wanted."""
-        self._board = board
+    def __init__(
+        self,
+        *,
+        state: SchedulerState,
+        clock: Clock,
+        min_slots: int,
+    ) -> None:
+        """Initialize without demand, for which ``min_slots`` are reserved."""
+        self._state = state
         self._clock = clock
-        self.least = least
+        self.min_slots = min_slots
         self._demands: dict[str, Demand] = {}
-        self._yields_since_s: float | None = None
+        self._yielding_since_s: float | None = None
 
-    def report(self, gateway: str, most_in_flight: int) -> None:
-        """Take in a gateway's peak since its last report."""
+    def record_demand(self, gateway: str, max_in_flight: int) -> None:
+        """Record a gateway's peak since its last report."""
         now_s = self._clock.monotonic_s()
         last = self._demands.get(gateway)
-        if last and now_s - last.at_s < DEMAND_MEMORY_S:
-            if last.peak > most_in_flight:
+        if last and now_s - last.at_s < DEMAND_WINDOW_S:
+            if last.peak > max_in_flight:
                 return
-        self._demands[gateway] = Demand(peak=most_in_flight, at_s=now_s)
+        self._demands[gateway] = Demand(peak=max_in_flight, at_s=now_s)
 
     def wanted(self) -> int:
-        """Return how many slots quick work should have now."""
+        """Return how many slots should be reserved now."""
         now_s = self._clock.monotonic_s()
-        since_s = self._yields_since_s
-        if since_s is not None and now_s - since_s >= YIELD_NOTICE_S:
+        since_s = self._yielding_since_s
+        if since_s is not None and now_s - since_s >= RELEASE_NOTICE_S:
             return 0
         peak = sum(
             demand.peak
             for demand in self._demands.values()
-            if now_s - demand.at_s < 2 * DEMAND_MEMORY_S
+            if now_s - demand.at_s < 2 * DEMAND_WINDOW_S
         )
-        workers = self._board.cluster.workers.values()
+        workers = self._state.cluster.workers.values()
         total = sum(worker.slots for worker in workers if worker.usable)
-        wanted = max(self.least, math.ceil(peak * HEADROOM))
-        return min(wanted, int(total * MOST_SHARE))
+        wanted = max(self.min_slots, math.ceil(peak * HEADROOM_FACTOR))
+        return min(wanted, int(total * MAX_SHARE))
 
     def adjust(self) -> tuple[str, ...]:
-        """Grow or shrink the reserve; return the jobs that must stop."""
+        """Grow or shrink the reserve; return the jobs to preempt."""
         held = sum(
-            worker.quick for worker in self._board.cluster.workers.values()
+            worker.quick for worker in self._state.cluster.workers.values()
         )
         wanted = self.wanted()
         if wanted < held:
             self._shrink(held - wanted)
-            self._board.plan.repair()
+            self._state.plan.repair()
             return ()
         if wanted > held:
             return self._grow(wanted - held)
         return ()
 
-    def give_way(self, *, wanted: bool) -> None:
-        """Give the reserve up for a gang as large as the rack, or take it up.
+    def set_yielding(self, *, wanted: bool) -> None:
+        """Start or stop yielding the reserve to a gang as large as a rack.
 
-        Gateways are told at once to go elsewhere; the slots are given up
-        only after they have had time to hear of it.
+        Gateways are directed elsewhere at once; the slots are released only
+        after the notice, when all gateways should have received it.
         """
         if not wanted:
-            self._yields_since_s = None
-        elif self._yields_since_s is None:
-            self._yields_since_s = self._clock.monotonic_s()
+            self._yielding_since_s = None
+        elif self._yielding_since_s is None:
+            self._yielding_since_s = self._clock.monotonic_s()
 
     def workers(self) -> list[WorkerState]:
-        """Return the workers that gateways may send quick work to."""
-        return self._holders() if self._yields_since_s is None else []
+        """Return the workers to which gateways may send quick work."""
+        return self._quick_workers() if self._yielding_since_s is None else []
 
-    def _holders(self) -> list[WorkerState]:
+    def _quick_workers(self) -> list[WorkerState]:
         return [
             worker
-            for worker in self._board.cluster.workers.values()
+            for worker in self._state.cluster.workers.values()
             if worker.quick and worker.usable
         ]
 
     def _shrink(self, surplus: int) -> None:
-        for worker in sorted(self._holders(), key=_fewest_quick):
-            given = min(surplus, worker.quick)
-            self._board.cluster.keep_quick(worker, -given)
-            surplus -= given
+        for worker in sorted(self._quick_workers(), key=_by_fewest_quick):
+            released = min(surplus, worker.quick)
+            self._state.cluster.reserve_quick(worker, -released)
+            surplus -= released
 
     def _grow(self, missing: int) -> tuple[str, ...]:
         victims: list[str] = []
         for worker in sorted(
-            self._board.cluster.workers.values(),
-            key=_best_for_quick,
+            self._state.cluster.workers.values(),
+            key=_growth_order,
         ):
             if missing <= 0:
                 break
-            taken = min(missing, worker.open)
-            if taken > 0:
-                victims.extend(self._take(worker, taken))
-                missing -= taken
+            added = min(missing, worker.open)
+            if added > 0:
+                victims.extend(self._reserve_on(worker, added))
+                missing -= added
         return tuple(victims)
 
-    def _take(self, worker: WorkerState, slots: int) -> tuple[str, ...]:
-        """Keep slots on a worker; soft work in the way must stop."""
+    def _reserve_on(self, worker: WorkerState, slots: int) -> tuple[str, ...]:
+        """Reserve slots on a worker; return the jobs preempted for them."""
         member = Member(
             worker=worker.name,
             address=worker.address,
@@ -139,13 +145,13 @@
         victims: tuple[str, ...] = ()
         if worker.free < slots:
             victims = choose_victims(
-                self._board,
+                self._state,
                 (member,),
                 self._clock.monotonic_s(),
             )
             for victim in victims:
-                self._board.release(victim)
-        self._board.cluster.keep_quick(worker, slots)
+                self._state.release(victim)
+        self._state.cluster.reserve_quick(worker, slots)
         return victims
 
 
@@ -157,32 +163,32 @@
 
 
 class ConnectionGrants:
-    """Share a worker's connections so that the sum never passes its bound.
+    """Divides a worker's connections so that the sum never exceeds its limit.
 
-    Half of the connections is split among as many gateways as a data centre
-    may have; each gateway may always use its part. The other half is granted
-    for short terms to the gateways that are there. A grant counts until it
-    lapses, whatever its gateway has heard since.
+    Half of the connections is split among the maximum number of gateways of a
+    data centre; each gateway may always use its share. The other half is
+    granted for short terms to the gateways that are present. A grant counts
+    until it expires, whatever its gateway has received since.
 
     :param pool: connections of one worker that are granted.
     """
 
     def __init__(self, *, clock: Clock, pool: int) -> None:
-        """Grant nothing for one term: an earlier leader's grants may last."""
+        """Grant nothing for one term: a previous leader's may be valid."""
         self._clock = clock
         self._pool = pool
         self._grants: dict[str, list[Grant]] = {}
-        self._opens_s = clock.monotonic_s() + GRANT_TERM_S
+        self._grants_from_s = clock.monotonic_s() + GRANT_TERM_S
 
     def grant(self, gateway: str, gateways: int, lease_left_s: float) -> Grant:
-        """Return what a gateway may hold, beyond its fixed part.
+        """Return the connections granted to a gateway beyond its fixed share.
 
-        :param gateways: how many gateways are there now.
-        :param lease_left_s: how long this scheduler surely leads; a grant
-            never outlives it.
+        :param gateways: the number of gateways that are present now.
+        :param lease_left_s: how long this scheduler is sure to lead, in
+            seconds; no grant outlives it.
         """
         now_s = self._clock.monotonic_s()
-        if now_s < self._opens_s or lease_left_s <= 0:
+        if now_s < self._grants_from_s or lease_left_s <= 0:
             return Grant(amount=0, until_s=now_s)
         holders = {
             name for name in self._grants if self._unexpired(name, now_s)
@@ -194,8 +200,8 @@
             amount=max(0, min(wanted, left)),
             until_s=now_s + min(GRANT_TERM_S, lease_left_s),
         )
-        kept = self._unexpired(gateway, now_s)
-        self._grants[gateway] = [*kept, grant]
+        unexpired = self._unexpired(gateway, now_s)
+        self._grants[gateway] = [*unexpired, grant]
         return grant
 
     def _held_by_others(self, gateway: str, now_s: float) -> int:
@@ -219,16 +225,16 @@
 
 
 def granted_pool(connections: int, gateways: int) -> int:
-    """Return the connections that are left to grant."""
+    """Return the connections that remain to be granted."""
     return connections - gateways * fixed_share(connections, gateways)
 
 
-def _fewest_quick(worker: WorkerState) -> tuple[int, str]:
+def _by_fewest_quick(worker: WorkerState) -> tuple[int, str]:
     return (worker.quick, worker.name)
 
 
-def _best_for_quick(worker: WorkerState) -> tuple[bool, int, int, str]:
-    """Prefer workers that serve quick work already, then the emptiest."""
+def _growth_order(worker: WorkerState) -> tuple[bool, int, int, str]:
+    """Prefer workers with quick slots, then those with the most open slots."""
     return (worker.quick == 0, worker.planned, -worker.open, worker.name)
 
 
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -1,7 +1,7 @@
-"""One term of leadership: what a scheduler does from takeover to its end.
+"""One term of leadership, from the takeover to its end.
 
-Everything here is soft state. A term begins by reading the open jobs and by
-asking the workers what they hold; when it ends, all of it is thrown away.
+All of its state is soft: a term begins by reading the open jobs from the table
+and the leases from the workers; when it ends, the state is discarded.
 """
 
 import asyncio
@@ -14,7 +14,6 @@
 from curranthill.configuration import ConfigurationHolder
 from curranthill.errors import StorageError, WorkerError
 from curranthill.jobs import ACCEPTED, ENDED, Job, Member, Stored
-from curranthill.scheduler.board import Board, Decision, Waiting
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.gang import Gang, GangEnd, next_attempt
 from curranthill.scheduler.loader import RowLoader
@@ -22,27 +21,29 @@
 from curranthill.scheduler.policies import Policy
 from curranthill.scheduler.quick import QuickReserve
 from curranthill.scheduler.roster import Roster
-from curranthill.scheduler.watch import MemberNews
+from curranthill.scheduler.state import Decision, SchedulerState, WaitingJob
+from curranthill.scheduler.watch import MemberUpdate
 from curranthill.storage import HostDirectory
 from curranthill.telemetry import metrics
 from curranthill.workers import AttemptId, LeaseReport
 
-#: How often the queue is looked at when nothing happens, in seconds.
+#: The interval of placement passes when no event triggers one, in seconds.
 TICK_S: Final = 0.5
 
-#: The longest wait of a job whose reservation was refused, in seconds.
+#: The maximum delay until a job that was not started is queued again, in
+#: seconds.
 _RETRY_S: Final = 0.5
 
 
 class Term:
-    """Place, run and settle jobs while this scheduler leads.
+    """Places, runs and finalizes jobs while this scheduler leads.
 
     :param context: interfaces and settings.
-    :param policy: who gets which place.
-    :param data_centre: the data centre that is led.
+    :param policy: decides which jobs are placed, and where.
+    :param data_centre: the data centre to lead.
     :param neighbours: returns the region's other active schedulers.
-    :param tell_moved: tells a data centre's scheduler of a job that is now
-        its own.
+    :param notify_moved: notifies a data centre's scheduler of a job that was
+        moved to it.
     """
 
     def __init__(
@@ -54,19 +55,19 @@
         directory: HostDirectory,
         configuration: ConfigurationHolder,
         neighbours: Callable[[], Sequence[Neighbour]],
-        tell_moved: Callable[[str, str], None],
+        notify_moved: Callable[[str, str], None],
     ) -> None:
-        """Start with an empty board."""
+        """Initialize an empty state."""
         self._neighbours = neighbours
-        self._tell_moved = tell_moved
-        self.board = Board()
+        self._notify_moved = notify_moved
+        self.state = SchedulerState()
         self.quick = QuickReserve(
-            board=self.board,
+            state=self.state,
             clock=context.clock,
-            least=context.placement.quick_slots,
+            min_slots=context.placement.quick_slots,
         )
         self._offload = Offload(
-            board=self.board,
+            state=self.state,
             clock=context.clock,
             neighbours=neighbours,
         )
@@ -74,7 +75,7 @@
         self._wake = asyncio.Event()
         self.roster = Roster(
             context=context,
-            board=self.board,
+            state=self.state,
             spawn=self._spawn,
             on_member=self._on_member,
             on_orphan=self.release_orphan,
@@ -91,73 +92,73 @@
         self._loader = RowLoader(
             store=context.store,
             spawn=self._spawn,
-            take=self._take_row,
+            on_row=self._process_row,
         )
 
     async def close(self) -> None:
-        """Drop everything; running members go on under their leases."""
+        """Cancel all tasks; running members continue under their leases."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def begin(self) -> None:
-        """Place jobs from now on; recovery has filled the board."""
+        """Start placing jobs, once recovery has filled the state."""
         self.configure()
-        self.board.plan.repair()
+        self.state.plan.repair()
         self.roster.begin()
         self._spawn(self._dispatch())
         self._spawn(self._tick())
 
     def update_workers(self) -> None:
-        """Take in the host list as it is now."""
+        """Apply the current host list."""
         self.roster.update(self._directory.workers(self._data_centre))
 
     def configure(self) -> None:
-        """Take over the weights and promises of the revision in force."""
+        """Apply the weights and guarantees of the revision in force."""
         document = self._configuration.document
-        self.board.weights = {
+        self.state.weights = {
             name: workspace.weight
             for name, workspace in document.workspaces.items()
         }
-        self.board.may_borrow = {
+        self.state.may_borrow = {
             name: workspace.borrowing
             for name, workspace in document.workspaces.items()
         }
-        self.board.plan.configure(document, self._data_centre)
+        self.state.plan.configure(document, self._data_centre)
         self._wake.set()
 
     def submit(self, stored: Stored) -> None:
-        """Let an accepted job wait for its place."""
+        """Queue an accepted job."""
         job = stored.job
-        if job.job_id in self.gangs or job.job_id in self.board.queue:
+        if job.job_id in self.gangs or job.job_id in self.state.queue:
             return
         self._known[job.job_id] = stored
         waited_s = max(0, self._context.clock.wall_s() - job.accepted_at_s)
         since_s = self._context.clock.monotonic_s() - waited_s
-        self.board.queue.add(Waiting(job=job, since_s=since_s))
+        self.state.queue.add(WaitingJob(job=job, since_s=since_s))
         self._wake.set()
 
     def notify(self, job_ids: Iterable[str]) -> None:
-        """Read jobs that somebody says have changed, soon."""
+        """Schedule reads of the rows of jobs that are reported as changed."""
         self._loader.notify(job_ids)
 
     async def scan(self) -> None:
-        """Read all open rows, for jobs of which no news arrived."""
+        """Read all open rows, for jobs whose notification was lost."""
         for stored in await self._context.store.scan_open(self._data_centre):
-            self._take_row(stored)
+            self._process_row(stored)
 
     def resume(self, stored: Stored, states: dict[str, str]) -> None:
-        """Go on with an attempt that an earlier leader had marked."""
+        """Resume an attempt whose start a previous leader recorded."""
         job = stored.job
-        self.board.adopt(job, self._context.clock.monotonic_s())
+        self.state.adopt(job, self._context.clock.monotonic_s())
         gang = self._gang(stored, job.members, job.attempt)
         if job.cancel_requested:
             gang.cancel()
         self._spawn(self._finish(gang, gang.resume(states)))
 
     def explain(self, job_id: str) -> list[str]:
-        """Say in plain sentences where a job stands."""
+        """Return plain sentences on the state of a job."""
         gang = self.gangs.get(job_id)
         if gang is not None:
             places = ', '.join(
@@ -165,30 +166,30 @@
             )
             return [f'{job_id} is {gang.state}: {places}.']
         return self._policy.explain(
-            self.board,
+            self.state,
             job_id,
             self._context.clock.monotonic_s(),
         )
 
     def release_orphan(self, worker: str, lease: LeaseReport) -> None:
-        """Give back a lease that no job of this term has."""
+        """Release a lease that belongs to no job of this term."""
         self._spawn(self._release(worker, lease.attempt_id))
 
-    def _on_member(self, news: MemberNews) -> bool:
-        gang = self.gangs.get(news.attempt_id.job)
-        if gang is None or gang.attempt_id != news.attempt_id:
+    def _on_member(self, update: MemberUpdate) -> bool:
+        gang = self.gangs.get(update.attempt_id.job)
+        if gang is None or gang.attempt_id != update.attempt_id:
             return False
-        gang.on_news(news)
+        gang.on_update(update)
         return True
 
-    def _take_row(self, stored: Stored) -> None:
+    def _process_row(self, stored: Stored) -> None:
         job = stored.job
         gang = self.gangs.get(job.job_id)
         if gang is not None:
             if job.cancel_requested:
                 gang.cancel()
         elif job.state in ENDED:
-            self.board.queue.remove(job.job_id)
+            self.state.queue.remove(job.job_id)
             self._known.pop(job.job_id, None)
         elif job.state == ACCEPTED and job.home == self._data_centre:
             self.submit(stored)
@@ -196,9 +197,9 @@
     async def _tick(self) -> None:
         while True:
             await self._context.clock.sleep(TICK_S)
-            self.roster.judge()
-            self.quick.give_way(
-                wanted=bool(self._neighbours()) and self._rack_is_wanted(),
+            self.roster.refresh_usable()
+            self.quick.set_yielding(
+                wanted=bool(self._neighbours()) and self._full_rack_is_wanted(),
             )
             self._preempt(self.quick.adjust(), 'for quick work')
             for move in self._offload.choose():
@@ -206,54 +207,54 @@
             self._wake.set()
 
     async def _move(self, move: Move) -> None:
-        """Give a waiting job to a data centre that has room for it now."""
+        """Move a waiting job to a data centre with free capacity for it."""
         job_id = move.job_id
-        waiting = self.board.queue.remove(job_id)
+        waiting = self.state.queue.remove(job_id)
         stored = self._known.pop(job_id, None)
         if waiting is None or stored is None:
             return
         logger.bind(job=job_id, step='offload', peer=move.data_centre).info(
-            'goes to {}, which has room: {}',
+            'moves to {}, which has free capacity: {}',
             move.data_centre,
             move.reason,
         )
         try:
             await self._context.store.move(stored, move.data_centre)
         except StorageError:
-            # Whether it moved or not, its row tells.
+            # The move may have been written or not: read the row again.
             await self._submit_later(stored)
             return
-        self._tell_moved(move.data_centre, job_id)
+        self._notify_moved(move.data_centre, job_id)
 
-    def _rack_is_wanted(self) -> bool:
-        """Return whether a job wants a rack that the reserve stands in.
+    def _full_rack_is_wanted(self) -> bool:
+        """Return whether a job needs a full rack, quick reserve included.
 
-        Such a job can only run while no slot is kept for quick work, which
-        goes to the region's other data centres meanwhile.
+        Such a job can only run while no slot is reserved for quick work, which
+        the region's other data centres serve meanwhile.
         """
         widest = max(
             (
                 sum(worker.slots for worker in rack.workers if worker.usable)
-                for rack in self.board.cluster.racks.values()
+                for rack in self.state.cluster.racks.values()
             ),
             default=0,
         )
-        most_beside = widest - self.quick.least
-        wanted = [key.slots for key, _ in self.board.queue.heads()]
-        wanted.extend(placed.job.slots for placed in self.board.placed.values())
-        return most_beside < max(wanted, default=0) <= widest
+        max_beside_reserve = widest - self.quick.min_slots
+        wanted = [key.slots for key, _ in self.state.queue.heads()]
+        wanted.extend(placed.job.slots for placed in self.state.placed.values())
+        return max_beside_reserve < max(wanted, default=0) <= widest
 
     async def _dispatch(self) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
             if self._context.election.lease_left_s() <= 0:
-                # Without the table nothing can be marked: place nothing.
+                # Without the table no start can be recorded: place nothing.
                 await self._context.clock.sleep(TICK_S)
                 self._wake.set()
                 continue
             begun_s = self._context.clock.monotonic_s()
-            decisions = self._policy.decide(self.board, begun_s)
+            decisions = self._policy.decide(self.state, begun_s)
             took_s = self._context.clock.monotonic_s() - begun_s
             metrics.decision_s.record(took_s)
             for decision in decisions:
@@ -269,11 +270,11 @@
             step='place',
             peer=','.join(member.worker for member in decision.members),
         ).info(
-            'placed {} accelerators ({}): {}; stops {}',
+            'placed {} accelerators ({}): {}; preempts {}',
             job.slots,
             decision.reason,
             [(member.worker, member.slots) for member in decision.members],
-            list(decision.victims) or 'nobody',
+            list(decision.victims) or 'none',
         )
         waits = self._preempt(decision.victims, f'for {job.job_id}')
         attempt = next_attempt(
@@ -293,7 +294,7 @@
         for victim in victims:
             metrics.preemptions.add(1)
             gang = self.gangs[victim]
-            logger.bind(job=victim, step='preempt').info('stops {}', reason)
+            logger.bind(job=victim, step='preempt').info('preempted {}', reason)
             gang.preempt()
             waits.append(gang.stopped)
         return waits
@@ -327,8 +328,8 @@
         if end.end == 'abandoned':
             return
         self.gangs.pop(job_id, None)
-        self.board.release(job_id)
-        self._judge_end(gang, end)
+        self.state.release(job_id)
+        self._record_end(gang, end)
         job = end.stored.job
         logger.bind(
             job=job_id,
@@ -345,9 +346,9 @@
             self.submit(end.stored)
 
     async def _submit_later(self, stored: Stored) -> None:
-        """Let a job wait again after a moment, its row read afresh."""
+        """Queue a job again after a delay, with its row read again."""
         job_id = stored.job.job_id
-        while job_id not in self.board.queue and job_id not in self.gangs:
+        while job_id not in self.state.queue and job_id not in self.gangs:
             delay_s = random.uniform(_RETRY_S / 2, _RETRY_S)  # noqa: S311
             await self._context.clock.sleep(delay_s)
             try:
@@ -356,18 +357,18 @@
                 continue
             if found is None or found.job.state != ACCEPTED:
                 return
-            self._take_row(found)
+            self._process_row(found)
 
-    def _judge_end(self, gang: Gang, end: GangEnd) -> None:
+    def _record_end(self, gang: Gang, end: GangEnd) -> None:
         if end.end == 'failed':
-            self.roster.failed(end.failed_on, gang.attempt_id.job)
+            self.roster.record_failure(end.failed_on, gang.attempt_id.job)
         elif end.end == 'finished':
             for member in gang.members:
-                self.roster.health.succeeded(member.worker)
-            self._learn(end.stored.job)
+                self.roster.health.record_success(member.worker)
+            self._record_run_time(end.stored.job)
 
-    def _learn(self, job: Job) -> None:
-        self.board.estimates.learn(
+    def _record_run_time(self, job: Job) -> None:
+        self.state.estimates.record_run(
             job.workspace,
             job.kind,
             declared_s=job.run_time_s,
@@ -375,15 +376,15 @@
         )
 
     async def _release(self, worker: str, attempt_id: AttemptId) -> None:
-        state = self.board.cluster.workers.get(worker)
-        if state is None:
+        worker_state = self.state.cluster.workers.get(worker)
+        if worker_state is None:
             return
-        client = self._context.worker_at(state.address)
+        client = self._context.worker_at(worker_state.address)
         try:
             await client.release(self._context.election.token, attempt_id)
         except WorkerError as error:
             logger.bind(job=attempt_id.job, step=error.step, peer=worker).debug(
-                'an orphan stays until its lease lapses: {}',
+                'an orphaned lease remains until it expires: {}',
                 error.message,
             )
 
@@ -395,7 +396,7 @@
     def _forget(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.opt(exception=task.exception()).error('a task ended')
+            logger.opt(exception=task.exception()).error('a task failed')
 
 
 __all__ = ('TICK_S', 'Term')
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -54,7 +54,7 @@
     """Hand in all at once, before anybody can know."""
     burst = asyncio.gather(
         *(
-            host.desk.accept(gang(f'w{number}', domain), 3.0)
+            host.handler.accept(gang(f'w{number}', domain), 3.0)
             for number in range(OVERLOAD)
         ),
     )
@@ -131,7 +131,7 @@
             _, second = await overload(domain)
             await domain.ended(f'w{OVERLOAD - 1}', within_s=200)
             self.assertFalse(await is_refused(second, gang('new', domain)))
-            self.assertIsNone(told(domain).outlook)
+            self.assertIsNone(told(domain).forecast)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
@@ -259,7 +259,7 @@
             spec = gang('new', domain)
             calm_s = domain.rows.commit_s
             domain.rows.commit_s = 5.0
-            asked = asyncio.ensure_future(second.desk.accept(spec, 1.0))
+            asked = asyncio.ensure_future(second.handler.accept(spec, 1.0))
             await domain.clock.advance(0.0)
             domain.rows.commit_s = calm_s
             with self.assertRaises(RefusedError) as caught:
@@ -278,7 +278,7 @@
             _, second = await overload(domain)
             second.election.resign()
             self.assertTrue(await is_refused(second, gang('one', domain)))
-            watch = second.election.outlooks
+            watch = second.election.forecasts
             second.clock.suspend()
             await domain.clock.advance(4.0)
             second.clock.resume()
@@ -299,11 +299,11 @@
             7,
         )
         for forecast in forms:
-            row = LeaderRow(holder='h', epoch=3, outlook=forecast)
+            row = LeaderRow(holder='h', epoch=3, forecast=forecast)
             read = decode(encode(row), LeaderRow)
             self.assertEqual(read, row)
         older = decode(msgspec.json.encode(['h', 3, 'x', 0.0]), LeaderRow)
-        self.assertIsNone(older.outlook)
+        self.assertIsNone(older.forecast)
 
     def test_hosts_that_read_another_form_refuse_nobody(self) -> None:
         """They accept as before."""
@@ -311,9 +311,9 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            watch = host.election.outlooks
+            watch = host.election.forecasts
             for number, forecast in enumerate(([2, 5, 9999], 'none', 7)):
-                watch.take(90 + number, forecast)
+                watch.update(90 + number, forecast)
                 new = gang(f'new-{number}', domain)
                 with self.subTest(forecast=forecast):
                     self.assertFalse(await is_refused(host, new))
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -27,9 +27,8 @@
 from curranthill.placement import Run, WorkerEntry
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import TaskKey
-from tests.domain import ROOM, Domain, in_domain, make_spec
-from tests.support import ManualClock
-from tests.support import run as run_to_end
+from tests.domain import WORKER_CAPACITY, Domain, in_domain, make_spec
+from tests.support import ManualClock, run as run_to_end
 from tests.test_session import (
     CrossingWorker,
     Owner,
@@ -218,10 +217,10 @@
             await domain.ended('a1')
             worker.failing = False
             session = domain.session('w0')
-            self.assertEqual(len(session.troubles_s), 2)
+            self.assertEqual(len(session.failure_times_s), 2)
             domain.restart_worker('w0')
             await domain.clock.advance(1)
-            self.assertEqual(session.troubles_s, [])
+            self.assertEqual(session.failure_times_s, [])
 
         in_domain(case, workers=1)
 
@@ -322,7 +321,7 @@
     ) -> None:
         """Pass over a run that was given up."""
 
-    async def ends_saved(self) -> None:
+    async def ends_stored(self) -> None:
         """Wait for the store."""
         await self.stored.wait()
 
@@ -339,7 +338,7 @@
     def __init__(self, *, kind: type[Model], incarnation: int) -> None:
         """Start with a worker that the session has not reached yet."""
         self.clock = ManualClock()
-        entry = WorkerEntry('w1', 'calc', '10.0.0.1:80', 'dc', ROOM)
+        entry = WorkerEntry('w1', 'calc', '10.0.0.1:80', 'dc', WORKER_CAPACITY)
         self.model = kind(entry=entry, clock=self.clock, run_s=0.01)
         self.owner = SlowlySavedOwner()
         self.session = open_session(
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -17,7 +17,7 @@
 from tests.test_waiting import Lines
 
 #: By then all that is unused has been told, a line before it included.
-TOLD_S = unused.TOLD_FROM_S + unused.LINES_INTERVAL_S + 2.0
+TOLD_S = unused.LOGGED_FROM_S + unused.LOG_INTERVAL_S + 2.0
 
 
 class Gauge:
@@ -51,7 +51,9 @@
         self.gauge = Gauge()
         self.sessions = {f'w{number:03}': Session() for number in range(count)}
         sessions: Any = self.sessions
-        self.board = unused.UnusedWorkers(clock=self.clock, sessions=sessions)
+        self.board = unused.UnusedWorkerReporter(
+            clock=self.clock, sessions=sessions
+        )
 
     async def look(self, seconds: int) -> list[dict[str, Any]]:
         """Return the lines of some seconds."""
@@ -62,7 +64,7 @@
         ):
             for _ in range(seconds):
                 await self.clock.advance(1.0)
-                self.board.show()
+                self.board.report()
         return self.lines.of('workers_unused')
 
 
@@ -86,7 +88,7 @@
     async def test_a_worker_that_is_used_again_is_told_too(self) -> None:
         """As a line without it."""
         watch = Watch()
-        watch.sessions['w001'].unused_reason = unused.LEAVING
+        watch.sessions['w001'].unused_reason = unused.DRAINING
         await watch.look(10)
         watch.sessions['w001'].unused_reason = None
         lines = await watch.look(10)
@@ -117,7 +119,7 @@
         lines = await watch.look(10)
         self.assertEqual(lines[0]['unused'], 500)
         named = lines[0]['workers'][unused.CLOSED]
-        self.assertEqual(len(named), unused.NAMED_WORKERS)
+        self.assertEqual(len(named), unused.MAX_NAMED_WORKERS)
 
     async def test_a_worker_that_is_not_listed_is_not_told(self) -> None:
         """Nobody expects work there."""
@@ -141,7 +143,7 @@
             self.assertIsNone(session.unused_reason)
             self.assertTrue(session.accepts_work)
             for name, state, reason in (
-                ('gone', True, unused.GONE),
+                ('removed', True, unused.REMOVED),
                 ('readable', False, unused.UNREADABLE),
                 ('rejected_s', domain.clock.monotonic_s(), unused.REJECTED),
                 ('incarnation', 7, unused.OTHER_INCARNATION),
@@ -172,7 +174,7 @@
             await domain.clock.advance(3.0)
             leader = host.leader
             assert leader is not None
-            run = next(iter(leader.work.jobs['a1'].runs.values()))
+            run = next(iter(leader.term.jobs['a1'].runs.values()))
             silent, leaving, bad = sorted(
                 (name for name in domain.workers if name != 'far'),
                 key=lambda name: name != run.worker_id,
@@ -191,7 +193,7 @@
             self.assertEqual(found['listed'], 4)
             self.assertEqual(
                 {
-                    unused.LEAVING: [leaving],
+                    unused.DRAINING: [leaving],
                     unused.UNREADABLE: [bad],
                     unused.CLOSED: ['far'],
                 },
