--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -85,11 +85,11 @@
         store: RowStore,
         clock: Clock,
         health: StoreHealth,
-        outlooks: ForecastSource,
+        forecasts: ForecastSource,
     ) -> None:
         """Initialize with the store and what admission depends on."""
         self._health = health
-        self._forecasts = outlooks
+        self._forecasts = forecasts
         self._store = store
         self._clock = clock
 
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -148,7 +148,7 @@
                 store=self._store,
                 clock=clock,
                 health=self._health,
-                outlooks=self._election.forecasts,
+                forecasts=self._election.forecasts,
             ),
             revisions=self._revisions,
             clock=clock,
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -489,7 +489,7 @@
             store=self._store,
             clock=self.clock,
             health=self.health,
-            outlooks=self.election.forecasts,
+            forecasts=self.election.forecasts,
         )
         self._tasks = (
             asyncio.ensure_future(self.election.run()),
