--- a/src/curranthill/membership/view.py
+++ b/src/curranthill/membership/view.py
@@ -110,13 +110,13 @@
         load: Load | None = None,
     ) -> None:
         """Change the entry of this process and disseminate it."""
-        asked = {
+        given = {
             'revision': revision,
             'leading_epoch': leading_epoch,
             'status': status,
         }
         changes: dict[str, Any] = {
-            name: value for name, value in asked.items() if value is not None
+            name: value for name, value in given.items() if value is not None
         }
         if load is not None:
             changes |= load._asdict()
