--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -8,7 +8,7 @@
     Forecast,
     Refusal,
     check_admission,
-    retry_delay_s,
+    retry_after_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -297,7 +297,7 @@
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.retry_delay_s + jitter_s,
+            retry_after_s=refusal.retry_after_s + jitter_s,
             peer='leader',
         )
 
@@ -322,7 +322,7 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=retry_delay_s(
+            retry_after_s=retry_after_s(
                 spec,
                 jitter_s=random.uniform(-RETRY_JITTER_S, RETRY_JITTER_S),
             ),
