--- a/bench/load_shedding.py
+++ b/bench/load_shedding.py
@@ -182,7 +182,7 @@
         print(f'{name:20} {figure:.4f}')
 
 
-__all__ = ('OVERLOAD', 'SheddingDay', 'SheddingOutcome', 'PlainDay', 'play')
+__all__ = ('OVERLOAD', 'PlainDay', 'SheddingDay', 'SheddingOutcome', 'play')
 
 if __name__ == '__main__':
     typer.run(main)
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -21,10 +21,10 @@
 
 __all__ = (
     'FULL',
-    'RESERVED',
-    'MAX_WAITING_PER_WORKSPACE',
-    'MAX_WAITING',
     'MAX_FORECAST_AGE_S',
+    'MAX_WAITING',
+    'MAX_WAITING_PER_WORKSPACE',
+    'RESERVED',
     'TOO_LATE',
     'WORKSPACE_FULL',
     'Forecast',
--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -73,12 +73,12 @@
 
 __all__ = (
     'ADVISED',
-    'EXCLUSIVE',
     'BEYOND_GUARANTEE',
-    'RESERVED',
+    'EXCLUSIVE',
+    'NEXT_ROUND',
     'NO_CAPACITY',
     'NO_WORKER',
     'RACK',
-    'NEXT_ROUND',
+    'RESERVED',
     'waiting_reason',
 )
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -206,15 +206,15 @@
 __all__ = (
     'FORMAT_VERSION',
     'FULL',
-    'MAX_WAITING_PER_WORKSPACE',
-    'MAX_WAITING',
     'MAX_FORECAST_AGE_S',
+    'MAX_WAITING',
+    'MAX_WAITING_PER_WORKSPACE',
     'TOO_LATE',
     'WORKSPACE_FULL',
     'Forecast',
     'Refusal',
     'ServiceForecast',
+    'check_admission',
     'credit_until_s',
     'has_objective',
-    'check_admission',
 )
--- a/src/curranthill/dispatch/run_estimates.py
+++ b/src/curranthill/dispatch/run_estimates.py
@@ -65,7 +65,7 @@
         self._refreshed_s = now_s
         self.speeds.refresh()
         present = [session for session in sessions if not session.removed]
-        self.speeds.forget_except(one.worker_id for one in present)
+        self.speeds.retain(one.worker_id for one in present)
         self._log_deviating(present)
 
     def ratio_of(self, queue: str) -> float:
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -104,7 +104,7 @@
         """
         free = self.free
         if free.gpus < needs.gpus:
-            # Checked first: true of most workers of a full cluster.
+            # Checked first, as it rules out most workers of a full cluster.
             return False
         unclaimed = (
             self.unclaimed.plus(self.reserved) if starving else self.unclaimed
@@ -336,10 +336,10 @@
 
 __all__ = (
     'SPEED_LEVEL',
-    'WorkerCapacity',
     'ServiceCapacity',
+    'WorkerCapacity',
     'max_tasks',
     'max_tasks_once_free',
-    'speed_level',
     'resources_needed',
+    'speed_level',
 )
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -233,10 +233,10 @@
     'MAX_SKEW_S',
     'RACK_WAIT_FACTOR',
     'Fit',
+    'candidate_groups',
     'choose_group',
     'choose_workers',
     'release_all',
-    'candidate_groups',
-    'without_delaying_workers',
     'waits_for_rack',
+    'without_delaying_workers',
 )
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -1,7 +1,7 @@
 """Mechanisms of placement that can be disabled by name.
 
-This allows to measure each: its benefit is the difference between results of
-the same load with and without it.
+This allows measuring each: its benefit is the difference between the results
+of the same load with and without it.
 """
 
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 from curranthill.registry import Registry
 
-#: The mechanisms that can be disabled, and what each does.
+#: The mechanisms by name, with a description of each.
 mechanisms: Final[Registry[str]] = Registry(concern='mechanism')
 
 RESERVATION: Final = 'reservation'
@@ -62,17 +62,17 @@
 
 
 __all__ = (
-    'NONE_DISABLED',
     'BOUNDED_LOSS',
     'FAILURE_SCORE',
     'INFEASIBLE_LAST',
     'IN_TIME_FIRST',
+    'LOAD_SHEDDING',
+    'NONE_DISABLED',
     'RACK_WAIT',
     'RESERVATION',
     'SLOW_MOVES',
     'SPEEDS',
     'STALLED_MOVES',
-    'LOAD_SHEDDING',
-    'validate_mechanisms',
     'mechanisms',
+    'validate_mechanisms',
 )
--- a/src/curranthill/placement/order.py
+++ b/src/curranthill/placement/order.py
@@ -111,8 +111,8 @@
 
 __all__ = (
     'covered_jobs',
-    'infeasible_jobs',
     'in_service_order',
+    'infeasible_jobs',
     'is_urgent',
     'late_jobs',
 )
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -208,6 +208,9 @@
         urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
+        # A step equal to one that did not fit in this round is skipped, except
+        # for urgent work, which may preempt, starving jobs, which may use
+        # reserved capacity, and queues whose advisor allows other workers.
         may_skip = not (urgent or advised or self._is_starving(job))
         if may_skip and shape in self._not_fitting:
             return
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -260,8 +260,8 @@
 
 
 __all__ = (
-    'FILLING',
     'ASSIGNED',
+    'FILLING',
     'ORDERED',
     'PLAIN',
     'RUNNING',
--- a/src/curranthill/placement/speeds.py
+++ b/src/curranthill/placement/speeds.py
@@ -293,7 +293,7 @@
             return UNKNOWN
         return known
 
-    def forget_except(self, worker_ids: Iterable[str]) -> None:
+    def retain(self, worker_ids: Iterable[str]) -> None:
         """Drop all workers but these."""
         present = set(worker_ids)
         removed = [one for one in self._workers if one not in present]
--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -112,8 +112,8 @@
     'LATE',
     'MAX_LATE_FACTOR',
     'Timeliness',
+    'has_aged',
     'is_infeasible',
     'is_late',
-    'has_aged',
     'timeliness',
 )
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -156,7 +156,7 @@
         """The stored data is bounded by the number of workers."""
         load = Load([0.4, 1.0, 1.0, 1.0], 6)
         load.run(40)
-        load.estimator.forget_except(['w1', 'w2', 'w3'])
+        load.estimator.retain(['w1', 'w2', 'w3'])
         self.assertEqual(load.speed(0).steps, 0)
 
     def test_the_ratio_of_a_queue_is_learned(self) -> None:
