--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -98,7 +98,7 @@
     groups: Sequence[Sequence[WorkerCapacity]],
     required: RequiredSpeed = ANY,
 ) -> Fit:
-    """Choose workers of one group: the first without penalty, or the lowest.
+    """Choose workers of the first group without penalty, or the lowest one.
 
     One member on a worker that fails every task fails the whole gang, each
     time it is placed there, and one on a slow worker makes all of it late.
@@ -233,10 +233,10 @@
     'MAX_SKEW_S',
     'RACK_WAIT_FACTOR',
     'Fit',
+    'candidate_groups',
     'choose_group',
     'choose_workers',
     'release_all',
-    'candidate_groups',
-    'without_delaying_workers',
     'waits_for_rack',
+    'without_delaying_workers',
 )
