--- a/src/curranthill/dispatch/__init__.py
+++ b/src/curranthill/dispatch/__init__.py
@@ -5,7 +5,7 @@
 from curranthill.dispatch.feeds import WorkerFeed
 from curranthill.dispatch.leader import Leader
 from curranthill.dispatch.leadership import Leadership, LeadershipLostError
-from curranthill.dispatch.owner import ClosureSource
+from curranthill.dispatch.owner import ClosedDataCentreSource
 from curranthill.dispatch.rounds import RevisionSource
 from curranthill.dispatch.workers import (
     EndReport,
@@ -23,7 +23,7 @@
     'Advice',
     'Advisor',
     'AdvisorError',
-    'ClosureSource',
+    'ClosedDataCentreSource',
     'Election',
     'EndReport',
     'Leader',
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -4,7 +4,7 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.leadership import Leadership
-from curranthill.dispatch.owner import ClosureSource
+from curranthill.dispatch.owner import ClosedDataCentreSource
 from curranthill.dispatch.probing import ProbeLimiter
 from curranthill.dispatch.session import TOKENS_PER_EPOCH, WorkerSession
 from curranthill.dispatch.spawner import Spawner
@@ -49,7 +49,7 @@
     """Reads the tables at the start of a term, then follows their changes.
 
     :param leadership: the term, whose epoch determines the fencing tokens.
-    :param closures: the data centres in which nothing may start.
+    :param closed_data_centres: the data centres in which nothing may start.
     """
 
     def __init__(
@@ -63,10 +63,10 @@
         worker_feed: WorkerFeed,
         timing: Timing,
         leadership: Leadership,
-        closures: ClosureSource,
+        closed_data_centres: ClosedDataCentreSource,
     ) -> None:
         """Initialize the feeds before the first read."""
-        self._closures = closures
+        self._closed_data_centres = closed_data_centres
         self._probe_limiter = ProbeLimiter(clock=clock)
         self._store = store
         self._clock = clock
@@ -236,7 +236,7 @@
             timing=self._timing,
             token=token,
             previous_s=self._leadership.previous_s,
-            closures=self._closures,
+            closed_data_centres=self._closed_data_centres,
             probe_limiter=self._probe_limiter,
         )
         if previous is not None:
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -13,7 +13,7 @@
 from curranthill.dispatch.consistency import ConsistencyCheck
 from curranthill.dispatch.feeds import Feeds, WorkerFeed
 from curranthill.dispatch.leadership import Leadership, LeadershipLostError
-from curranthill.dispatch.owner import ClosureSource
+from curranthill.dispatch.owner import ClosedDataCentreSource
 from curranthill.dispatch.progress_writer import ProgressWriter
 from curranthill.dispatch.rounds import PlacementRounds, RevisionSource
 from curranthill.dispatch.spawner import Spawner
@@ -45,7 +45,7 @@
         worker_feed: WorkerFeed,
         timing: Timing,
         revision: RevisionSource,
-        closures: ClosureSource,
+        closed_data_centres: ClosedDataCentreSource,
         advisor: Advisor,
         disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
@@ -79,7 +79,7 @@
             worker_feed=worker_feed,
             timing=timing,
             leadership=leadership,
-            closures=closures,
+            closed_data_centres=closed_data_centres,
         )
         self._consistency = ConsistencyCheck(
             clock=clock,
--- a/src/curranthill/dispatch/owner.py
+++ b/src/curranthill/dispatch/owner.py
@@ -10,7 +10,7 @@
     from curranthill.dispatch.session import WorkerSession
 
 
-class ClosureSource(Protocol):
+class ClosedDataCentreSource(Protocol):
     """Provides the data centres that operators have closed."""
 
     def allows_starts(self, data_centre: str) -> bool:
@@ -59,4 +59,4 @@
         """Request another round of placement."""
 
 
-__all__ = ('ClosureSource', 'SessionOwner')
+__all__ = ('ClosedDataCentreSource', 'SessionOwner')
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -17,7 +17,7 @@
     is_lost,
 )
 from curranthill.dispatch.lease import Lease
-from curranthill.dispatch.owner import ClosureSource, SessionOwner
+from curranthill.dispatch.owner import ClosedDataCentreSource, SessionOwner
 from curranthill.dispatch.probing import ProbeLimiter
 from curranthill.dispatch.run_list import RunList
 from curranthill.dispatch.unused import (
@@ -98,7 +98,7 @@
         timing: Timing,
         token: int,
         previous_s: float,
-        closures: ClosureSource,
+        closed_data_centres: ClosedDataCentreSource,
         probe_limiter: ProbeLimiter,
     ) -> None:
         """Initialize the session of a worker that has not responded yet.
@@ -120,7 +120,7 @@
         self.rejected_s = -REJECTION_PAUSE_S
         self._worker = worker
         self._owner = owner
-        self._closures = closures
+        self._closed_data_centres = closed_data_centres
         self._probe_limiter = probe_limiter
         self._clock = clock
         self._token = token
@@ -152,7 +152,9 @@
     def unused_reason(self) -> UnusedReason | None:
         """Return why no new task may be placed here, if so."""
         rejected_s = self._clock.monotonic_s() - self.rejected_s
-        open_here = self._closures.allows_starts(self.entry.data_centre)
+        open_here = self._closed_data_centres.allows_starts(
+            self.entry.data_centre
+        )
         reasons: dict[UnusedReason, bool] = {
             REMOVED: self.removed,
             DRAINING: self.entry.leaving,
@@ -229,7 +231,9 @@
                 reason = 'worker leaving' if draining else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
                 return
-            if not self._closures.allows_starts(self.entry.data_centre):
+            if not self._closed_data_centres.allows_starts(
+                self.entry.data_centre
+            ):
                 # The data centre was closed while the start was queued.
                 self._run_list.drop_absent(run, 'data centre closed')
                 return
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -234,7 +234,7 @@
             worker_feed=RegisteredWorkers(),
             timing=self._settings.timing,
             revision=self._revisions,
-            closures=self._closed_data_centres,
+            closed_data_centres=self._closed_data_centres,
             advisor=PlatformAdvisor(
                 caller=self._caller,
                 address=self._settings.advisor_address,
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -471,7 +471,7 @@
             clock=self.clock,
         )
         self.health = StoreHealth(clock=self.clock)
-        self.closures = ClosedDataCentres(
+        self.closed_data_centres = ClosedDataCentres(
             clock=self.clock,
             decode=decode_closure,
             cease_s=Timing().evacuate_s,
@@ -482,7 +482,7 @@
             holder=name,
             lead=self._lead,
             health=self.health,
-            operator_rows=self.closures,
+            operator_rows=self.closed_data_centres,
             others=lambda: domain.others,
         )
         self.handler = JobHandler(
@@ -493,7 +493,7 @@
         )
         self._tasks = (
             asyncio.ensure_future(self.election.run()),
-            asyncio.ensure_future(self._follow_closures()),
+            asyncio.ensure_future(self._follow_closed_data_centres()),
         )
 
     @property
@@ -518,7 +518,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _follow_closures(self) -> None:
+    async def _follow_closed_data_centres(self) -> None:
         follower = TableFollower(
             store=OperatorRows(
                 store=self._store,
@@ -527,9 +527,9 @@
             ),
             clock=self.clock,
             table=OPERATOR_TABLE,
-            on_snapshot=self.closures.replace_all,
-            on_changes=self.closures.apply_changes,
-            on_confirmed=self.closures.confirm,
+            on_snapshot=self.closed_data_centres.replace_all,
+            on_changes=self.closed_data_centres.apply_changes,
+            on_confirmed=self.closed_data_centres.confirm,
         )
         await follower.read()
         await follower.follow()
@@ -546,7 +546,7 @@
             worker_feed=ListedWorkers(),
             timing=Timing(),
             revision=FixedRevision(),
-            closures=self.closures,
+            closed_data_centres=self.closed_data_centres,
             advisor=self._domain.advisor,
             disabled=self._domain.disabled,
         )
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -198,18 +198,20 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            self.assertTrue(host.closures.allows_starts('dc'))
+            self.assertTrue(host.closed_data_centres.allows_starts('dc'))
             host.clock.suspend()
             domain.close_data_centre('dc')
             await domain.clock.advance(10)
-            self.assertFalse(host.closures.allows_starts('dc'))
-            self.assertFalse(host.closures.allows_starts('elsewhere'))
+            self.assertFalse(host.closed_data_centres.allows_starts('dc'))
+            self.assertFalse(
+                host.closed_data_centres.allows_starts('elsewhere')
+            )
             host.clock.resume()
             await domain.clock.until(
-                lambda: host.closures.allows_starts('elsewhere'),
+                lambda: host.closed_data_centres.allows_starts('elsewhere'),
                 within_s=2.0,
             )
-            self.assertFalse(host.closures.allows_starts('dc'))
+            self.assertFalse(host.closed_data_centres.allows_starts('dc'))
 
         in_domain(case)
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -141,7 +141,7 @@
         timing=Timing(),
         token=1,
         previous_s=0.0,
-        closures=AllOpen(),
+        closed_data_centres=AllOpen(),
         probe_limiter=ProbeLimiter(clock=clock),
     )
 
