--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -116,7 +116,7 @@
         if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
         metrics.runs_lost.add(1)
-        job.update_suspect(run.key)
+        job.record_losses(run.key)
         self._log_and_check(job, run, reason)
 
     def resolve(self, run: Run, *, crashed: bool) -> None:
@@ -127,11 +127,11 @@
             return
         if not crashed:
             task.losses = max(0, task.losses - 1)
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._writer.record(job)
         elif run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._log_and_check(job, run, 'crashed after all')
 
     def clear_if_perpetual(self, run: Run) -> None:
@@ -143,7 +143,7 @@
         if task.losses:
             task.losses = 0
             task.prompt_crashes = 0
-            job.update_suspect(run.key)
+            job.record_losses(run.key)
             self._writer.record(job)
 
     def _log_and_check(self, job: ActiveJob, run: Run, reason: str) -> None:
--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -8,7 +8,7 @@
     Forecast,
     Refusal,
     check_admission,
-    retry_delay_s,
+    retry_after_s,
 )
 from curranthill.clock import Clock, wait_at_most
 from curranthill.errors import (
@@ -85,11 +85,11 @@
         store: RowStore,
         clock: Clock,
         health: StoreHealth,
-        outlooks: ForecastSource,
+        forecasts: ForecastSource,
     ) -> None:
         """Initialize with the store and what admission depends on."""
         self._health = health
-        self._forecasts = outlooks
+        self._forecasts = forecasts
         self._store = store
         self._clock = clock
 
@@ -297,7 +297,7 @@
             step='admit',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=refusal.retry_delay_s + jitter_s,
+            retry_after_s=refusal.retry_after_s + jitter_s,
             peer='leader',
         )
 
@@ -322,7 +322,7 @@
             step='accept',
             status=503,
             outcome=NOT_RUN,
-            retry_after_s=retry_delay_s(
+            retry_after_s=retry_after_s(
                 spec,
                 jitter_s=random.uniform(-RETRY_JITTER_S, RETRY_JITTER_S),
             ),
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -1,4 +1,4 @@
-"""One round of placement: which tasks start where, and what is stopped."""
+"""One round of placement: which tasks start where, and which runs stop."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -10,23 +10,23 @@
     WorkerCapacity,
     resources_needed,
 )
-from curranthill.placement.evictions import Eviction, Evictions
+from curranthill.placement.evictions import Eviction, EvictionFinder
 from curranthill.placement.fitting import (
     Fit,
+    candidate_groups,
     choose_group,
-    give_back,
-    groups_of,
-    in_time,
+    release_all,
     waits_for_rack,
+    without_delaying_workers,
 )
 from curranthill.placement.jobs import ActiveJob, ReadyStep
-from curranthill.placement.losses import Losses
+from curranthill.placement.lost_work import LostWork
 from curranthill.placement.mechanisms import (
     BOUNDED_LOSS,
     IN_TIME_FIRST,
     INFEASIBLE_LAST,
     NONE_DISABLED,
-    RACK_PATIENCE,
+    RACK_WAIT,
     RESERVATION,
 )
 from curranthill.placement.order import (
@@ -36,10 +36,14 @@
     is_urgent,
     late_jobs,
 )
-from curranthill.placement.paces import ANY, Pace, pace_of
+from curranthill.placement.required_speed import (
+    ANY,
+    RequiredSpeed,
+    required_speed,
+)
 from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
-    RESERVATIONS,
+    MAX_RESERVATIONS,
     find_workers_to_reserve,
     reserve,
     wait_for_capacity_s,
@@ -49,16 +53,19 @@
 from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: An urgent job that no guarantee covers may throw away at most so many times
-#: its own work: more of it would serve others worse than it serves its caller.
-MOST_LOSS_SHARE: Final = 3.0
+#: An urgent job that no guarantee covers may destroy at most so many times its
+#: own work: beyond that, others lose more than its caller gains.
+MAX_LOSS_FACTOR: Final = 3.0
 
-#: The rooms of a service that has no workers.
-_NO_WORKERS: Final = ServiceCapacity(workers=())
+#: The capacity of a service without workers.
+_NO_CAPACITY: Final = ServiceCapacity(workers=())
 
 
 class Placement(NamedTuple):
-    """Tasks of one step that start now; gangs are placed whole."""
+    """Tasks of one step that start now; a gang is placed as a whole.
+
+    :param workers: the tasks and the ids of their workers.
+    """
 
     job: ActiveJob
     ready: ReadyStep
@@ -66,12 +73,13 @@
 
 
 class Plan(NamedTuple):
-    """What one round decided.
+    """The decisions of one round.
 
-    :param stopped_for: for each of the victims, the id of the job that its
-        room goes to.
-    :param reserved_for: the ids of the jobs that room is kept for, by
-        reservation or after a preemption, in the order of their turn.
+    :param victims: the runs to stop.
+    :param stopped_for: for each of the victims, the id of the job that it is
+        stopped for.
+    :param reserved_for: the ids of the jobs that have capacity reserved or
+        claimed after a preemption, in the order in which they are served.
     """
 
     placements: tuple[Placement, ...]
@@ -80,21 +88,21 @@
     reserved_for: tuple[str, ...] = ()
 
 
-def as_estimated(queue: str) -> float:
-    """Return the ratio of run time to estimate of which nothing is known."""
+def ratio_of_one(queue: str) -> float:
+    """Return 1, the ratio of run time to estimate of an unknown queue."""
     return 1.0
 
 
 class Planner:
-    """One round of decisions over a snapshot.
+    """One round of decisions on a snapshot.
 
-    :param workers: the workers that accept work, by service.
+    :param workers: the capacity of the workers that accept work, by service.
     :param guaranteed: guaranteed accelerators by workspace.
     :param now_s: wall-clock seconds.
-    :param tickets: returns a step's good tickets by worker; asked only for
+    :param tickets: returns a step's valid tickets by worker; called only for
         queues with an advisor.
-    :param windows: who keeps room for how long, over all rounds.
-    :param backlog: where a long backlog is gone on with, over all rounds.
+    :param windows: the reservation windows, shared by all rounds.
+    :param backlog: the position in a long backlog, shared by all rounds.
     :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
     """
@@ -109,9 +117,9 @@
         windows: ReservationWindows | None = None,
         backlog: BacklogCursor | None = None,
         disabled: frozenset[str] = NONE_DISABLED,
-        ratio_of: Callable[[str], float] = as_estimated,
+        ratio_of: Callable[[str], float] = ratio_of_one,
     ) -> None:
-        """Keep the snapshot."""
+        """Initialize a round in which nothing is decided."""
         self._ratio_of = ratio_of
         self._tickets = tickets
         self._windows = windows or ReservationWindows()
@@ -126,27 +134,31 @@
             for found in workers.values()
             for worker in found
         }
-        self._unlike = len({one.speed for one in self._workers.values()}) > 1
+        self._speeds_differ = (
+            len({one.speed for one in self._workers.values()}) > 1
+        )
         self._guaranteed = guaranteed
         self._now_s = now_s
-        self._evictions = Evictions(losses=Losses(jobs=()))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=()))
         self._placements: list[Placement] = []
         self._victims: list[Run] = []
         self._stopped_for: list[str] = []
         self._reserved_for: dict[str, None] = {}
         self._covered: set[str] = set()
         self._infeasible: set[str] = set()
-        self._too_large: set[tuple[str, Step]] = set()
-        self._mostly_free: dict[str, bool] = {}
-        self._reservations = 0 if RESERVATION in disabled else RESERVATIONS
+        self._not_fitting: set[tuple[str, Step]] = set()
+        self._free_services: dict[str, bool] = {}
+        self._reservations_left = (
+            0 if RESERVATION in disabled else MAX_RESERVATIONS
+        )
 
     def plan(self, jobs: Iterable[ActiveJob]) -> Plan:
         """Return the decisions for all jobs, in any order."""
         known = list(jobs)
         waiting = [job for job in known if not job.ended]
-        self._evictions = Evictions(losses=Losses(jobs=known))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
-        later = self._place_first(self._in_service_order(waiting))
+        later = self._place_first_jobs(self._in_service_order(waiting))
         for job in self._backlog.take(later):
             self._place_job(job)
         return Plan(
@@ -156,17 +168,19 @@
             tuple(self._reserved_for),
         )
 
-    def _place_first(self, jobs: Sequence[ActiveJob]) -> Sequence[ActiveJob]:
-        """Look at the first jobs that may start; return the others."""
-        looked_at = 0
+    def _place_first_jobs(
+        self, jobs: Sequence[ActiveJob]
+    ) -> Sequence[ActiveJob]:
+        """Place the first jobs that may start; return the others."""
+        considered = 0
         for number, job in enumerate(jobs):
-            if looked_at >= JOBS_PER_ROUND:
+            if considered >= JOBS_PER_ROUND:
                 return jobs[number:]
-            looked_at += self._place_job(job)
+            considered += self._place_job(job)
         return ()
 
     def _place_job(self, job: ActiveJob) -> bool:
-        """Place what may start of a job; return whether anything may."""
+        """Place the ready steps of a job; return whether it has any."""
         ready_steps = list(job.ready_steps(self._now_s))
         for ready in ready_steps:
             self._place_step(job, self._with_tickets(job, ready))
@@ -190,31 +204,33 @@
         return ready._replace(tickets=self._tickets(job, ready))
 
     def _place_step(self, job: ActiveJob, ready: ReadyStep) -> None:
-        # A task that lasts must be at work again soon, however full all is.
+        # A perpetual task must run again soon, also on a full cluster.
         urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
-        may_skip = not (urgent or advised or self._starves(job))
-        if may_skip and shape in self._too_large:
+        may_skip = not (urgent or advised or self._is_starving(job))
+        if may_skip and shape in self._not_fitting:
             return
         groups = self._groups(job, ready)
-        pace = self._pace(job, ready)
-        chosen = self._choose(job, ready, groups, pace)
-        if urgent and _is_held_up(ready, chosen, pace):
-            give_back(ready, chosen)
-            if self._make_way(job, ready, in_time(groups, pace)):
+        required = self._required_speed(job, ready)
+        chosen = self._choose(job, ready, groups, required)
+        if urgent and _is_delayed(ready, chosen, required):
+            release_all(ready, chosen)
+            if self._preempt_for_speed(
+                job, ready, without_delaying_workers(groups, required)
+            ):
                 return
-            chosen = choose_group(ready, groups, pace)
+            chosen = choose_group(ready, groups, required)
         self._place(job, ready, chosen)
-        missing = ready.tasks[len(chosen) :]
-        if not missing or ready.exclusive:
+        remaining = ready.tasks[len(chosen) :]
+        if not remaining or ready.exclusive:
             return
         if urgent:
-            self._preempt_for(job, ready, missing, groups, pace)
+            self._preempt_for_capacity(job, ready, remaining, groups, required)
             return
         if not advised:
-            self._too_large.add(shape)
-        if ready.step.gang and self._reservations:
+            self._not_fitting.add(shape)
+        if ready.step.gang and self._reservations_left:
             self._reserve(job, ready, groups)
 
     def _choose(
@@ -222,35 +238,35 @@
         job: ActiveJob,
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
-        pace: Pace,
+        required: RequiredSpeed,
     ) -> Fit:
-        """Take rooms, also ones that are kept if a job starves otherwise.
+        """Choose workers; for a starving job also reserved capacity.
 
-        None are taken for suspects that have their share of workers.
+        None are chosen for suspects if these have their share of workers.
         """
-        chosen = choose_group(ready, groups, pace)
+        chosen = choose_group(ready, groups, required)
         if ready.exclusive and chosen and self._too_many_exclusive(job):
-            give_back(ready, chosen)
+            release_all(ready, chosen)
             chosen = []
-        if chosen or not self._starves(job):
+        if chosen or not self._is_starving(job):
             return chosen
-        return choose_group(ready._replace(starving=True), groups, pace)
+        return choose_group(ready._replace(starving=True), groups, required)
 
-    def _starves(self, job: ActiveJob) -> bool:
+    def _is_starving(self, job: ActiveJob) -> bool:
         if job.idle_s(self._now_s) < MAX_IDLE_S:
             return False
         service = job.spec.queue.service
-        if service not in self._mostly_free:
-            workers = self._services.get(service, _NO_WORKERS).workers
-            self._mostly_free[service] = is_mostly_free(workers)
-        return self._mostly_free[service]
+        if service not in self._free_services:
+            workers = self._services.get(service, _NO_CAPACITY).workers
+            self._free_services[service] = is_mostly_free(workers)
+        return self._free_services[service]
 
     def _too_many_exclusive(self, job: ActiveJob) -> bool:
         workers = self._services[job.spec.queue.service].workers
         held = sum(worker.held_exclusively for worker in workers)
         return held > math.ceil(EXCLUSIVE_SHARE * len(workers))
 
-    def _workers_of(self, job: ActiveJob) -> int:
+    def _count_workers(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
         return len(self._services[job.spec.queue.service].workers)
 
@@ -260,7 +276,7 @@
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
     ) -> None:
-        """Keep room for a gang that does not fit now, if it is its turn."""
+        """Reserve capacity for a gang that does not fit, within its window."""
         workers = find_workers_to_reserve(ready, groups)
         if not workers:
             return
@@ -272,8 +288,8 @@
             wait_for_capacity_s(workers),
         )
         if may_reserve:
-            self._reservations -= 1
-            reserve(ready, workers, of_workers=self._workers_of(job))
+            self._reservations_left -= 1
+            reserve(ready, workers, total_workers=self._count_workers(job))
             self._reserved_for[job.spec.job_id] = None
 
     def _may_preempt(self, job: ActiveJob) -> bool:
@@ -287,81 +303,87 @@
             )
             self._placements.append(Placement(job, ready, workers))
 
-    def _pace(self, job: ActiveJob, ready: ReadyStep) -> Pace:
-        """Return what a step asks of its workers, if they differ at all."""
-        if not self._unlike:
+    def _required_speed(
+        self, job: ActiveJob, ready: ReadyStep
+    ) -> RequiredSpeed:
+        """Return the speed that a step requires, if workers differ at all."""
+        if not self._speeds_differ:
             return ANY
         ratio = self._ratio_of(job.spec.queue.name)
-        return pace_of(job, ready, ratio, self._now_s)
+        return required_speed(job, ready, ratio, self._now_s)
 
     def _groups(
         self,
         job: ActiveJob,
         ready: ReadyStep,
     ) -> list[Sequence[WorkerCapacity]]:
-        """Return the sets of rooms that a step may be placed in, best first."""
-        workers = self._services.get(job.spec.queue.service, _NO_WORKERS)
+        """Return the sets of workers that a step may use, best first."""
+        workers = self._services.get(job.spec.queue.service, _NO_CAPACITY)
         if ready.tickets is not None:
             workers = workers.limited_to(ready.tickets)
-        return groups_of(
+        return candidate_groups(
             ready, workers, wait_for_rack=self._waits_for_rack(job, ready)
         )
 
     def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
-        """Return whether a job goes on waiting for the right rack."""
-        if RACK_PATIENCE in self._disabled:
+        """Return whether a job continues to wait for the right rack."""
+        if RACK_WAIT in self._disabled:
             return False
         return waits_for_rack(job, ready, self._now_s)
 
-    def _make_way(
+    def _preempt_for_speed(
         self,
         job: ActiveJob,
         ready: ReadyStep,
         groups: list[Sequence[WorkerCapacity]],
     ) -> bool:
-        """Stop others so that an urgent gang ends in time, once for a step.
+        """Preempt others so that an urgent gang ends in time, once for a step.
 
-        On the slow workers that are free it would run in vain, so that is what
-        may be thrown away for it. Afterwards it waits only for what is being
-        stopped already.
+        On the slow workers that are free its own work would be wasted, so it
+        may destroy as much of others. Afterwards it waits only for runs that
+        are already being stopped.
         """
         step = ready.step
         tasks = len(ready.tasks)
-        most_loss = min(
-            _work(step, tasks),
-            self._most_loss(job, step, tasks),
+        max_loss = min(
+            _work_core_s(step, tasks),
+            self._max_loss(job, step, tasks),
         )
-        best = self._best_eviction(ready.tasks, step, groups, most_loss)
+        best = self._best_eviction(ready.tasks, step, groups, max_loss)
         # Only an eviction with victims uses up the step's one preemption.
         if best is None or (best.victims and not job.claim_preemption(ready)):
             return False
         self._evict(best, job, resources_needed(step))
         return True
 
-    def _preempt_for(
+    def _preempt_for_capacity(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        missing: tuple[TaskKey, ...],
+        remaining: tuple[TaskKey, ...],
         groups: list[Sequence[WorkerCapacity]],
-        pace: Pace,
+        required: RequiredSpeed,
     ) -> None:
-        """Stop what is needed for urgent tasks, and keep what gets free."""
-        needed = [missing] if ready.step.gang else [(key,) for key in missing]
-        for tasks in needed:
-            most_loss = self._most_loss(job, ready.step, len(tasks))
-            best = self._best_eviction(tasks, ready.step, groups, most_loss)
+        """Preempt runs for urgent tasks, and claim what gets free."""
+        batches = (
+            [remaining] if ready.step.gang else [(key,) for key in remaining]
+        )
+        for tasks in batches:
+            max_loss = self._max_loss(job, ready.step, len(tasks))
+            best = self._best_eviction(tasks, ready.step, groups, max_loss)
             if best is None:
-                # The tasks that are left need the same.
+                # The remaining tasks need as much.
                 return
-            if pace.is_met_somewhere and any(map(pace.holds_up, best.workers)):
-                work_core_s = _work(ready.step, len(tasks))
+            if required.is_met_by_typical and any(
+                map(required.delays_gang, best.workers)
+            ):
+                work_core_s = _work_core_s(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
                         tasks,
                         ready.step,
-                        in_time(groups, pace),
-                        min(most_loss, MOST_LOSS_SHARE * work_core_s),
+                        without_delaying_workers(groups, required),
+                        min(max_loss, MAX_LOSS_FACTOR * work_core_s),
                     )
                     or best
                 )
@@ -372,25 +394,25 @@
         tasks: tuple[TaskKey, ...],
         step: Step,
         groups: list[Sequence[WorkerCapacity]],
-        most_loss: float,
+        max_loss: float,
     ) -> Eviction | None:
-        """Return the eviction of the least loss over all groups, if any."""
+        """Return the eviction with the least loss over all groups, if any."""
         best: Eviction | None = None
         for group in groups:
-            found = self._evictions.cheapest(tasks, step, group, most_loss)
+            found = self._eviction_finder.cheapest(tasks, step, group, max_loss)
             if found is not None and (best is None or found.loss < best.loss):
                 best = found
-                most_loss = found.loss
+                max_loss = found.loss
         return best
 
-    def _most_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
-        """Return the most work that room for tasks may throw away."""
+    def _max_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
+        """Return the most work that may be lost for tasks, in core-seconds."""
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
         if BOUNDED_LOSS in self._disabled:
             return math.inf
-        return MOST_LOSS_SHARE * _work(step, tasks)
+        return MAX_LOSS_FACTOR * _work_core_s(step, tasks)
 
     def _evict(
         self,
@@ -409,16 +431,16 @@
             claimed.claim(needs)
 
 
-def _work(step: Step, tasks: int) -> float:
+def _work_core_s(step: Step, tasks: int) -> float:
     """Return the work of so many tasks of a step, in core-seconds."""
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
-def _is_held_up(ready: ReadyStep, chosen: Fit, pace: Pace) -> bool:
-    """Return whether slow workers make a gang late that could be in time."""
-    if not ready.step.gang or not pace.is_met_somewhere:
+def _is_delayed(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
+    """Return whether slow workers make a gang late that can be in time."""
+    if not ready.step.gang or not required.is_met_by_typical:
         return False
-    return any(pace.holds_up(worker) for _, worker in chosen)
+    return any(required.delays_gang(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
