--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -76,7 +76,7 @@
 
 
 def _no_others() -> int:
-    """Return 0, for hosts that are not told of others."""
+    """Return 0, for a host without a view of the others."""
     return 0
 
 
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -81,7 +81,7 @@
 
 
 class _LargestFree:
-    """Computes the largest free capacity; called only after a long wait."""
+    """Computes the largest free capacity, only if jobs wait for long."""
 
     def __init__(self, sessions: list[WorkerSession]) -> None:
         self._sessions = sessions
--- a/src/curranthill/dispatch/run_estimates.py
+++ b/src/curranthill/dispatch/run_estimates.py
@@ -77,7 +77,7 @@
         return self.speeds.speed_of(session.worker_id, session.incarnation)
 
     def _log_deviating(self, sessions: Iterable['WorkerSession']) -> None:
-        """Log each worker that starts or stops to deviate in speed."""
+        """Log each worker that starts or stops deviating in speed."""
         deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -28,7 +28,7 @@
 
 
 class RunList:
-    """All runs that may exist at a worker, and how far its ends are recorded.
+    """All runs that may exist at a worker, and which of its ends are recorded.
 
     :param runs: by task and attempt.
     :param ends: of the worker's current incarnation.
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -88,12 +88,12 @@
             for job, ready in waiting:
                 urgent = not job.spec.queue.priority
                 service_capacities = capacities.get(job.spec.queue.service, [])
-                kept_for = self._others_of(job, reserved_for)
+                other_jobs = self._others_of(job, reserved_for)
                 reason = waiting_reason(
                     ready,
                     service_capacities,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
-                    reserved=bool(kept_for),
+                    reserved=bool(other_jobs),
                     advised=job.spec.queue.advisor,
                     wait_for_rack=waits_for_rack(
                         job, ready, self._clock.wall_s()
@@ -103,7 +103,7 @@
                     job,
                     ready,
                     reason,
-                    kept_for if reason == RESERVED else (),
+                    other_jobs if reason == RESERVED else (),
                     self._count_workers(job, service_capacities),
                 )
 
@@ -195,7 +195,7 @@
         job: ActiveJob,
         ready: ReadyStep,
         reason: str,
-        kept_for: Sequence[str],
+        other_jobs: Sequence[str],
         counts: WorkerCounts,
     ) -> None:
         spec = job.spec
@@ -207,7 +207,7 @@
             step=ready.number,
             tasks=len(ready.tasks),
             waits_for=reason,
-            kept_for=kept_for[:MAX_NAMED_JOBS],
+            kept_for=other_jobs[:MAX_NAMED_JOBS],
             workers_listed=counts.listed,
             workers_usable=counts.usable,
             workers_empty=counts.empty,
