--- a/src/curranthill/scheduler/reservation_windows.py
+++ b/src/curranthill/scheduler/reservation_windows.py
@@ -68,7 +68,7 @@
         for name in workers:
             self._windows.pop(name, None)
 
-    def drop_except(self, reserved: frozenset[str], now_s: float) -> None:
+    def retain(self, reserved: frozenset[str], now_s: float) -> None:
         """Drop windows that are over, and open ones of unreserved workers."""
         for name, window in list(self._windows.items()):
             unused = name not in reserved and not window.in_cooldown(now_s)
--- a/src/curranthill/scheduler/reservations.py
+++ b/src/curranthill/scheduler/reservations.py
@@ -61,7 +61,7 @@
     def clear(self, now_s: float) -> None:
         """Drop all reservations; windows and cooldowns of workers continue."""
         reserved = [one.workers for one in self._reservations.values()]
-        self._windows.drop_except(frozenset().union(*reserved), now_s)
+        self._windows.retain(frozenset().union(*reserved), now_s)
         self._reservations.clear()
 
     def on_placed(self, job_id: str, members: Iterable[Member]) -> None:
