--- a/bench/processes.py
+++ b/bench/processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib import request as http
 
-from curranthill.configuration import checked, merge, read_folder
+from curranthill.configuration import merge, read_folder, validate_document
 
 HOST = '127.0.0.1'
 
@@ -80,7 +80,7 @@
         """Write nothing and start nothing yet."""
         self.work = work
         self.folder = folder
-        self.document = checked(merge(read_folder(folder).contents))
+        self.document = validate_document(merge(read_folder(folder).contents))
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.gateways: list[str] = []
         self.standin = f'http://{HOST}:{free_port()}'
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -18,7 +18,7 @@
 import aiohttp
 
 from bench.processes import ROOT, Processes, get_json
-from curranthill.configuration import digest_of
+from curranthill.configuration import sha256_hex
 
 WATCH_S = 12.0
 FILL_S = 150.0
@@ -69,7 +69,7 @@
         },
         'workspaces': {
             f'team-{team}': {
-                'token_digests': [digest_of(f'demo-team-{team}'.encode())],
+                'token_digests': [sha256_hex(f'demo-team-{team}'.encode())],
                 'guarantees': [
                     {'shape': 'block', 'count': 1, 'data_centre': 'dc'},
                 ],
--- a/src/curranthill/commands/configuration.py
+++ b/src/curranthill/commands/configuration.py
@@ -21,10 +21,10 @@
     Json,
     RevisionStore,
     canonical_json,
-    checked,
-    digest_of,
     merge,
     read_folder,
+    sha256_hex,
+    validate_document,
 )
 from curranthill.errors import CurranthillError
 from curranthill.settings import OperatorSettings
@@ -52,7 +52,7 @@
     """Check a folder: each file, the merge and all cross checks."""
     merged = _merged(folder)
     try:
-        checked(merged)
+        validate_document(merged)
     except CurranthillError as error:
         fail(error.message)
     typer.echo('The folder is in order.')
@@ -69,7 +69,7 @@
 ) -> None:
     """Print the merged document as canonical JSON."""
     content = canonical_json(_merged(folder))
-    typer.echo(digest_of(content) if digest else content.decode())
+    typer.echo(sha256_hex(content) if digest else content.decode())
 
 
 @app.command(epilog=EPILOG)
@@ -83,8 +83,8 @@
     merged = _merged(folder)
 
     async def in_force(store: RevisionStore) -> Json:  # noqa: WPS430
-        manifest = await store.manifest()
-        return await store.document(manifest) if manifest.revision else {}
+        manifest = await store.read_manifest()
+        return await store.read_document(manifest) if manifest.revision else {}
 
     before = _with_store(settings, in_force)
     rows = _differences(before, merged, '')
@@ -115,10 +115,10 @@
     contents = _read(folder)
 
     async def replace(store: RevisionStore) -> int:  # noqa: WPS430
-        manifest = await store.manifest()
+        manifest = await store.read_manifest()
         change: dict[str, bytes | None] = dict.fromkeys(manifest.files)
         change.update(contents)
-        applied = await store.change(change, getpass.getuser())
+        applied = await store.apply(change, getpass.getuser())
         return applied.revision
 
     typer.echo(f'Revision {_with_store(settings, replace)} is in force.')
@@ -140,7 +140,7 @@
                 len(manifest.files),
                 manifest.merged[:12],
             )
-            for manifest in await store.history()
+            for manifest in await store.read_history()
         ]
 
     show_table(
@@ -152,7 +152,7 @@
 
 def _change(settings: Path, change: dict[str, bytes | None]) -> None:
     async def put(store: RevisionStore) -> int:  # noqa: WPS430
-        applied = await store.change(change, getpass.getuser())
+        applied = await store.apply(change, getpass.getuser())
         return applied.revision
 
     typer.echo(f'Revision {_with_store(settings, put)} is in force.')
--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -15,9 +15,9 @@
 from curranthill.configuration import (
     ConfigurationDocument,
     RevisionStore,
-    checked,
     merge,
     read_folder,
+    validate_document,
 )
 from curranthill.gateway.daemon import GatewayDaemon
 from curranthill.load.measures import fragmentation
@@ -67,7 +67,9 @@
         """Read the folder; nothing runs yet."""
         self.name = folder.parent.name
         self.contents = read_folder(folder).contents
-        self.document: ConfigurationDocument = checked(merge(self.contents))
+        self.document: ConfigurationDocument = validate_document(
+            merge(self.contents)
+        )
         self.standin = StandinServer(
             clock=SystemClock(),
             sites=sites_of(self.document),
@@ -133,7 +135,7 @@
             platform=gateway.node.platform,
             clock=SystemClock(),
         )
-        await store.change(self.contents, 'demo')
+        await store.apply(self.contents, 'demo')
 
     async def _wait_ready(self) -> None:
         """Wait until each data centre has a leader and the revision."""
--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -15,7 +15,7 @@
 from curranthill.jobs import JobStore, birth_of
 from curranthill.protocol import Channels, inner_pb2
 from curranthill.protocol.calls import call_drain, call_explain, call_status
-from curranthill.settings import OperatorSettings, shared_key
+from curranthill.settings import OperatorSettings, read_shared_key
 from curranthill.storage import Platform, platforms
 
 CALL_TIMEOUT_S = 2.0
@@ -180,7 +180,7 @@
             platform=platforms.get(settings.platform.client)(
                 settings.platform.url,
             ),
-            channels=Channels(key=shared_key(settings.key_file)),
+            channels=Channels(key=read_shared_key(settings.key_file)),
         )
         try:
             return await work(tools)
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -8,7 +8,7 @@
 from curranthill.application import Application
 from curranthill.clock import SystemClock
 from curranthill.commands.daemons import EPILOG, Version, run_daemon
-from curranthill.configuration import checked, merge, read_folder
+from curranthill.configuration import merge, read_folder, validate_document
 from curranthill.configuration.records import ConfigurationDocument
 from curranthill.settings import LogSettings
 from curranthill.standin import SiteEntry, StandinServer
@@ -70,7 +70,7 @@
 
     For tests, demos and load only: nothing is kept.
     """
-    document = checked(merge(read_folder(folder).contents))
+    document = validate_document(merge(read_folder(folder).contents))
     options = StandinOptions(
         sites=sites_of(document),
         host=host,
--- a/src/curranthill/configuration/__init__.py
+++ b/src/curranthill/configuration/__init__.py
@@ -1,14 +1,13 @@
 """The operators' folder, its merge, its checks and its revisions."""
 
-from curranthill.configuration.checks import checked, fits
+from curranthill.configuration.active import ActiveConfiguration
 from curranthill.configuration.folder import (
     Folder,
     canonical_json,
-    digest_of,
     merge,
     read_folder,
+    sha256_hex,
 )
-from curranthill.configuration.holder import ConfigurationHolder
 from curranthill.configuration.records import (
     ANYWHERE,
     IN_RACK,
@@ -27,14 +26,15 @@
     Workspace,
 )
 from curranthill.configuration.revisions import RevisionStore
+from curranthill.configuration.validation import shape_fits, validate_document
 
 __all__ = (
     'ANYWHERE',
     'IN_RACK',
     'ON_WORKER',
+    'ActiveConfiguration',
     'Adjacency',
     'ConfigurationDocument',
-    'ConfigurationHolder',
     'DataCentre',
     'Folder',
     'Guarantee',
@@ -48,9 +48,9 @@
     'Shape',
     'Workspace',
     'canonical_json',
-    'checked',
-    'digest_of',
-    'fits',
     'merge',
     'read_folder',
+    'sha256_hex',
+    'shape_fits',
+    'validate_document',
 )
--- a/src/curranthill/configuration/holder.py
+++ b/src/curranthill/configuration/active.py
@@ -4,8 +4,7 @@
 
 from loguru import logger
 
-from curranthill.configuration.checks import checked
-from curranthill.configuration.folder import canonical_json, digest_of
+from curranthill.configuration.folder import canonical_json, sha256_hex
 from curranthill.configuration.records import (
     ConfigurationDocument,
     Json,
@@ -13,13 +12,14 @@
     Manifest,
     Workspace,
 )
+from curranthill.configuration.validation import validate_document
 from curranthill.errors import ConfigurationError
 from curranthill.telemetry import metrics
 
 Listener = Callable[[], None]
 
 
-class ConfigurationHolder:
+class ActiveConfiguration:
     """Hold the revision in force and tell those who listen of a new one.
 
     A request keeps the document that it began with; the holder replaces its
@@ -43,7 +43,7 @@
         """Call ``listener`` after each move."""
         self._listeners.append(listener)
 
-    def move(self, manifest: Manifest, merged: Json) -> bool:
+    def activate(self, manifest: Manifest, merged: Json) -> bool:
         """Put a higher revision in force; return whether it was taken.
 
         A lower or equal one changes nothing. One whose content is not what
@@ -81,7 +81,7 @@
 
     def workspace_of(self, token: str) -> tuple[str, Workspace] | None:
         """Return the workspace that a bearer token belongs to."""
-        name = self._workspaces_by_token.get(digest_of(token.encode()))
+        name = self._workspaces_by_token.get(sha256_hex(token.encode()))
         if name is None:
             return None
         return name, self.document.workspaces[name]
@@ -95,12 +95,12 @@
         manifest: Manifest,
         merged: Json,
     ) -> ConfigurationDocument:
-        if digest_of(canonical_json(merged)) != manifest.merged:
+        if sha256_hex(canonical_json(merged)) != manifest.merged:
             raise ConfigurationError(
                 'The content is not what the manifest names.',
                 step='configuration',
             )
-        return checked(merged, f'revision {manifest.revision}')
+        return validate_document(merged, f'revision {manifest.revision}')
 
 
-__all__ = ('ConfigurationHolder',)
+__all__ = ('ActiveConfiguration',)
--- a/src/curranthill/configuration/folder.py
+++ b/src/curranthill/configuration/folder.py
@@ -82,7 +82,7 @@
     return text.encode()
 
 
-def digest_of(content: bytes) -> str:
+def sha256_hex(content: bytes) -> str:
     """Return the SHA-256 of some content in hexadecimal."""
     return hashlib.sha256(content).hexdigest()
 
@@ -139,7 +139,7 @@
     'MAX_FILE_BYTES',
     'Folder',
     'canonical_json',
-    'digest_of',
     'merge',
     'read_folder',
+    'sha256_hex',
 )
--- a/src/curranthill/configuration/revisions.py
+++ b/src/curranthill/configuration/revisions.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from curranthill.clock import Clock
-from curranthill.configuration.checks import checked
 from curranthill.configuration.folder import (
     canonical_json,
-    digest_of,
     merge,
+    sha256_hex,
 )
 from curranthill.configuration.records import Json, Manifest
+from curranthill.configuration.validation import validate_document
 from curranthill.errors import ConfigurationError, ConflictError
 from curranthill.storage import ABSENT, Committer, Platform, Row, Write
 
@@ -42,11 +42,11 @@
         self._clock = clock
         self._committer = Committer(table=platform.table, clock=clock)
 
-    async def manifest(self) -> Manifest:
+    async def read_manifest(self) -> Manifest:
         """Return the manifest in force; revision 0 if there is none yet."""
         return _manifest(await self._platform.table.read(REVISION_KEY))
 
-    async def document(self, manifest: Manifest) -> Json:
+    async def read_document(self, manifest: Manifest) -> Json:
         """Return the merged document of a manifest.
 
         :raises ConfigurationError: if its object cannot be had.
@@ -55,14 +55,14 @@
         document: Json = json.loads(content)
         return document
 
-    async def contents(self, manifest: Manifest) -> dict[str, bytes]:
+    async def read_contents(self, manifest: Manifest) -> dict[str, bytes]:
         """Return each file of a manifest."""
         return {
             name: await self._content(digest)
             for name, digest in manifest.files.items()
         }
 
-    async def history(self) -> list[Manifest]:
+    async def read_history(self) -> list[Manifest]:
         """Return all revisions, oldest first."""
         manifests: list[Manifest] = []
         after = ''
@@ -73,7 +73,7 @@
             if not after:
                 return manifests
 
-    async def change(self, change: Change, author: str) -> Manifest:
+    async def apply(self, change: Change, author: str) -> Manifest:
         """Put a change of some files in force and return the new manifest.
 
         A change that meets another operator's change of other files is put
@@ -105,14 +105,14 @@
         base: Manifest,
         author: str,
     ) -> Manifest:
-        contents = await self.contents(base)
+        contents = await self.read_contents(base)
         for name, content in change.items():
             if content is None:
                 contents.pop(name, None)
             else:
                 contents[name] = content
         merged = merge(contents)
-        checked(merged)
+        validate_document(merged)
         merged_json = canonical_json(merged)
         await self._keep(merged_json)
         files: dict[str, str] = {}
@@ -121,7 +121,7 @@
         return Manifest(
             revision=base.revision + 1,
             files=files,
-            merged=digest_of(merged_json),
+            merged=sha256_hex(merged_json),
             author=author,
             applied_at_s=self._clock.wall_s(),
         )
@@ -139,14 +139,14 @@
         return manifest
 
     async def _keep(self, content: bytes) -> str:
-        digest = digest_of(content)
+        digest = sha256_hex(content)
         await self._platform.objects.put(f'configuration/{digest}', content)
         return digest
 
     async def _content(self, digest: str) -> bytes:
         name = f'configuration/{digest}'
         content = await self._platform.objects.get(name)
-        if content is None or digest_of(content) != digest:
+        if content is None or sha256_hex(content) != digest:
             raise ConfigurationError(
                 'A revision names content that the store does not have.',
                 step='read content',
--- a/src/curranthill/configuration/checks.py
+++ b/src/curranthill/configuration/validation.py
@@ -13,16 +13,18 @@
     Shape,
 )
 from curranthill.errors import ConfigurationError, SettingsError
-from curranthill.settings.reader import check
+from curranthill.settings.reader import validate
 
 
-def checked(merged: Json, name: str = 'merged') -> ConfigurationDocument:
+def validate_document(
+    merged: Json, name: str = 'merged'
+) -> ConfigurationDocument:
     """Return a merged document as records, all of it checked.
 
     :raises ConfigurationError: listing every fault.
     """
     try:
-        document = check(ConfigurationDocument, merged, name)
+        document = validate(ConfigurationDocument, merged, name)
     except SettingsError as error:
         raise ConfigurationError(error.message, step='check') from error
     faults = list(_faults(document))
@@ -31,7 +33,7 @@
     return document
 
 
-def fits(shape: Shape, data_centre: DataCentre) -> bool:
+def shape_fits(shape: Shape, data_centre: DataCentre) -> bool:
     """Return whether a shape fits an empty data centre."""
     racks = data_centre.racks.values()
     if shape.adjacent == ON_WORKER:
@@ -83,7 +85,7 @@
         yield f'{where}: no data centre is named {guarantee.data_centre!r}.'
     if guarantee.count < 1:
         yield f'{where}: count must be at least 1.'
-    if shape and data_centre and not fits(shape, data_centre):
+    if shape and data_centre and not shape_fits(shape, data_centre):
         yield f'{where}: {guarantee.shape} does not fit any rack there.'
 
 
@@ -165,4 +167,4 @@
     return size
 
 
-__all__ = ('checked', 'fits')
+__all__ = ('shape_fits', 'validate_document')
--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import PeerError
 from curranthill.membership import Member, View
 from curranthill.membership.notify import Notifier
@@ -33,7 +33,7 @@
         channels: Channels,
         notifier: Notifier,
         directory: HostDirectory,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         pool: WorkerPool,
         router: Router,
     ) -> None:
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -9,10 +9,10 @@
 
 from curranthill.clock import Clock
 from curranthill.configuration import (
+    ActiveConfiguration,
     ConfigurationDocument,
-    ConfigurationHolder,
     Shape,
-    fits,
+    shape_fits,
 )
 from curranthill.errors import (
     FAILED,
@@ -67,7 +67,7 @@
         store: JobStore,
         objects: ObjectStore,
         notifier: Notifier,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         data_centre: str,
     ) -> None:
         """Keep the parts."""
@@ -257,7 +257,7 @@
         able = [
             name
             for name, place in document.data_centres.items()
-            if fits(shape, place)
+            if shape_fits(shape, place)
         ]
         # The balancer spreads callers; news of load is seconds old, and to
         # follow it here would send a whole burst to one place.
--- a/src/curranthill/gateway/requests.py
+++ b/src/curranthill/gateway/requests.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from curranthill.configuration import ConfigurationHolder, Kind, Workspace
+from curranthill.configuration import ActiveConfiguration, Kind, Workspace
 from curranthill.gateway.problems import refuse
 from curranthill.settings import CallerSettings
 
@@ -49,7 +49,7 @@
 
 def authenticate(
     request: web.Request,
-    configuration: ConfigurationHolder,
+    configuration: ActiveConfiguration,
 ) -> tuple[str, Workspace]:
     """Return the workspace that the bearer token belongs to.
 
@@ -70,7 +70,7 @@
 
 async def read_request(
     request: web.Request,
-    configuration: ConfigurationHolder,
+    configuration: ActiveConfiguration,
     settings: CallerSettings,
 ) -> CallerRequest:
     """Read and check a call for work.
--- a/src/curranthill/gateway/server.py
+++ b/src/curranthill/gateway/server.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from curranthill.clock import Clock
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import RefusedError
 from curranthill.gateway.jobs import JobDesk, job_body
 from curranthill.gateway.keyed import KeyedRuns
@@ -42,7 +42,7 @@
         *,
         clock: Clock,
         settings: CallerSettings,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         router: Router,
         keyed: KeyedRuns,
         desk: JobDesk,
--- a/src/curranthill/membership/node.py
+++ b/src/curranthill/membership/node.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder, RevisionStore
+from curranthill.configuration import ActiveConfiguration, RevisionStore
 from curranthill.membership.notify import Notifier
 from curranthill.membership.operations import OperationsService
 from curranthill.membership.prober import PeerService, Prober
@@ -17,7 +17,7 @@
     HostSettings,
     MembershipSettings,
     PlatformSettings,
-    shared_key,
+    read_shared_key,
 )
 from curranthill.storage import HostDirectory, Platform, platforms
 
@@ -48,11 +48,11 @@
         self.app = app
         self.settings = settings
         host = settings.host
-        key = shared_key(settings.membership.key_file)
+        key = read_shared_key(settings.membership.key_file)
         self.platform: Platform = platforms.get(settings.platform.client)(
             settings.platform.url,
         )
-        self.configuration = ConfigurationHolder()
+        self.configuration = ActiveConfiguration()
         self.channels = Channels(key=key)
         self.view = View(
             own=Member(
@@ -84,7 +84,7 @@
         )
         self.replicator = ConfigurationReplicator(
             app=app,
-            holder=self.configuration,
+            configuration=self.configuration,
             revisions=RevisionStore(platform=self.platform, clock=app.clock),
             view=self.view,
             channels=self.channels,
--- a/src/curranthill/membership/operations.py
+++ b/src/curranthill/membership/operations.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.membership.messages import message_of
 from curranthill.membership.view import View
 from curranthill.protocol import OperationsBase, inner_pb2
@@ -15,7 +15,7 @@
         self,
         *,
         view: View,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
     ) -> None:
         """Initialize with the state to report."""
         self._view = view
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -6,7 +6,7 @@
 
 from curranthill.application import Application
 from curranthill.configuration import (
-    ConfigurationHolder,
+    ActiveConfiguration,
     Manifest,
     RevisionStore,
     canonical_json,
@@ -24,7 +24,7 @@
 
 
 class ConfigurationReplicator:
-    """Updates the configuration holder from whichever source is first.
+    """Updates the active configuration from whichever source is first.
 
     :param interval_s: the interval between two reads of the table's row.
     """
@@ -33,22 +33,22 @@
         self,
         *,
         app: Application,
-        holder: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         revisions: RevisionStore,
         view: View,
         channels: Channels,
         interval_s: float,
     ) -> None:
-        """Initialize and subscribe to the view and to the holder."""
+        """Initialize and subscribe to the view and to the configuration."""
         self._app = app
-        self._holder = holder
+        self._configuration = configuration
         self._revisions = revisions
         self._view = view
         self._channels = channels
         self._interval_s = interval_s
         self._fetching = False
         view.listen(self._on_member)
-        holder.listen(self._publish_revision)
+        configuration.listen(self._publish_revision)
 
     async def start(self) -> None:
         """Read the table at once, then periodically."""
@@ -56,13 +56,13 @@
 
     def content(self, above_revision: int) -> inner_pb2.ConfigurationContent:
         """Return the configuration in force, or none if it is not newer."""
-        holder = self._holder
-        if holder.revision <= above_revision:
+        configuration = self._configuration
+        if configuration.revision <= above_revision:
             return inner_pb2.ConfigurationContent()
         return inner_pb2.ConfigurationContent(
-            revision=holder.revision,
-            manifest_json=json.dumps(holder.manifest._asdict()),
-            merged_json=canonical_json(holder.merged),
+            revision=configuration.revision,
+            manifest_json=json.dumps(configuration.manifest._asdict()),
+            merged_json=canonical_json(configuration.merged),
         )
 
     async def _poll(self) -> None:
@@ -77,16 +77,16 @@
             await self._app.clock.sleep(self._interval_s)
 
     async def _read_table(self) -> None:
-        manifest = await self._revisions.manifest()
-        if manifest.revision > self._holder.revision:
-            merged = await self._revisions.document(manifest)
-            self._holder.move(manifest, merged)
+        manifest = await self._revisions.read_manifest()
+        if manifest.revision > self._configuration.revision:
+            merged = await self._revisions.read_document(manifest)
+            self._configuration.activate(manifest, merged)
 
     def _publish_revision(self) -> None:
-        self._view.update_own(revision=self._holder.revision)
+        self._view.update_own(revision=self._configuration.revision)
 
     def _on_member(self, member: Member) -> None:
-        behind = member.revision > self._holder.revision
+        behind = member.revision > self._configuration.revision
         if behind and member.is_reachable and not self._fetching:
             self._fetching = True
             self._app.spawn(self._fetch(member), name='configuration fetch')
@@ -97,7 +97,7 @@
                 member.address,
                 call_fetch_configuration,
                 inner_pb2.FetchConfigurationRequest(
-                    above_revision=self._holder.revision,
+                    above_revision=self._configuration.revision,
                 ),
                 FETCH_TIMEOUT_S,
             )
@@ -111,7 +111,9 @@
             self._fetching = False
         if content.revision:
             manifest = Manifest(**json.loads(content.manifest_json))
-            self._holder.move(manifest, json.loads(content.merged_json))
+            self._configuration.activate(
+                manifest, json.loads(content.merged_json)
+            )
 
 
 __all__ = ('ConfigurationReplicator',)
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import FencedError, StorageError
 from curranthill.membership import Member, View
 from curranthill.scheduler.context import Context
@@ -35,7 +35,7 @@
         context: Context,
         data_centre: str,
         directory: HostDirectory,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         view: View,
         notify_moved: Callable[[str, str], None],
     ) -> None:
--- a/src/curranthill/scheduler/service.py
+++ b/src/curranthill/scheduler/service.py
@@ -5,7 +5,7 @@
 from grpclib.const import Status
 from grpclib.exceptions import GRPCError
 
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.membership import View
 from curranthill.protocol import SchedulerBase, inner_pb2
 from curranthill.scheduler.context import Context
@@ -32,7 +32,7 @@
         *,
         leader: Leader,
         context: Context,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         view: View,
         gateways: int,
     ) -> None:
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import StorageError, WorkerError
 from curranthill.jobs import ACCEPTED, ENDED, Job, Member, Stored
 from curranthill.scheduler.context import Context
@@ -53,7 +53,7 @@
         policy: Policy,
         data_centre: str,
         directory: HostDirectory,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         neighbours: Callable[[], Sequence[Neighbour]],
         notify_moved: Callable[[str, str], None],
     ) -> None:
--- a/src/curranthill/settings/__init__.py
+++ b/src/curranthill/settings/__init__.py
@@ -1,6 +1,6 @@
 """The settings of a process, read from one file of JSON with comments."""
 
-from curranthill.settings.reader import check, parse_json5, read_settings
+from curranthill.settings.reader import parse_json5, read_settings, validate
 from curranthill.settings.records import (
     CallerSettings,
     GatewaySettings,
@@ -14,7 +14,7 @@
     QuickSettings,
     SchedulerSettings,
 )
-from curranthill.settings.secrets import KEY_VARIABLE, shared_key
+from curranthill.settings.secrets import KEY_VARIABLE, read_shared_key
 
 __all__ = (
     'KEY_VARIABLE',
@@ -29,8 +29,8 @@
     'PlatformSettings',
     'QuickSettings',
     'SchedulerSettings',
-    'check',
     'parse_json5',
     'read_settings',
-    'shared_key',
+    'read_shared_key',
+    'validate',
 )
--- a/src/curranthill/settings/reader.py
+++ b/src/curranthill/settings/reader.py
@@ -37,7 +37,7 @@
         ) from error
 
 
-def check(record_type: type[Record], document: Any, name: str) -> Record:
+def validate(record_type: type[Record], document: Any, name: str) -> Record:
     """Return a document as a record.
 
     :param name: the file or document it came from, for the message.
@@ -67,7 +67,7 @@
             f'{path.name}: {error.strerror}.',
             step='read settings',
         ) from error
-    return check(record_type, parse_json5(content, path.name), path.name)
+    return validate(record_type, parse_json5(content, path.name), path.name)
 
 
 def _path(location: tuple[int | str, ...]) -> str:
@@ -84,4 +84,4 @@
     return f'{name}:{line}: the key "{duplicate["name"]}" stands twice.'
 
 
-__all__ = ('check', 'parse_json5', 'read_settings')
+__all__ = ('parse_json5', 'read_settings', 'validate')
--- a/src/curranthill/settings/reference.py
+++ b/src/curranthill/settings/reference.py
@@ -24,7 +24,7 @@
 )
 
 
-def page() -> str:
+def render_page() -> str:
     """Return the whole page as Markdown."""
     return '\n'.join((_INTRODUCTION, *_sections()))
 
@@ -56,4 +56,4 @@
 
 
 if __name__ == '__main__':
-    print(page(), end='')  # noqa: WPS421
+    print(render_page(), end='')  # noqa: WPS421
--- a/src/curranthill/settings/secrets.py
+++ b/src/curranthill/settings/secrets.py
@@ -8,7 +8,7 @@
 KEY_VARIABLE = 'CURRANTHILL_KEY'
 
 
-def shared_key(key_file: str) -> str:
+def read_shared_key(key_file: str) -> str:
     """Return the key that all processes share.
 
     :raises SettingsError: if neither the variable nor the file gives one.
@@ -30,4 +30,4 @@
         ) from error
 
 
-__all__ = ('KEY_VARIABLE', 'shared_key')
+__all__ = ('KEY_VARIABLE', 'read_shared_key')
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -8,11 +8,11 @@
 
 from curranthill.application import Application
 from curranthill.configuration import (
-    ConfigurationHolder,
+    ActiveConfiguration,
     Json,
     Manifest,
     canonical_json,
-    digest_of,
+    sha256_hex,
 )
 from curranthill.jobs import Job, JobStore, Stored
 from curranthill.membership import Member, View
@@ -172,10 +172,10 @@
             host_list=site,
             interval_s=2,
         )
-        self.configuration = ConfigurationHolder()
+        self.configuration = ActiveConfiguration()
         merged = canonical_json(site.document)
-        self.configuration.move(
-            Manifest(revision=1, files={}, merged=digest_of(merged)),
+        self.configuration.activate(
+            Manifest(revision=1, files={}, merged=sha256_hex(merged)),
             site.document,
         )
         own = Member(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from curranthill.configuration import (
-    ConfigurationHolder,
+    ActiveConfiguration,
     RevisionStore,
     canonical_json,
-    checked,
     merge,
     read_folder,
+    validate_document,
 )
 from curranthill.configuration.folder import MAX_FILE_BYTES
 from curranthill.errors import ConfigurationError
@@ -129,13 +129,13 @@
         """The deployments of the brief check clean."""
         for name in ('tenggara', 'kalvola'):
             folder = read_folder(EXAMPLES / name / 'configuration')
-            document = checked(merge(folder.contents))
+            document = validate_document(merge(folder.contents))
             self.assertEqual(len(document.workspaces), 4)
 
     def test_every_fault_is_reported(self) -> None:
         """Dangling names and a promise beyond the data centre."""
         with self.assertRaises(ConfigurationError) as caught:
-            checked(
+            validate_document(
                 {
                     'shapes': {'big': {'accelerators': 64}},
                     'kinds': {
@@ -175,7 +175,7 @@
     def test_unknown_and_wrong_fields_are_all_named(self) -> None:
         """Each wrong field is named with its path."""
         with self.assertRaises(ConfigurationError) as caught:
-            checked(
+            validate_document(
                 {
                     'shapes': {'s': {'accelerators': 'many', 'adjacent': 'x'}},
                     'spare': {},
@@ -247,12 +247,12 @@
 
         async def race() -> None:
             await asyncio.gather(
-                self.store.change({'a.json': b'{"shapes": {}}'}, 'ann'),
-                self.new_store().change({'b.json': b'{"kinds": {}}'}, 'bo'),
+                self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
+                self.new_store().apply({'b.json': b'{"kinds": {}}'}, 'bo'),
             )
 
         run(race())
-        manifest = run(self.store.manifest())
+        manifest = run(self.store.read_manifest())
         self.assertEqual(sorted(manifest.files), ['a.json', 'b.json'])
         self.assertEqual(manifest.revision, 2)
 
@@ -263,8 +263,8 @@
         async def race() -> list[object]:
             return list(
                 await asyncio.gather(
-                    self.store.change({'a.json': b'{"shapes": {}}'}, 'ann'),
-                    self.new_store().change({'a.json': two}, 'bo'),
+                    self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
+                    self.new_store().apply({'a.json': two}, 'bo'),
                     return_exceptions=True,
                 ),
             )
@@ -273,7 +273,7 @@
         refused = [one for one in outcomes if isinstance(one, Exception)]
         self.assertEqual(len(refused), 1)
         self.assertIn('changed this file first', str(refused[0]))
-        self.assertEqual(run(self.store.manifest()).revision, 1)
+        self.assertEqual(run(self.store.read_manifest()).revision, 1)
 
     def test_lost_reply_is_resolved_not_repeated(self) -> None:
         """A change whose reply was lost counts once."""
@@ -282,42 +282,42 @@
             faults = self.table.faults
             faults.settings = faults.settings._replace(lose_replies=1.0)
             work = asyncio.create_task(
-                self.store.change({'a.json': b'{"shapes": {}}'}, 'ann'),
+                self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
             )
             await self.clock.until(work.done)
             manifest = work.result()
             self.assertEqual(manifest.revision, 1)
 
         run(change())
-        self.assertEqual(run(self.store.manifest()).revision, 1)
-        self.assertEqual(len(run(self.store.history())), 1)
+        self.assertEqual(run(self.store.read_manifest()).revision, 1)
+        self.assertEqual(len(run(self.store.read_history())), 1)
 
     def test_faulty_change_is_never_accepted(self) -> None:
         """A merge that fails its checks leaves the old in force."""
         with self.assertRaises(ConfigurationError):
             run(
-                self.store.change(
+                self.store.apply(
                     {'a.json': b'{"kinds": {"k": {"service": "no"}}}'},
                     'ann',
                 ),
             )
-        self.assertEqual(run(self.store.manifest()).revision, 0)
+        self.assertEqual(run(self.store.read_manifest()).revision, 0)
 
     @given(st.lists(st.integers(min_value=1, max_value=9), max_size=12))
     def test_holder_only_moves_upwards(self, revisions: list[int]) -> None:
         """Whatever order revisions come in, the highest stays."""
-        holder = ConfigurationHolder()
-        manifest = run(self.store.change({'a.json': b'{"shapes": {}}'}, 'ann'))
-        merged = run(self.store.document(manifest))
+        holder = ActiveConfiguration()
+        manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
+        merged = run(self.store.read_document(manifest))
         highest = 0
         for revision in revisions:
-            holder.move(manifest._replace(revision=revision), merged)
+            holder.activate(manifest._replace(revision=revision), merged)
             highest = max(highest, revision)
             self.assertEqual(holder.revision, highest)
 
     def test_content_that_is_not_the_manifests_is_refused(self) -> None:
         """A peer's wrong content leaves the old in force."""
-        holder = ConfigurationHolder()
-        manifest = run(self.store.change({'a.json': b'{"shapes": {}}'}, 'ann'))
-        self.assertFalse(holder.move(manifest, {'shapes': {'s': {}}}))
+        holder = ActiveConfiguration()
+        manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
+        self.assertFalse(holder.activate(manifest, {'shapes': {'s': {}}}))
         self.assertEqual(holder.revision, 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,7 +13,7 @@
     run_state_machine_as_test,
 )
 
-from curranthill.configuration import checked
+from curranthill.configuration import validate_document
 from curranthill.load import fragmentation
 from curranthill.scheduler import SchedulerState, policies
 from curranthill.scheduler.estimates import (
@@ -48,7 +48,7 @@
 
 def document(guarantees: dict[str, list[tuple[str, int]]]) -> Any:
     """Return a checked configuration with guarantees by workspace."""
-    return checked(
+    return validate_document(
         {
             'shapes': SHAPES,
             'data_centres': {
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -48,4 +48,4 @@
     def test_the_settings_page_matches_the_records(self) -> None:
         """Run ``python -m curranthill.settings.reference`` to update it."""
         page = ROOT / 'docs' / 'operations' / 'settings.md'
-        self.assertEqual(page.read_text('utf-8'), reference.page())
+        self.assertEqual(page.read_text('utf-8'), reference.render_page())
