--- a/bench/membership.py
+++ b/bench/membership.py
@@ -25,7 +25,7 @@
 from curranthill.membership import DEAD, Member, PeerService, Prober, View
 from curranthill.membership.messages import message_of
 from curranthill.protocol import Channels, InnerServer, inner_pb2
-from curranthill.protocol.calls import call_probe
+from curranthill.protocol.methods import probe_method
 from curranthill.settings import MembershipSettings
 
 KEY = 'bench'
@@ -104,7 +104,7 @@
     async def _beat(self, address: str) -> None:
         request = inner_pb2.ProbeRequest(sender=message_of(self.view.own))
         try:
-            await self.channels.call(address, call_probe, request, 1)
+            await self.channels.call(address, probe_method, request, 1)
         except PeerError:
             return
 
--- a/src/curranthill/admission/retries.py
+++ b/src/curranthill/admission/retries.py
@@ -29,7 +29,7 @@
         time do not retry at the same time.
     """
     objective_s = spec.objective_s - spec.accepted_at_s
-    slack_s = objective_s - spec.chain_s
+    slack_s = objective_s - spec.critical_path_s
     wait_s = slack_s * SLACK_SHARE + jitter_s
     return min(max(wait_s, MIN_DELAY_S), MAX_DELAY_S)
 
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -146,7 +146,7 @@
         return None
     # All jobs of a queue have the same wait: the earlier the objective, the
     # less time is left and the sooner the caller retries.
-    latest_s = (credit_until_s(spec) - spec.chain_s) / RETRIES
+    latest_s = (credit_until_s(spec) - spec.critical_path_s) / RETRIES
     retry_after_s = max(min(wait_s, latest_s), MIN_RETRY_AFTER_S)
     return Refusal(reason, wait_s, retry_after_s, jitter_s=retry_after_s / 2)
 
@@ -161,7 +161,7 @@
         return FULL
     if spec.workspace in forecast.full_workspaces:
         return WORKSPACE_FULL
-    min_s = RELIABLE_WAIT_SHARE * wait_s + spec.chain_s
+    min_s = RELIABLE_WAIT_SHARE * wait_s + spec.critical_path_s
     if wait_s and min_s > credit_until_s(spec):
         return TOO_LATE
     return ''
--- a/src/curranthill/commands/daemons.py
+++ b/src/curranthill/commands/daemons.py
@@ -22,7 +22,7 @@
 )
 from curranthill.errors import CurranthillError
 from curranthill.settings import HostSettings, LogSettings, read_settings
-from curranthill.telemetry import configure_logs, provide
+from curranthill.telemetry import configure_logs, install_metric_reader
 
 SettingsPath = Annotated[
     Path,
@@ -72,7 +72,7 @@
         typer.echo('The settings are in order.')
         return
     if settings.metrics_port:
-        provide(PrometheusMetricReader())
+        install_metric_reader(PrometheusMetricReader())
         start_http_server(settings.metrics_port, addr=settings.host.address)
     run_daemon(
         lambda: make(settings),
--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -14,7 +14,11 @@
 from curranthill.errors import CurranthillError, PeerError
 from curranthill.jobs import JobStore, birth_of
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_drain, call_explain, call_status
+from curranthill.protocol.methods import (
+    drain_method,
+    explain_method,
+    status_method,
+)
 from curranthill.settings import OperatorSettings, read_shared_key
 from curranthill.storage import Platform, platforms
 
@@ -100,7 +104,7 @@
         scheduler = await _active(tools, home)
         reply = await tools.channels.call(
             scheduler.address,
-            call_explain,
+            explain_method,
             inner_pb2.ExplainRequest(job_id=job),
             CALL_TIMEOUT_S,
         )
@@ -127,7 +131,7 @@
         scheduler = await _active(tools, data_centre)
         reply = await tools.channels.call(
             scheduler.address,
-            call_drain,
+            drain_method,
             inner_pb2.DrainRequest(host=worker),
             CALL_TIMEOUT_S,
         )
@@ -143,7 +147,7 @@
         try:
             reply = await tools.channels.call(
                 address,
-                call_status,
+                status_method,
                 inner_pb2.StatusRequest(),
                 CALL_TIMEOUT_S,
             )
--- a/src/curranthill/dispatch/blockers.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -144,7 +144,7 @@
         run = job.runs.get(key)
         if run is not None:
             return self._blocking_run(run)
-        task = job.progress.peek(key)
+        task = job.progress.find_task(key)
         if task is None:
             return None
         if task.worker:
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -221,7 +221,7 @@
 
 
 def _is_done(job: ActiveJob, key: TaskKey) -> bool:
-    task = job.progress.peek(key)
+    task = job.progress.find_task(key)
     return task is not None and task.done
 
 
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -122,7 +122,7 @@
     def resolve(self, run: Run, *, crashed: bool) -> None:
         """Count a run with an expired lease as a crash, or not as a loss."""
         job = self._jobs.get(run.key.job_id)
-        task = None if job is None else job.progress.peek(run.key)
+        task = None if job is None else job.progress.find_task(run.key)
         if job is None or job.ended or task is None or task.done:
             return
         if not crashed:
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -123,7 +123,7 @@
             return False
         if reason == STALLED and not _stalled_as_whole_gang(job, run):
             return False
-        task = job.progress.peek(run.key)
+        task = job.progress.find_task(run.key)
         return task is None or not task.moves & _MOVE_FLAGS[reason]
 
     def _fits_on_faster_worker(self, found: _Candidate) -> bool:
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -105,7 +105,7 @@
             run.stop_wanted = True
             self._spawner.spawn(session.stop(run))
             return
-        task = job.progress.peek(run.key)
+        task = job.progress.find_task(run.key)
         if task is None:
             return
         if run.checkpoint:
@@ -180,7 +180,7 @@
         if job.runs.get(run.key) is run:
             job.runs.pop(run.key)
         self._drop_if_ended(job)
-        task = job.progress.peek(run.key)
+        task = job.progress.find_task(run.key)
         if task is None or task.attempt != run.attempt or task.done:
             return
         task.worker = ''
@@ -311,7 +311,7 @@
         dropped when its lease expired turns out to be done: a newer run is
         then superfluous.
         """
-        task = job.progress.peek(end.task)
+        task = job.progress.find_task(end.task)
         if task is None or task.done or job.ended:
             return False
         if task.attempt != end.attempt:
--- a/src/curranthill/errors.py
+++ b/src/curranthill/errors.py
@@ -96,7 +96,7 @@
         self.seen_epoch = seen_epoch
 
 
-class LastPollForgottenError(WorkerError):
+class UnknownPollError(WorkerError):
     """The worker does not remember the last poll; name the attempts again."""
 
 
@@ -104,7 +104,7 @@
     """The worker ran the task and the task failed."""
 
 
-class LeaseLapsedError(CurranthillError):
+class LeaseExpiredError(CurranthillError):
     """The holder's own lease is past its margin; the effect was not tried."""
 
 
@@ -145,8 +145,7 @@
     'ConflictError',
     'CurranthillError',
     'FencedError',
-    'LastPollForgottenError',
-    'LeaseLapsedError',
+    'LeaseExpiredError',
     'NotSentError',
     'Outcome',
     'PeerError',
@@ -155,6 +154,7 @@
     'SettingsError',
     'StorageError',
     'TaskFailedError',
+    'UnknownPollError',
     'WorkerBusyError',
     'WorkerError',
     'WorkerReplyLostError',
--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -10,7 +10,7 @@
 from curranthill.membership import Member, View
 from curranthill.membership.notify import Notifier
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_report
+from curranthill.protocol.methods import report_method
 from curranthill.routing import AllottedWorker, Router, WorkerPool
 from curranthill.storage import HostDirectory
 
@@ -104,7 +104,7 @@
         try:
             allotment = await self._channels.call(
                 scheduler.address,
-                call_report,
+                report_method,
                 inner_pb2.DemandReport(
                     gateway=self._view.own.name,
                     most_in_flight=demand,
--- a/src/curranthill/membership/notify.py
+++ b/src/curranthill/membership/notify.py
@@ -8,7 +8,7 @@
 from curranthill.errors import PeerError
 from curranthill.membership.view import Member, View
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_notify
+from curranthill.protocol.methods import notify_method
 
 CALL_TIMEOUT_S = 2.0
 _MAX_ATTEMPTS = 20
@@ -85,7 +85,7 @@
         try:
             await self._channels.call(
                 scheduler.address,
-                call_notify,
+                notify_method,
                 inner_pb2.NotifyRequest(job_ids=job_ids),
                 CALL_TIMEOUT_S,
             )
--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -10,7 +10,7 @@
 from curranthill.membership.messages import member_of, message_of
 from curranthill.membership.view import LEFT, Member, View
 from curranthill.protocol import Channels, PeerBase, inner_pb2
-from curranthill.protocol.calls import call_probe, call_relay
+from curranthill.protocol.methods import probe_method, relay_method
 from curranthill.settings import MembershipSettings
 
 #: Maximum number of member updates on one probe or its reply.
@@ -74,7 +74,7 @@
         try:
             reply = await self._channels.call(
                 address,
-                call_probe,
+                probe_method,
                 request,
                 self._settings.probe_timeout_s,
             )
@@ -175,7 +175,7 @@
             try:
                 reply = await self._channels.call(
                     relay.address,
-                    call_relay,
+                    relay_method,
                     inner_pb2.RelayRequest(address=target.address),
                     2 * self._settings.probe_timeout_s,
                 )
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -18,7 +18,7 @@
 )
 from curranthill.membership.view import Member, View
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_fetch_configuration
+from curranthill.protocol.methods import fetch_configuration_method
 
 FETCH_TIMEOUT_S = 3.0
 
@@ -95,7 +95,7 @@
         try:
             content = await self._channels.call(
                 member.address,
-                call_fetch_configuration,
+                fetch_configuration_method,
                 inner_pb2.FetchConfigurationRequest(
                     above_revision=self._configuration.revision,
                 ),
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -59,8 +59,8 @@
     :param objective_s: when it should be done, in wall-clock seconds.
     :param first_due_s: when the time of the objective starts, in wall-clock
         seconds.
-    :param chain_s: the estimated time of its longest chain of steps, in
-        seconds.
+    :param critical_path_s: the estimated time of its longest chain of steps,
+        in seconds.
     :param gpus: the accelerators that all its tasks use together.
     :param suspects: tasks that are suspected of crashing their workers.
     """
@@ -73,7 +73,7 @@
         self.perpetual = any(step.perpetual for step in spec.steps)
         self.objective_s = spec.objective_s
         self.first_due_s = max(spec.accepted_at_s, spec.due_s(0))
-        self.chain_s = spec.chain_s
+        self.critical_path_s = spec.critical_path_s
         self.gpus = spec.gpus
         self.suspects: set[TaskKey] = set()
         self._waiting_since_s: dict[TaskKey, float] = {}
@@ -140,7 +140,7 @@
 
     def next_attempt(self, tasks: tuple[TaskKey, ...]) -> int:
         """Return an attempt number above all those of the tasks."""
-        known = (self.progress.peek(key) for key in tasks)
+        known = (self.progress.find_task(key) for key in tasks)
         return 1 + max((task.attempt for task in known if task), default=0)
 
     def step_done(self, occurrence: int, number: int) -> bool:
@@ -155,7 +155,7 @@
         done = all(self._is_done(key) for key in keys)
         if done:
             self._record_step_done(step_id)
-            self.progress.note_step_done(occurrence, number, len(keys))
+            self.progress.record_step_done(occurrence, number, len(keys))
         return done
 
     def check_completed(self, now_s: float) -> bool:
@@ -276,13 +276,13 @@
         self._keys.pop(step_id, None)
 
     def _is_done(self, key: TaskKey) -> bool:
-        task = self.progress.peek(key)
+        task = self.progress.find_task(key)
         return task is not None and task.done
 
     def _is_waiting(self, key: TaskKey) -> bool:
         if key in self.runs:
             return False
-        task = self.progress.peek(key)
+        task = self.progress.find_task(key)
         return task is None or not (task.done or task.worker)
 
     def _ready_step(
--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -50,7 +50,7 @@
 
     :param now_s: wall-clock seconds.
     """
-    if timeliness(job, now_s + job.chain_s) != INFEASIBLE:
+    if timeliness(job, now_s + job.critical_path_s) != INFEASIBLE:
         # The common case, without the cost of the following.
         return False
     if has_aged(job, now_s):
@@ -72,7 +72,7 @@
 
     :param now_s: wall-clock seconds.
     """
-    if now_s + job.chain_s <= job.objective_s:
+    if now_s + job.critical_path_s <= job.objective_s:
         # The common case, without the cost of the following.
         return False
     return timeliness(job, now_s + _remaining_chain_s(job)) != IN_TIME
--- a/src/curranthill/platform/configuration.py
+++ b/src/curranthill/platform/configuration.py
@@ -17,7 +17,7 @@
     Resources,
     Revision,
     Step,
-    WorkspacePromise,
+    WorkspaceGuarantee,
 )
 
 #: Where the operator writes.
@@ -122,8 +122,8 @@
     )
 
 
-def _workspace(tenant: TenantFields) -> WorkspacePromise:
-    return WorkspacePromise(
+def _workspace(tenant: TenantFields) -> WorkspaceGuarantee:
+    return WorkspaceGuarantee(
         name=tenant.name,
         keys=tuple(tenant.api_keys),
         guaranteed_gpus=int(tenant.guaranteed.get('gpu', 0)),
--- a/src/curranthill/platform/front.py
+++ b/src/curranthill/platform/front.py
@@ -14,7 +14,7 @@
 )
 from curranthill.errors import NOT_RUN, RefusedError
 from curranthill.platform.configuration import SubmittedJob, step_from
-from curranthill.tasks import JobSpec, Queue, Revision, Step, faults_of
+from curranthill.tasks import JobSpec, Queue, Revision, Step, validation_errors
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
@@ -160,7 +160,7 @@
             steps = tuple(step_from(fields) for fields in submitted.steps)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             raise _bad_job(target, str(error)) from error
-        faults = faults_of(submitted.spec, steps, times=submitted.times)
+        faults = validation_errors(submitted.spec, steps, times=submitted.times)
         if faults:
             raise _bad_job(target, ' '.join(faults))
         return JobSpec(
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -34,7 +34,7 @@
 from curranthill.platform.workers import PlatformConnector, RegisteredWorkers
 from curranthill.storage.health import StoreHealth
 from curranthill.storage.paths import StorePaths
-from curranthill.telemetry import provide
+from curranthill.telemetry import install_metric_reader
 from curranthill.telemetry.events import events
 
 #: A leader that has been silent for so long may have counted wrongly since.
@@ -101,7 +101,7 @@
     async def _start(self) -> None:
         settings = self._settings
         clock = self.app.clock
-        provide(PrometheusMetricReader())
+        install_metric_reader(PrometheusMetricReader())
         self._caller = Caller()
         self._paths = StorePaths(
             direct=settings.store_address,
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -178,7 +178,7 @@
                 timeout_s=PROBE_TIMEOUT_S,
                 params={
                     'table': tables.LEADER,
-                    'part': tables.LEADERS_PARTITION,
+                    'part': tables.LEADER_PARTITION,
                     'limit': '1',
                 },
             ) as answer:
--- a/src/curranthill/protocol/calls.py
+++ b/src/curranthill/protocol/methods.py
@@ -12,56 +12,56 @@
 )
 
 
-def call_probe(
+def probe_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ProbeReply]]:
     """Pick the probe of a peer."""
     return PeerStub(channel).Probe
 
 
-def call_relay(
+def relay_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.RelayReply]]:
     """Pick the relayed probe of a third process."""
     return PeerStub(channel).Relay
 
 
-def call_fetch_configuration(
+def fetch_configuration_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ConfigurationContent]]:
     """Pick the request for a peer's configuration."""
     return PeerStub(channel).FetchConfiguration
 
 
-def call_notify(
+def notify_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.NotifyReply]]:
     """Pick the news of changed jobs."""
     return SchedulerStub(channel).Notify
 
 
-def call_report(
+def report_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.Allotment]]:
     """Pick the report of a gateway's demand."""
     return SchedulerStub(channel).Report
 
 
-def call_explain(
+def explain_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ExplainReply]]:
     """Pick the question why a job waits."""
     return SchedulerStub(channel).Explain
 
 
-def call_drain(
+def drain_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.DrainReply]]:
     """Pick the order to place nothing more on a worker."""
     return SchedulerStub(channel).Drain
 
 
-def call_status(
+def status_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.StatusReply]]:
     """Pick the question how a process is."""
@@ -69,12 +69,12 @@
 
 
 __all__ = (
-    'call_drain',
-    'call_explain',
-    'call_fetch_configuration',
-    'call_notify',
-    'call_probe',
-    'call_relay',
-    'call_report',
-    'call_status',
+    'drain_method',
+    'explain_method',
+    'fetch_configuration_method',
+    'notify_method',
+    'probe_method',
+    'relay_method',
+    'report_method',
+    'status_method',
 )
--- a/src/curranthill/scheduler/election.py
+++ b/src/curranthill/scheduler/election.py
@@ -15,7 +15,7 @@
 from curranthill.clock import Clock
 from curranthill.errors import (
     ConflictError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     NotSentError,
     ReplyLostError,
     StorageError,
@@ -29,7 +29,7 @@
     Table,
     Write,
 )
-from curranthill.workers import Token
+from curranthill.workers import FencingToken
 
 
 class Role(Enum):
@@ -57,7 +57,7 @@
     ) -> None:
         """Initialize as a standby."""
         self.role = Role.standby
-        self.token = Token(epoch=0, holder=holder)
+        self.token = FencingToken(epoch=0, holder=holder)
         self._clock = clock
         self._settings = settings
         self._table = table
@@ -89,7 +89,7 @@
         :raises LeaseLapsedError: if it is not valid.
         """
         if self.lease_left_s() <= 0:
-            raise LeaseLapsedError(
+            raise LeaseExpiredError(
                 'The lease of the scheduler has expired.',
                 step=step,
                 peer=self.token.holder,
@@ -182,7 +182,7 @@
         self._heartbeat_version = versions[key]
 
     def _is_own(self, row: Row) -> bool:
-        held_by = Token(
+        held_by = FencingToken(
             epoch=row.document['epoch'],
             holder=row.document['holder'],
         )
@@ -209,7 +209,7 @@
         begun_s = self._clock.monotonic_s()
         leader = await self._table.read(self._leader_key)
         last_epoch = leader.document['epoch'] if leader else 0
-        token = Token(
+        token = FencingToken(
             epoch=max(last_epoch, at_least_epoch) + 1,
             holder=self.token.holder,
         )
--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -7,7 +7,7 @@
 
 from curranthill.errors import (
     ConflictError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     StorageError,
     WorkerError,
 )
@@ -214,7 +214,7 @@
 
     def _require_leading(self) -> None:
         if not self._context.election.leading:
-            raise LeaseLapsedError(
+            raise LeaseExpiredError(
                 'Another scheduler leads.',
                 step='settle',
                 peer=self._context.election.token.holder,
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -16,7 +16,7 @@
     ConflictError,
     CurranthillError,
     FencedError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     NotSentError,
     ReplyLostError,
     StorageError,
@@ -133,7 +133,7 @@
         """Reserve the members, record the start, start, wait and finalize."""
         try:
             return await self._run_new()
-        except (FencedError, LeaseLapsedError) as error:
+        except (FencedError, LeaseExpiredError) as error:
             return self._abandon(error)
         finally:
             self.stopped.set()
@@ -145,7 +145,7 @@
         """
         try:
             return await self._run_adopted(states)
-        except (FencedError, LeaseLapsedError) as error:
+        except (FencedError, LeaseExpiredError) as error:
             return self._abandon(error)
         finally:
             self.stopped.set()
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -8,7 +8,7 @@
 
 from curranthill.errors import (
     FencedError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     WorkerBusyError,
     WorkerError,
 )
@@ -83,7 +83,7 @@
             result for result in results if isinstance(result, BaseException)
         ]
         for error in failed:
-            if isinstance(error, (FencedError, LeaseLapsedError)):
+            if isinstance(error, (FencedError, LeaseExpiredError)):
                 raise error
             self._log('failed to start a member', error)
         return not failed
--- a/src/curranthill/scheduler/watch.py
+++ b/src/curranthill/scheduler/watch.py
@@ -7,7 +7,7 @@
 
 from curranthill.errors import (
     FencedError,
-    LastPollForgottenError,
+    UnknownPollError,
     WorkerError,
 )
 from curranthill.scheduler.context import Context
@@ -96,7 +96,7 @@
             renewed = frozenset(self._live)
             try:
                 report = await self._poll(renewed)
-            except LastPollForgottenError:
+            except UnknownPollError:
                 self._last_renewed = None
                 continue
             except FencedError as error:
--- a/src/curranthill/standin/server.py
+++ b/src/curranthill/standin/server.py
@@ -14,9 +14,9 @@
     ConflictError,
     CurranthillError,
     FencedError,
-    LastPollForgottenError,
     NotSentError,
     TaskFailedError,
+    UnknownPollError,
     WorkerBusyError,
     WorkerError,
 )
@@ -28,10 +28,10 @@
 from curranthill.storage.records import Check, Transaction, Write
 from curranthill.workers.records import (
     AttemptId,
+    FencingToken,
     LeaseRequest,
     QuickRequest,
     Task,
-    Token,
 )
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
@@ -42,13 +42,13 @@
     (WorkerBusyError, 409),
     (FencedError, 412),
     (TaskFailedError, 422),
-    (LastPollForgottenError, 428),
+    (UnknownPollError, 428),
     (WorkerError, 410),
 )
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 _Body = dict[str, Any]
-Action = Callable[[WorkerModel, Token, _Body], Any]
+Action = Callable[[WorkerModel, FencingToken, _Body], Any]
 
 
 class SiteEntry(NamedTuple):
@@ -302,7 +302,7 @@
             request: web.Request,
         ) -> web.StreamResponse:
             asked = await request.json()
-            token = Token(epoch=asked['epoch'], holder=asked['holder'])
+            token = FencingToken(epoch=asked['epoch'], holder=asked['holder'])
             reply = action(worker, token, asked)
             if asyncio.iscoroutine(reply):
                 reply = await reply
@@ -409,11 +409,11 @@
     return AttemptId(job=asked['job'], attempt=asked['attempt'])
 
 
-def _fence(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _fence(worker: WorkerModel, token: FencingToken, asked: _Body) -> _Body:
     return {'leases': [lease._asdict() for lease in worker.fence(token)]}
 
 
-def _reserve(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _reserve(worker: WorkerModel, token: FencingToken, asked: _Body) -> _Body:
     request = LeaseRequest(
         attempt_id=_attempt_id(asked),
         slots=asked['slots'],
@@ -423,12 +423,14 @@
     return {}
 
 
-def _start(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _start(worker: WorkerModel, token: FencingToken, asked: _Body) -> _Body:
     worker.start(token, _attempt_id(asked), Task(**asked['task']))
     return {}
 
 
-async def _poll(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+async def _poll(
+    worker: WorkerModel, token: FencingToken, asked: _Body
+) -> _Body:
     report = await worker.poll(
         token,
         asked['term_s'],
@@ -446,7 +448,9 @@
     return [AttemptId(*attempt_id) for attempt_id in attempts]
 
 
-async def _stop(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+async def _stop(
+    worker: WorkerModel, token: FencingToken, asked: _Body
+) -> _Body:
     checkpoint = await worker.stop(
         token,
         _attempt_id(asked),
@@ -455,11 +459,11 @@
     return {'checkpoint': checkpoint}
 
 
-def _release(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _release(worker: WorkerModel, token: FencingToken, asked: _Body) -> _Body:
     return {'started': worker.release(token, _attempt_id(asked))}
 
 
-def _throttle(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _throttle(worker: WorkerModel, token: FencingToken, asked: _Body) -> _Body:
     worker.throttle(token, _attempt_id(asked), asked['share'])
     return {}
 
--- a/src/curranthill/standin/worker.py
+++ b/src/curranthill/standin/worker.py
@@ -14,8 +14,8 @@
 from curranthill.clock import Clock
 from curranthill.errors import (
     FencedError,
-    LastPollForgottenError,
     TaskFailedError,
+    UnknownPollError,
     WorkerBusyError,
     WorkerError,
 )
@@ -28,13 +28,13 @@
     STOPPED,
     TASK_FAILED,
     AttemptId,
+    FencingToken,
     LeaseReport,
     LeaseRequest,
     LeaseState,
     QuickReply,
     QuickRequest,
     Task,
-    Token,
     WorkerReport,
 )
 
@@ -68,7 +68,7 @@
 class _Lease:
     attempt_id: AttemptId
     slots: int
-    token: Token
+    token: FencingToken
     expires_s: float
     state: LeaseState = RESERVED
     reason: str = ''
@@ -107,8 +107,8 @@
         self.most_connections = 0
         self._clock = clock
         self._closed = False
-        self._seen = Token(epoch=0, holder='')
-        self._last_poll: tuple[Token, frozenset[AttemptId]] | None = None
+        self._seen = FencingToken(epoch=0, holder='')
+        self._last_poll: tuple[FencingToken, frozenset[AttemptId]] | None = None
         self._leases: dict[AttemptId, _Lease] = {}
         self._started: set[AttemptId] = set()
         self._tasks: dict[AttemptId, asyncio.Task[None]] = {}
@@ -150,12 +150,12 @@
         self._last_poll = None
         self._notify()
 
-    def fence(self, token: Token) -> tuple[LeaseReport, ...]:
+    def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
         """Raise the epoch seen and return all leases."""
         self._fence(token)
         return self._reports()
 
-    def reserve(self, token: Token, request: LeaseRequest) -> None:
+    def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
         """Hold slots for an attempt; a repeat changes nothing."""
         self._fence(token)
         if self.leaving:
@@ -173,7 +173,9 @@
             expires_s=self._clock.monotonic_s() + request.term_s,
         )
 
-    def start(self, token: Token, attempt_id: AttemptId, task: Task) -> None:
+    def start(
+        self, token: FencingToken, attempt_id: AttemptId, task: Task
+    ) -> None:
         """Start a reserved attempt; a repeat changes nothing."""
         self._fence(token)
         lease = self._lease(attempt_id, 'start')
@@ -193,7 +195,7 @@
 
     async def poll(
         self,
-        token: Token,
+        token: FencingToken,
         term_s: float,
         wait_s: float,
         attempts: Sequence[AttemptId] | None,
@@ -220,7 +222,7 @@
 
     async def stop(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
@@ -233,7 +235,7 @@
         self._end(lease, STOPPED, 'stopped')
         return checkpoint
 
-    def release(self, token: Token, attempt_id: AttemptId) -> bool:
+    def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
         """Give an attempt's slots back; say whether it had ever started."""
         self._fence(token)
         lease = self._leases.get(attempt_id)
@@ -247,7 +249,7 @@
 
     def throttle(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         share: float,
     ) -> None:
@@ -334,7 +336,7 @@
             await self._clock.sleep(step_s / lease.share)
             lease.progress_s += step_s
 
-    def _fence(self, token: Token) -> None:
+    def _fence(self, token: FencingToken) -> None:
         seen = self._seen
         if token.epoch < seen.epoch or (
             token.epoch == seen.epoch and token.holder != seen.holder
@@ -352,14 +354,14 @@
 
     def _named(
         self,
-        token: Token,
+        token: FencingToken,
         attempts: Sequence[AttemptId] | None,
     ) -> frozenset[AttemptId]:
         """Return the attempts that a poll names, if only by the last one."""
         if attempts is not None:
             self._last_poll = (token, frozenset(attempts))
         if self._last_poll is None or self._last_poll[0] != token:
-            raise self._error(LastPollForgottenError, 'no last poll', 'poll')
+            raise self._error(UnknownPollError, 'no last poll', 'poll')
         return self._last_poll[1]
 
     def _renew(self, term_s: float, attempts: Iterable[AttemptId]) -> None:
--- a/src/curranthill/tasks/__init__.py
+++ b/src/curranthill/tasks/__init__.py
@@ -1,6 +1,5 @@
 """Jobs as steps of tasks: their shape, their progress, their tables."""
 
-from curranthill.tasks.checks import faults_of
 from curranthill.tasks.progress import (
     CANCELLED,
     COMPLETED,
@@ -25,8 +24,9 @@
     Step,
     TaskKey,
     Timing,
-    WorkspacePromise,
+    WorkspaceGuarantee,
 )
+from curranthill.tasks.validation import validation_errors
 
 __all__ = (
     'CANCELLED',
@@ -48,8 +48,8 @@
     'TaskKey',
     'TaskProgress',
     'Timing',
-    'WorkspacePromise',
+    'WorkspaceGuarantee',
     'decode',
     'encode',
-    'faults_of',
+    'validation_errors',
 )
--- a/src/curranthill/tasks/progress.py
+++ b/src/curranthill/tasks/progress.py
@@ -82,7 +82,7 @@
     reason: str = ''
     stops: int = 0
 
-    def note_step_done(self, occurrence: int, step: int, width: int) -> None:
+    def record_step_done(self, occurrence: int, step: int, width: int) -> None:
         """Keep of a step only that all its tasks are done."""
         name = f'{occurrence}.{step}'
         self.done_steps.append(name)
@@ -102,7 +102,7 @@
             self.tasks[name] = found
         return found
 
-    def peek(self, key: TaskKey) -> TaskProgress | None:
+    def find_task(self, key: TaskKey) -> TaskProgress | None:
         """Return a task's progress if it ever started."""
         return self.tasks.get(f'{key.occurrence}.{key.step}.{key.rank}')
 
--- a/src/curranthill/tasks/records.py
+++ b/src/curranthill/tasks/records.py
@@ -138,7 +138,7 @@
         return self.start_at_s + occurrence * self.interval_s
 
     @property
-    def chain_s(self) -> float:
+    def critical_path_s(self) -> float:
         """Return the estimated longest chain of steps in seconds."""
         ends_s: list[float] = []
         for step in self.steps:
@@ -150,7 +150,7 @@
     def objective_s(self) -> float:
         """Return when the job should be done, in wall-clock seconds."""
         start_s = max(self.accepted_at_s, self.due_s(0))
-        slack_s = self.queue.slack_factor * self.chain_s
+        slack_s = self.queue.slack_factor * self.critical_path_s
         return start_s + slack_s + self.queue.target_s
 
     @property
@@ -181,7 +181,7 @@
         return cls(job_id, int(occurrence), int(step), int(rank))
 
 
-class WorkspacePromise(NamedTuple):
+class WorkspaceGuarantee(NamedTuple):
     """A workspace, its callers' keys and its guaranteed accelerators."""
 
     name: str
@@ -203,7 +203,7 @@
 
     number: int
     queues: tuple[Queue, ...]
-    workspaces: tuple[WorkspacePromise, ...]
+    workspaces: tuple[WorkspaceGuarantee, ...]
     limits: Limits = Limits()
 
     def queue_for(self, host: str, path: str) -> Queue | None:
@@ -219,7 +219,7 @@
             default=None,
         )
 
-    def workspace_of(self, api_key: str) -> WorkspacePromise | None:
+    def workspace_of(self, api_key: str) -> WorkspaceGuarantee | None:
         """Return the workspace that holds a key, if any."""
         for workspace in self.workspaces:
             if api_key in workspace.keys:
@@ -269,5 +269,5 @@
     'Step',
     'TaskKey',
     'Timing',
-    'WorkspacePromise',
+    'WorkspaceGuarantee',
 )
--- a/src/curranthill/tasks/tables.py
+++ b/src/curranthill/tasks/tables.py
@@ -27,7 +27,7 @@
 CANCEL_SUFFIX: Final = '/cancel'
 
 #: The partition of all that the leader writes.
-LEADERS_PARTITION: Final = 'main'
+LEADER_PARTITION: Final = 'main'
 
 #: The partition of the list of hosts: a hundred of them start together.
 HOSTS_PARTITION: Final = 'hosts'
@@ -43,7 +43,7 @@
     if table == HOSTS:
         return HOSTS_PARTITION
     if table != INTAKE:
-        return LEADERS_PARTITION
+        return LEADER_PARTITION
     job_id = key.removesuffix(CANCEL_SUFFIX)
     return INTAKE_PARTITIONS[crc32(job_id.encode()) % len(INTAKE_PARTITIONS)]
 
@@ -67,8 +67,8 @@
     'INTAKE',
     'INTAKE_PARTITIONS',
     'LEADER',
-    'LEADERS_PARTITION',
     'LEADER_KEY',
+    'LEADER_PARTITION',
     'PENDING_KEY',
     'PROGRESS',
     'cancel_key',
--- a/src/curranthill/tasks/checks.py
+++ b/src/curranthill/tasks/validation.py
@@ -5,17 +5,17 @@
 from curranthill.tasks.records import Step
 
 #: The longest text that a caller may hand to its tasks, in characters.
-PAYLOAD_LIMIT = 4000
+MAX_PAYLOAD_CHARS = 4000
 
 #: The most tasks that a job may have at a time: with a checkpoint each, their
 #: progress fits the 64 KB of a row (tested with random checkpoints).
-MOST_TASKS = 3000
+MAX_TASKS = 3000
 
 #: The most steps of a job: with the longest text they fit the 64 KB of a row.
-MOST_STEPS = 400
+MAX_STEPS = 400
 
 
-def faults_of(
+def validation_errors(
     payload: str,
     steps: tuple[Step, ...],
     *,
@@ -26,14 +26,16 @@
     :param times: how often the steps run; 0 for a plain job.
     """
     faults = []
-    if sum(step.width for step in steps) > MOST_TASKS:
-        faults.append(f'The job has more than {MOST_TASKS} tasks.')
-    if len(steps) > MOST_STEPS:
-        faults.append(f'The job has more than {MOST_STEPS} steps.')
+    if sum(step.width for step in steps) > MAX_TASKS:
+        faults.append(f'The job has more than {MAX_TASKS} tasks.')
+    if len(steps) > MAX_STEPS:
+        faults.append(f'The job has more than {MAX_STEPS} steps.')
     if times < 0:
         faults.append('The job runs a negative number of times.')
-    if len(payload) > PAYLOAD_LIMIT:
-        faults.append(f'The text is longer than {PAYLOAD_LIMIT} characters.')
+    if len(payload) > MAX_PAYLOAD_CHARS:
+        faults.append(
+            f'The text is longer than {MAX_PAYLOAD_CHARS} characters.'
+        )
     if not steps:
         faults.append('The job has no steps.')
     for number, step in enumerate(steps):
@@ -51,4 +53,4 @@
             yield f'Step {number} waits for step {earlier}, no earlier step.'
 
 
-__all__ = ('MOST_STEPS', 'MOST_TASKS', 'PAYLOAD_LIMIT', 'faults_of')
+__all__ = ('MAX_PAYLOAD_CHARS', 'MAX_STEPS', 'MAX_TASKS', 'validation_errors')
--- a/src/curranthill/telemetry/labels.py
+++ b/src/curranthill/telemetry/labels.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 #: Names that a process tells apart; all further ones share a label.
-MOST_NAMES: Final = 16
+MAX_NAMES: Final = 16
 
 #: The label of all that is not told apart.
 OTHERS: Final = 'others'
@@ -12,7 +12,7 @@
 class BoundedLabels:
     """Gives the first names a label each, and the rest one together."""
 
-    def __init__(self, *, most: int = MOST_NAMES) -> None:
+    def __init__(self, *, most: int = MAX_NAMES) -> None:
         """Start with no name seen."""
         self._most = most
         self._names: set[str] = set()
@@ -30,4 +30,4 @@
 workspace_labels: Final = BoundedLabels()
 
 
-__all__ = ('MOST_NAMES', 'OTHERS', 'BoundedLabels', 'workspace_labels')
+__all__ = ('MAX_NAMES', 'OTHERS', 'BoundedLabels', 'workspace_labels')
--- a/src/curranthill/telemetry/metrics.py
+++ b/src/curranthill/telemetry/metrics.py
@@ -92,9 +92,9 @@
 metrics = Metrics()
 
 
-def provide(reader: MetricReader) -> None:
+def install_metric_reader(reader: MetricReader) -> None:
     """Send this process's metrics to a reader, once a process."""
     api.set_meter_provider(MeterProvider(metric_readers=[reader]))
 
 
-__all__ = ('Metrics', 'metrics', 'provide')
+__all__ = ('Metrics', 'install_metric_reader', 'metrics')
--- a/src/curranthill/workers/http.py
+++ b/src/curranthill/workers/http.py
@@ -9,8 +9,8 @@
 
 from curranthill.errors import (
     FencedError,
-    LastPollForgottenError,
     TaskFailedError,
+    UnknownPollError,
     WorkerBusyError,
     WorkerError,
     WorkerReplyLostError,
@@ -24,15 +24,15 @@
 )
 from curranthill.workers.records import (
     AttemptId,
+    FencingToken,
     LeaseReport,
     LeaseRequest,
     QuickReply,
     QuickRequest,
     Task,
-    Token,
     WorkerReport,
-    lease_from,
-    report_from,
+    lease_from_document,
+    report_from_document,
 )
 
 CONNECT_TIMEOUT_S = 0.5
@@ -49,7 +49,7 @@
     409: WorkerBusyError,
     410: WorkerError,
     422: TaskFailedError,
-    428: LastPollForgottenError,
+    428: UnknownPollError,
     503: WorkerBusyError,
 }
 _HTTP_OK = 200
@@ -79,12 +79,12 @@
         self._address = address
         self._session = session
 
-    async def fence(self, token: Token) -> tuple[LeaseReport, ...]:
+    async def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
         """Raise the epoch seen and return all leases."""
         reply = await self._post('fence', _token(token))
-        return tuple(lease_from(lease) for lease in reply['leases'])
+        return tuple(lease_from_document(lease) for lease in reply['leases'])
 
-    async def reserve(self, token: Token, request: LeaseRequest) -> None:
+    async def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
         """Hold slots for an attempt."""
         body = _token(token) | request.attempt_id._asdict()
         body |= {'slots': request.slots, 'term_s': request.term_s}
@@ -92,7 +92,7 @@
 
     async def start(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         task: Task,
     ) -> None:
@@ -103,7 +103,7 @@
 
     async def poll(
         self,
-        token: Token,
+        token: FencingToken,
         term_s: float,
         wait_s: float,
         attempts: Sequence[AttemptId] | None,
@@ -122,11 +122,11 @@
             body,
             timeout_s=CALL_TIMEOUT_S + wait_s,
         )
-        return report_from(reply)
+        return report_from_document(reply)
 
     async def stop(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
@@ -139,7 +139,7 @@
         )
         return str(reply['checkpoint'])
 
-    async def release(self, token: Token, attempt_id: AttemptId) -> bool:
+    async def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
         """Give an attempt's slots back; say whether it had started."""
         body = _token(token) | attempt_id._asdict()
         reply = await self._post('release', body)
@@ -147,7 +147,7 @@
 
     async def throttle(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         share: float,
     ) -> None:
@@ -297,7 +297,7 @@
     )
 
 
-def _token(token: Token) -> dict[str, Any]:
+def _token(token: FencingToken) -> dict[str, Any]:
     return {'epoch': token.epoch, 'holder': token.holder}
 
 
--- a/src/curranthill/workers/interface.py
+++ b/src/curranthill/workers/interface.py
@@ -6,12 +6,12 @@
 from curranthill.registry import Registry
 from curranthill.workers.records import (
     AttemptId,
+    FencingToken,
     LeaseReport,
     LeaseRequest,
     QuickReply,
     QuickRequest,
     Task,
-    Token,
     WorkerReport,
 )
 
@@ -19,14 +19,14 @@
 class Worker(Protocol):
     """One worker; each method may raise any error of the worker's family."""
 
-    async def fence(self, token: Token) -> tuple[LeaseReport, ...]:
+    async def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
         """Raise the epoch the worker has seen and return all its leases.
 
         Both happen in one call, so that no older holder can start a member
         between the answer and what is decided from it.
         """
 
-    async def reserve(self, token: Token, request: LeaseRequest) -> None:
+    async def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
         """Hold slots for an attempt; nothing runs yet.
 
         :raises WorkerBusyError: if the slots are not free.
@@ -34,7 +34,7 @@
 
     async def start(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         task: Task,
     ) -> None:
@@ -42,7 +42,7 @@
 
     async def poll(
         self,
-        token: Token,
+        token: FencingToken,
         term_s: float,
         wait_s: float,
         attempts: Sequence[AttemptId] | None,
@@ -59,13 +59,13 @@
 
     async def stop(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
         """Checkpoint within the grace if it can, stop, and say its name."""
 
-    async def release(self, token: Token, attempt_id: AttemptId) -> bool:
+    async def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
         """Give the slots back; an attempt that runs is stopped first.
 
         A released attempt can never start again. Returns whether it ever
@@ -74,7 +74,7 @@
 
     async def throttle(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         share: float,
     ) -> None:
--- a/src/curranthill/workers/records.py
+++ b/src/curranthill/workers/records.py
@@ -15,7 +15,7 @@
 ENDED_STATES: Final = frozenset((FINISHED, TASK_FAILED, STOPPED))
 
 
-class Token(NamedTuple):
+class FencingToken(NamedTuple):
     """A fencing token: a lower epoch, or the same of another holder, loses."""
 
     epoch: int
@@ -108,9 +108,9 @@
     free_slots: int
 
 
-def report_from(entry: dict[str, Any]) -> WorkerReport:
+def report_from_document(entry: dict[str, Any]) -> WorkerReport:
     """Return a report from its JSON form; unknown fields are passed over."""
-    leases = tuple(lease_from(lease) for lease in entry['leases'])
+    leases = tuple(lease_from_document(lease) for lease in entry['leases'])
     return WorkerReport(
         leases=leases,
         unknown=tuple(AttemptId(*one) for one in entry['unknown']),
@@ -119,7 +119,7 @@
     )
 
 
-def lease_from(entry: dict[str, Any]) -> LeaseReport:
+def lease_from_document(entry: dict[str, Any]) -> LeaseReport:
     """Return one lease from its JSON form."""
     known = LeaseReport._fields
     return LeaseReport(**{name: entry[name] for name in known if name in entry})
@@ -133,14 +133,14 @@
     'STOPPED',
     'TASK_FAILED',
     'AttemptId',
+    'FencingToken',
     'LeaseReport',
     'LeaseRequest',
     'LeaseState',
     'QuickReply',
     'QuickRequest',
     'Task',
-    'Token',
     'WorkerReport',
-    'lease_from',
-    'report_from',
+    'lease_from_document',
+    'report_from_document',
 )
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -39,7 +39,7 @@
     Step,
     TaskKey,
     Timing,
-    WorkspacePromise,
+    WorkspaceGuarantee,
     decode,
     tables,
 )
@@ -120,7 +120,7 @@
     current: Revision | None = Revision(
         number=1,
         queues=(make_queue(0), make_queue(1), make_queue(2)),
-        workspaces=(WorkspacePromise('alpha', ('key',), 8),),
+        workspaces=(WorkspaceGuarantee('alpha', ('key',), 8),),
     )
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -33,7 +33,7 @@
 settings.load_profile(os.environ.get('HYPOTHESIS_PROFILE', 'ci'))
 
 #: Steps of the event loop after which tasks count as spinning.
-MOST_STEPS = 20_000
+MAX_STEPS = 20_000
 
 Result = TypeVar('Result')
 
@@ -96,7 +96,7 @@
 async def settle() -> None:
     """Let every task that can run do so."""
     loop: Any = asyncio.get_running_loop()
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_STEPS):
         await asyncio.sleep(0)
         # asyncio offers no other way to see that nothing is left to run.
         if not loop._ready:  # noqa: SLF001
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -45,7 +45,7 @@
     def test_jobs_with_slack_are_accepted_after_it(self) -> None:
         """And none of them misses its objective because of the delays."""
         spec = job_with_slack()
-        slack_s = spec.objective_s - spec.accepted_at_s - spec.chain_s
+        slack_s = spec.objective_s - spec.accepted_at_s - spec.critical_path_s
         for tenth in range(int(OUTAGE_S * 10)):
             moments = attempt_times_s(spec, tenth / 10)
             accepted = [one for one in moments if one >= OUTAGE_S]
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -183,7 +183,7 @@
             delays_s.append(refusal.retry_after_s)
             latest_s = refusal.retry_after_s + refusal.jitter_s
             left_s = 3 * (spec.objective_s - spec.accepted_at_s)
-            self.assertLess(latest_s, left_s - spec.chain_s)
+            self.assertLess(latest_s, left_s - spec.critical_path_s)
         self.assertEqual(delays_s, sorted(delays_s))
         self.assertEqual(len(set(delays_s)), len(delays_s))
 
--- a/tests/test_job_handler.py
+++ b/tests/test_job_handler.py
@@ -106,7 +106,7 @@
             step = Step(width=2, needs=ONE_GPU, estimate_s=1.0)
             await host.accept(make_spec('a1', step))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            domain.rows.refusing_partitions.add(tables.LEADERS_PARTITION)
+            domain.rows.refusing_partitions.add(tables.LEADER_PARTITION)
             await domain.clock.advance(4)
             self.assertIn((tables.INTAKE, 'a1'), domain.rows.rows)
             await host.kill()
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -198,7 +198,7 @@
             _, second = await overload(domain)
             self.assertTrue(await is_refused(second, gang('new', domain)))
             second.election.resign()
-            domain.rows.refusing_partitions.add(tables.LEADERS_PARTITION)
+            domain.rows.refusing_partitions.add(tables.LEADER_PARTITION)
             await domain.clock.advance(3.0)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 )
 from curranthill.membership.notify import Notifier
 from curranthill.protocol import Channels, InnerServer, inner_pb2
-from curranthill.protocol.calls import call_probe
+from curranthill.protocol.methods import probe_method
 from curranthill.settings import MembershipSettings
 from tests.support import ManualClock, run, settle
 
@@ -235,7 +235,7 @@
             with self.assertRaises(PeerError) as caught:
                 await stranger.channels.call(
                     address,
-                    call_probe,
+                    probe_method,
                     inner_pb2.ProbeRequest(
                         sender=inner_pb2.Member(name='evil', address='1:1'),
                     ),
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -11,9 +11,9 @@
     TaskProgress,
     decode,
     encode,
-    faults_of,
+    validation_errors,
 )
-from curranthill.tasks.checks import MOST_STEPS, MOST_TASKS
+from curranthill.tasks.validation import MAX_STEPS, MAX_TASKS
 from tests.domain import ONE_GPU, make_spec
 
 #: The maximum size of a row of the platform, in bytes.
@@ -32,7 +32,7 @@
                 worker=f'i-{draw.randint(1, 176):010x}',
                 checkpoint=f'{draw.getrandbits(64):016x}',
             )
-            for rank in range(MOST_TASKS)
+            for rank in range(MAX_TASKS)
         }
         progress = JobProgress(queue='batch', tasks=tasks)
         content = encode(progress)
@@ -50,20 +50,22 @@
                 label='some-label',
                 near_rack='r1-3',
             )
-            for number in range(MOST_STEPS)
+            for number in range(MAX_STEPS)
         )
-        self.assertEqual(faults_of('x' * 4000, steps, times=0), ())
+        self.assertEqual(validation_errors('x' * 4000, steps, times=0), ())
         spec = make_spec('a1', *steps)._replace(payload='x' * 4000)
         self.assertLess(len(encode(spec)), ROW_BYTES)
 
     def test_larger_jobs_are_refused(self) -> None:
         """Too many tasks at once, and too many steps."""
-        wide = Step(width=MOST_TASKS + 1, needs=ONE_GPU)
-        self.assertTrue(faults_of('', (wide,), times=0))
+        wide = Step(width=MAX_TASKS + 1, needs=ONE_GPU)
+        self.assertTrue(validation_errors('', (wide,), times=0))
         one = Step(width=1, needs=ONE_GPU)
-        self.assertTrue(faults_of('', (one,) * (MOST_STEPS + 1), times=0))
-        often = Step(width=MOST_TASKS // 2, needs=ONE_GPU)
-        self.assertFalse(faults_of('', (often,), times=4))
+        self.assertTrue(
+            validation_errors('', (one,) * (MAX_STEPS + 1), times=0)
+        )
+        often = Step(width=MAX_TASKS // 2, needs=ONE_GPU)
+        self.assertFalse(validation_errors('', (often,), times=4))
 
     def test_tasks_of_a_done_step_are_not_stored(self) -> None:
         """Of a recurring job only the occurrences that are not done are."""
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,7 +11,7 @@
 from curranthill.jobs import ENDED, KeyRecord, birth_of, new_job_id
 from curranthill.standin import FaultSettings
 from curranthill.storage import Transaction, WriteRateLimiter
-from curranthill.workers import AttemptId, LeaseRequest, Task, Token
+from curranthill.workers import AttemptId, FencingToken, LeaseRequest, Task
 from tests.harness import Site
 from tests.support import make_job, run
 
@@ -119,8 +119,8 @@
 
         async def scenario(site: Site) -> None:
             worker = site.workers['w0']
-            worker.fence(Token(5, 'a'))
-            for token in (Token(4, 'a'), Token(5, 'b')):
+            worker.fence(FencingToken(5, 'a'))
+            for token in (FencingToken(4, 'a'), FencingToken(5, 'b')):
                 with self.assertRaises(FencedError):
                     worker.fence(token)
 
@@ -170,7 +170,7 @@
 
         async def scenario(site: Site) -> None:
             worker = site.workers['w0']
-            token, attempt = Token(1, 'a'), AttemptId('dc-1', 1)
+            token, attempt = FencingToken(1, 'a'), AttemptId('dc-1', 1)
             worker.reserve(token, LeaseRequest(attempt, 1, 60))
             self.assertFalse(worker.release(token, attempt))
             with self.assertRaises(Exception):
@@ -237,7 +237,7 @@
         async def scenario(site: Site) -> None:
             worker = site.workers['w0']
             worker.reserve(
-                Token(0, ''),
+                FencingToken(0, ''),
                 LeaseRequest(AttemptId('dc-8', 1), 8, 1000),
             )
             scheduler = await site.scheduler('s1')
@@ -501,7 +501,7 @@
 
         async def scenario(site: Site) -> None:
             worker = site.workers['w0']
-            token, attempt = Token(1, 'a'), AttemptId('dc-1', 1)
+            token, attempt = FencingToken(1, 'a'), AttemptId('dc-1', 1)
             worker.reserve(token, LeaseRequest(attempt, 1, 60))
             body = '{"run_s": 50, "use_slots": 3}'
             worker.start(token, attempt, Task('s', 'k', body, 0, 1))
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -138,7 +138,7 @@
         for one in waiting:
             name = one.spec.job_id
             if name in found:
-                done_s[name] = min(done_s[name], now_s + one.chain_s)
+                done_s[name] = min(done_s[name], now_s + one.critical_path_s)
     return None
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,7 +5,7 @@
 
 from curranthill.jobs import job_document, job_from
 from curranthill.settings import reference
-from curranthill.workers.records import lease_from
+from curranthill.workers.records import lease_from_document
 from tests.support import make_job, members_on
 
 ROOT = Path(__file__).parent.parent
@@ -28,7 +28,7 @@
 
     def test_a_lease_report_may_have_more_fields(self) -> None:
         """Workers are operated and upgraded separately."""
-        lease = lease_from(
+        lease = lease_from_document(
             {
                 'job': 'j',
                 'attempt': 1,
