--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -55,7 +55,7 @@
         'runs': RUNS,
         'written_us': round(written_us, 2),
         'closed_us': round(closed_us, 2),
-        'left_out': log.left_out,
+        'left_out': log.dropped_lines,
     }
     sys.stderr.write(f'{json.dumps(figures)}\n')
 
--- a/src/curranthill/configuration/active.py
+++ b/src/curranthill/configuration/active.py
@@ -54,7 +54,7 @@
         try:
             document = self._accept(manifest, merged)
         except ConfigurationError as error:
-            metrics.revision_refused.add(1)
+            metrics.revisions_refused.add(1)
             logger.bind(step='configuration').error(
                 'revision {} cannot be applied, {} stays in force: {}',
                 manifest.revision,
@@ -70,7 +70,7 @@
             for name, workspace in document.workspaces.items()
             for token in workspace.token_digests
         }
-        metrics.revision.set(manifest.revision)
+        metrics.revision_in_force.set(manifest.revision)
         logger.bind(step='configuration').info(
             'revision {} is in force',
             manifest.revision,
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -184,7 +184,7 @@
         if finding in self._logged:
             return
         self._logged.add(finding)
-        metrics.inconsistencies.add(1, {'kind': finding.kind})
+        metrics.job_inconsistencies.add(1, {'kind': finding.kind})
         events.log(
             'job_inconsistent',
             found=finding.kind,
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -115,7 +115,7 @@
         task.losses += 1
         if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
-        metrics.runs_lost.add(1)
+        metrics.runs_lost_with_worker.add(1)
         job.record_losses(run.key)
         self._log_and_check(job, run, reason)
 
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -137,7 +137,7 @@
             progress = decode(content, JobProgress)
         except MalformedRecordError as error:
             events.log('progress_bad', job=job_id, error=error.message)
-            metrics.records_bad.add(1, {'kind': 'progress'})
+            metrics.malformed_records.add(1, {'kind': 'progress'})
             return
         if progress.ended_at_s:
             self._term.ended_at_s[job_id] = progress.ended_at_s
@@ -171,7 +171,7 @@
             version=row.version,
             error=error.message,
         )
-        metrics.records_bad.add(1, {'kind': kind})
+        metrics.malformed_records.add(1, {'kind': kind})
 
     def _replace_workers(self, rows: tuple[StoredRow, ...]) -> None:
         present = {row.key for row in rows}
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -151,7 +151,7 @@
     except msgspec.ValidationError as error:
         # The forecast may be of another release; the row itself stays valid.
         events.log('outlook_bad', error=str(error))
-        metrics.records_bad.add(1, {'kind': 'outlook'})
+        metrics.malformed_records.add(1, {'kind': 'outlook'})
         return None
 
 
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -201,7 +201,9 @@
                 self._version = version
                 self._row = row
                 self._record_applied(first_s)
-                metrics.commit_s.record(self._clock.monotonic_s() - first_s)
+                metrics.leader_commit_s.record(
+                    self._clock.monotonic_s() - first_s
+                )
                 return
             await self._clock.sleep(RETRY_DELAY_S)
         raise LeadershipLostError('This process leads no more.', step='write')
@@ -233,7 +235,7 @@
         except RowConflictError as conflict:
             return self._resolve_conflict(conflict.rows, operation)
         except StorageError as error:
-            metrics.commits_retried.add(1)
+            metrics.leader_commits_retried.add(1)
             events.log('leader_write_retried', error=str(error))
             return 0
 
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -148,7 +148,7 @@
         plan = planner.plan(self._term.jobs.values())
         self._request_next()
         self._reserved_for = plan.reserved_for
-        metrics.decision_s.record(self._clock.monotonic_s() - began_s)
+        metrics.placement_decision_s.record(self._clock.monotonic_s() - began_s)
         self._preempt(plan)
         for placement in plan.placements:
             self._assign(placement)
--- a/src/curranthill/entry/closed_data_centres.py
+++ b/src/curranthill/entry/closed_data_centres.py
@@ -118,7 +118,7 @@
                 version=row.version,
                 error=error.message,
             )
-            metrics.records_bad.add(1, {'kind': 'closure'})
+            metrics.malformed_records.add(1, {'kind': 'closure'})
             return None
 
     def _close(self, name: str, row: StoredRow) -> None:
--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -283,7 +283,7 @@
             expected_wait_s=refusal.wait_s,
             outlook_age_s=round(age_s, 2),
         )
-        metrics.turned_away.add(
+        metrics.jobs_refused.add(
             1,
             {
                 'workspace': workspace_labels.label(spec.workspace),
--- a/src/curranthill/entry/peers.py
+++ b/src/curranthill/entry/peers.py
@@ -117,7 +117,7 @@
         if self._bad.get(row.key) != row.version:
             self._bad[row.key] = row.version
             events.log('peer_row_bad', key=row.key, version=row.version)
-            metrics.records_bad.add(1, {'kind': 'peer'})
+            metrics.malformed_records.add(1, {'kind': 'peer'})
         return False
 
     def _unchanged_s(self, row: StoredRow) -> float:
--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -130,7 +130,7 @@
                     in_force=self.current.number if self.current else -1,
                     error=str(error),
                 )
-                metrics.records_bad.add(1, {'kind': 'revision'})
+                metrics.malformed_records.add(1, {'kind': 'revision'})
                 continue
             if revision is not None:
                 self._put_in_force(revision)
--- a/src/curranthill/entry/suspension.py
+++ b/src/curranthill/entry/suspension.py
@@ -47,7 +47,7 @@
         self._checked_s = now_s
         if suspended_s < MIN_SUSPENSION_S:
             return
-        metrics.pauses.add(1)
+        metrics.suspensions.add(1)
         events.log('resumed', away_s=round(suspended_s, 2))
         self._on_resume()
 
--- a/src/curranthill/platform/calls.py
+++ b/src/curranthill/platform/calls.py
@@ -97,8 +97,8 @@
         self._limit.reschedule(now_s + STALL_TIMEOUT_S)
 
     def _tell_of_cut(self, body_s: float, error: BaseException) -> None:
-        metrics.answers_cut.add(1)
-        metrics.answer_bytes_cut.add(self._received_bytes)
+        metrics.truncated_responses.add(1)
+        metrics.truncated_response_bytes.add(self._received_bytes)
         events.log(
             'answer_cut',
             peer=self._response.url.authority,
--- a/src/curranthill/platform/front.py
+++ b/src/curranthill/platform/front.py
@@ -139,7 +139,7 @@
         began_s = self._clock.monotonic_s()
         await self._job_handler.accept(spec, _patience_s(request))
         took_s = self._clock.monotonic_s() - began_s
-        metrics.accepted.add(1, {'queue': target.queue.name})
+        metrics.jobs_accepted.add(1, {'queue': target.queue.name})
         metrics.accept_s.record(took_s)
         events.log(
             'accepted',
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -62,7 +62,7 @@
         """Pass one call on."""
         if not self._paths.is_direct:
             return web.Response(status=_REFUSED)
-        metrics.calls_relayed.add(1)
+        metrics.store_calls_relayed.add(1)
         body = await request.read()
         direct = self._paths.direct
         response = web.StreamResponse()
@@ -103,7 +103,7 @@
     response.content_length = answer.length_bytes
     await _send(response.prepare(request))
     async for part in answer.parts():
-        metrics.bytes_relayed.add(len(part))
+        metrics.store_bytes_relayed.add(len(part))
         await _send(response.write(part))
     await _send(response.write_eof())
 
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -260,7 +260,7 @@
         error: Exception,
     ) -> WorkerReplyLostError:
         events.log('reply_bad', peer=self._address, step=path, error=str(error))
-        metrics.records_bad.add(1, {'kind': 'reply'})
+        metrics.malformed_records.add(1, {'kind': 'reply'})
         return WorkerReplyLostError(
             f'The answer cannot be read: {error}',
             step=path,
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -257,7 +257,7 @@
             begun_s = self._context.clock.monotonic_s()
             decisions = self._policy.decide(self.state, begun_s)
             took_s = self._context.clock.monotonic_s() - begun_s
-            metrics.decision_s.record(took_s)
+            metrics.placement_decision_s.record(took_s)
             for decision in decisions:
                 self._launch(decision)
 
--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -75,7 +75,7 @@
         transaction: Transaction,
         lost: ReplyLostError,
     ) -> dict[str, int]:
-        metrics.replies_lost.add(1)
+        metrics.table_replies_lost.add(1)
         delay_s = READ_BACK_DELAY_S
         for _ in range(READ_BACK_ATTEMPTS):
             await self._clock.sleep(delay_s)
--- a/src/curranthill/telemetry/events.py
+++ b/src/curranthill/telemetry/events.py
@@ -23,14 +23,14 @@
 class EventLog:
     """Writes events; each has a kind and named fields with their units.
 
-    :param left_out: lines that were not written since the last that was.
+    :param dropped_lines: lines that were not written since the last that was.
     """
 
     def __init__(self) -> None:
         """Start with all budgets full."""
         self._second = 0
         self._counts: dict[str, int] = {}
-        self.left_out = 0
+        self.dropped_lines = 0
         self._enabled = False
         self._fields: dict[str, Any] = {}
 
@@ -52,16 +52,16 @@
         line = {'t_s': round(time.time(), 3), 'event': kind}
         line.update(self._fields)
         line.update(fields)
-        if self.left_out:
-            line['lines_left_out'] = self.left_out
+        if self.dropped_lines:
+            line['lines_left_out'] = self.dropped_lines
         if self.write(json.dumps(line, default=str)):
-            self.left_out = 0
+            self.dropped_lines = 0
         else:
-            self._leave_out()
+            self._count_dropped()
 
-    def _leave_out(self) -> None:
-        self.left_out += 1
-        metrics.lines_left_out.add(1)
+    def _count_dropped(self) -> None:
+        self.dropped_lines += 1
+        metrics.log_lines_dropped.add(1)
 
     def _is_over_budget(self, kind: str) -> bool:
         second = int(uptime_s())
@@ -71,7 +71,7 @@
         count = self._counts.get(kind, 0) + 1
         self._counts[kind] = count
         if count > LINES_PER_KIND_PER_S:
-            self._leave_out()
+            self._count_dropped()
             return True
         return False
 
--- a/src/curranthill/telemetry/metrics.py
+++ b/src/curranthill/telemetry/metrics.py
@@ -25,30 +25,34 @@
         meter = api.get_meter('curranthill')
         self.table_writes = meter.create_counter('table_writes')
         self.table_reads = meter.create_counter('table_reads')
-        self.replies_lost = meter.create_counter('table_replies_lost')
+        self.table_replies_lost = meter.create_counter('table_replies_lost')
         self.requests = meter.create_counter('requests')
         self.refusals = meter.create_counter('refusals')
-        self.turned_away = meter.create_counter('jobs_turned_away')
+        self.jobs_refused = meter.create_counter('jobs_turned_away')
         self.retries = meter.create_counter('retries')
         self.placements = meter.create_counter('placements')
         self.preemptions = meter.create_counter('preemptions')
         self.preempted_core_s = meter.create_counter('preempted_core_s')
         self.takeovers = meter.create_counter('takeovers')
         self.guarantees_at_risk = meter.create_gauge('guarantees_at_risk')
-        self.revision = meter.create_gauge('revision_in_force')
-        self.revision_refused = meter.create_counter('revisions_refused')
+        self.revision_in_force = meter.create_gauge('revision_in_force')
+        self.revisions_refused = meter.create_counter('revisions_refused')
         self.quick_latency_s = meter.create_histogram('quick_latency_s')
-        self.decision_s = meter.create_histogram('placement_decision_s')
-        self.accepted = meter.create_counter('jobs_accepted')
+        self.placement_decision_s = meter.create_histogram(
+            'placement_decision_s'
+        )
+        self.jobs_accepted = meter.create_counter('jobs_accepted')
         self.accept_s = meter.create_histogram(
             'accept_s',
             explicit_bucket_boundaries_advisory=REPLY_BOUNDS_S,
         )
-        self.commit_s = meter.create_histogram(
+        self.leader_commit_s = meter.create_histogram(
             'leader_commit_s',
             explicit_bucket_boundaries_advisory=REPLY_BOUNDS_S,
         )
-        self.commits_retried = meter.create_counter('leader_commits_retried')
+        self.leader_commits_retried = meter.create_counter(
+            'leader_commits_retried'
+        )
         self.first_start_s = meter.create_histogram(
             'first_start_s',
             explicit_bucket_boundaries_advisory=START_BOUNDS_S,
@@ -72,20 +76,22 @@
         self.workers_unreachable = meter.create_gauge('workers_unreachable')
         self.workers_unused = meter.create_gauge('workers_unused')
         self.workers_restarted = meter.create_counter('workers_restarted')
-        self.runs_lost = meter.create_counter('runs_lost_with_worker')
+        self.runs_lost_with_worker = meter.create_counter(
+            'runs_lost_with_worker'
+        )
         self.workers_slow = meter.create_gauge('workers_slow')
         self.workers_fast = meter.create_gauge('workers_fast')
         self.moves = meter.create_counter('moves')
         self.tasks_given_up = meter.create_counter('tasks_given_up')
-        self.inconsistencies = meter.create_counter('job_inconsistencies')
+        self.job_inconsistencies = meter.create_counter('job_inconsistencies')
         self.data_centres_closed = meter.create_gauge('data_centres_closed')
-        self.pauses = meter.create_counter('pauses')
-        self.records_bad = meter.create_counter('records_bad')
-        self.calls_relayed = meter.create_counter('store_calls_relayed')
-        self.bytes_relayed = meter.create_counter('store_bytes_relayed')
-        self.answers_cut = meter.create_counter('answers_cut')
-        self.answer_bytes_cut = meter.create_counter('answer_bytes_cut')
-        self.lines_left_out = meter.create_counter('log_lines_left_out')
+        self.suspensions = meter.create_counter('pauses')
+        self.malformed_records = meter.create_counter('records_bad')
+        self.store_calls_relayed = meter.create_counter('store_calls_relayed')
+        self.store_bytes_relayed = meter.create_counter('store_bytes_relayed')
+        self.truncated_responses = meter.create_counter('answers_cut')
+        self.truncated_response_bytes = meter.create_counter('answer_bytes_cut')
+        self.log_lines_dropped = meter.create_counter('log_lines_left_out')
 
 
 #: The instruments of this process.
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -23,7 +23,7 @@
         events.log('kind', number=number, text='x' * 1000)
     time.sleep(1.01)
 os.set_blocking(1, True)
-sys.stderr.write(f'{time.monotonic() - began_s:.3f} {events.left_out}')
+sys.stderr.write(f'{time.monotonic() - began_s:.3f} {events.dropped_lines}')
 """
 
 
