--- a/src/curranthill/configuration/__init__.py
+++ b/src/curranthill/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' folder, its merge, its checks and its revisions."""
+"""The configuration: its files, merge, validation and revisions."""
 
 from curranthill.configuration.active import ActiveConfiguration
 from curranthill.configuration.folder import (
--- a/src/curranthill/configuration/active.py
+++ b/src/curranthill/configuration/active.py
@@ -1,4 +1,4 @@
-"""The configuration that a process has in force; it only moves upwards."""
+"""The configuration in force in a process; its revision only increases."""
 
 from collections.abc import Callable
 
@@ -20,14 +20,14 @@
 
 
 class ActiveConfiguration:
-    """Hold the revision in force and tell those who listen of a new one.
+    """The revision in force; listeners are notified when it changes.
 
-    A request keeps the document that it began with; the holder replaces its
-    own reference and never changes a document.
+    A request uses the document that it began with to its end: a new revision
+    replaces the document and never modifies one.
     """
 
     def __init__(self) -> None:
-        """Start with revision 0, an empty document."""
+        """Initialize with revision 0, an empty document."""
         self.document = ConfigurationDocument()
         self.manifest = Manifest(revision=0, files={}, merged='')
         self.merged: Json = {}
@@ -40,19 +40,20 @@
         return self.manifest.revision
 
     def listen(self, listener: Listener) -> None:
-        """Call ``listener`` after each move."""
+        """Call ``listener`` after each change of the revision."""
         self._listeners.append(listener)
 
     def activate(self, manifest: Manifest, merged: Json) -> bool:
-        """Put a higher revision in force; return whether it was taken.
+        """Put a newer revision in force; return whether it was accepted.
 
-        A lower or equal one changes nothing. One whose content is not what
-        its manifest names, or cannot be applied, leaves the old in force.
+        A revision that is not newer is ignored. One whose content does not
+        match its manifest's digest or is invalid is refused and logged. In
+        both cases the present revision stays in force.
         """
         if manifest.revision <= self.revision:
             return False
         try:
-            document = self._accept(manifest, merged)
+            document = self._validate(manifest, merged)
         except ConfigurationError as error:
             metrics.revisions_refused.add(1)
             logger.bind(step='configuration').error(
@@ -80,24 +81,24 @@
         return True
 
     def workspace_of(self, token: str) -> tuple[str, Workspace] | None:
-        """Return the workspace that a bearer token belongs to."""
+        """Return the name and workspace of a bearer token, if it is known."""
         name = self._workspaces_by_token.get(sha256_hex(token.encode()))
         if name is None:
             return None
         return name, self.document.workspaces[name]
 
     def kind(self, name: str) -> Kind | None:
-        """Return a kind of work by its name."""
+        """Return the kind of work of a name, or None if there is none."""
         return self.document.kinds.get(name)
 
-    def _accept(
+    def _validate(
         self,
         manifest: Manifest,
         merged: Json,
     ) -> ConfigurationDocument:
         if sha256_hex(canonical_json(merged)) != manifest.merged:
             raise ConfigurationError(
-                'The content is not what the manifest names.',
+                "The content does not match the manifest's digest.",
                 step='configuration',
             )
         return validate_document(merged, f'revision {manifest.revision}')
--- a/src/curranthill/configuration/folder.py
+++ b/src/curranthill/configuration/folder.py
@@ -1,4 +1,4 @@
-"""The operators' folder of small files and its one merge (RFC 7396)."""
+"""Reads the folder of configuration files and merges them by RFC 7396."""
 
 import hashlib
 import json
@@ -10,7 +10,7 @@
 from curranthill.errors import ConfigurationError, SettingsError
 from curranthill.settings.reader import parse_json5
 
-#: A larger file is refused; folders are made of small files.
+#: Larger files are refused: the configuration is split into small files.
 MAX_FILE_BYTES: Final = 256 * 1024
 
 _SUFFIX: Final = '.json'
@@ -18,7 +18,11 @@
 
 
 class Folder(NamedTuple):
-    """A folder as read: contents by file name, and what was passed over."""
+    """The contents of a folder.
+
+    :param contents: file name -> content.
+    :param ignored: one message for each entry that was ignored.
+    """
 
     contents: dict[str, bytes]
     ignored: tuple[str, ...]
@@ -27,52 +31,52 @@
 def read_folder(path: Path) -> Folder:
     """Read the files of a folder, in the byte order of their names.
 
-    :raises ConfigurationError: naming each file that cannot be taken.
+    :raises ConfigurationError: listing each file that is refused.
     """
     if not path.is_dir():
-        raise ConfigurationError(f'{path} is no folder.', step='read folder')
+        raise ConfigurationError(f'{path} is not a folder.', step='read folder')
     contents: dict[str, bytes] = {}
     ignored: list[str] = []
-    faults: list[str] = []
+    errors: list[str] = []
     for entry in sorted(path.iterdir(), key=_byte_order):
         reason = _reason_to_ignore(entry)
         if reason:
             ignored.append(f'{entry.name}: ignored, {reason}.')
             continue
-        fault = _fault(entry, path)
-        if fault:
-            faults.append(f'{entry.name}: {fault}.')
+        refusal = _reason_to_refuse(entry, path)
+        if refusal:
+            errors.append(f'{entry.name}: {refusal}.')
         else:
             contents[entry.name] = entry.read_bytes()
-    if faults:
-        raise ConfigurationError('\n'.join(faults), step='read folder')
+    if errors:
+        raise ConfigurationError('\n'.join(errors), step='read folder')
     return Folder(contents=contents, ignored=tuple(ignored))
 
 
 def merge(contents: Mapping[str, bytes]) -> Json:
     """Merge file contents in the byte order of their names.
 
-    :raises ConfigurationError: listing the fault of each broken file.
+    :raises ConfigurationError: listing the error of each invalid file.
     """
     merged: Json = {}
-    faults: list[str] = []
+    errors: list[str] = []
     for name in sorted(contents, key=_name_bytes):
         try:
             patch = parse_json5(contents[name], name)
         except SettingsError as error:
-            faults.append(error.message)
+            errors.append(error.message)
             continue
         if isinstance(patch, dict):
             merged = _merge_patch(merged, patch)
         else:
-            faults.append(f'{name}:1: the file must hold an object.')
-    if faults:
-        raise ConfigurationError('\n'.join(faults), step='merge')
+            errors.append(f'{name}:1: the file must contain an object.')
+    if errors:
+        raise ConfigurationError('\n'.join(errors), step='merge')
     return merged
 
 
 def canonical_json(document: Any) -> bytes:
-    """Return JSON with sorted keys and no spaces, always the same bytes."""
+    """Return JSON with sorted keys and no spaces, equal for equal documents."""
     text = json.dumps(
         document,
         sort_keys=True,
@@ -83,7 +87,7 @@
 
 
 def sha256_hex(content: bytes) -> str:
-    """Return the SHA-256 of some content in hexadecimal."""
+    """Return the SHA-256 of the content in hexadecimal."""
     return hashlib.sha256(content).hexdigest()
 
 
@@ -120,15 +124,15 @@
     return ''
 
 
-def _fault(entry: Path, folder: Path) -> str:
+def _reason_to_refuse(entry: Path, folder: Path) -> str:
     try:
         resolved = entry.resolve(strict=True)
     except OSError:
-        return 'the link leads nowhere'
+        return 'the link is broken'
     if not resolved.is_relative_to(folder.resolve()):
         return 'the link leads out of the folder'
     if not resolved.is_file():
-        return 'it is no regular file'
+        return 'it is not a regular file'
     size_bytes = resolved.stat().st_size
     if size_bytes > MAX_FILE_BYTES:
         return f'{size_bytes} bytes; at most {MAX_FILE_BYTES} are allowed'
--- a/src/curranthill/configuration/records.py
+++ b/src/curranthill/configuration/records.py
@@ -1,11 +1,12 @@
-"""The operators' document: workspaces, shapes, kinds, services, places."""
+"""Records of the configuration document that operators edit."""
 
 from typing import Any, Final, Literal, NamedTuple
 
-#: How near each other a shape's accelerators must be.
+#: Where the accelerators of a shape must be: on one worker, in one rack of a
+#: data centre, or anywhere in it.
 Adjacency = Literal['worker', 'rack', 'any']
 
-#: Whether a kind's work is answered at once or runs as a job.
+#: Whether requests of a kind are served synchronously or run as jobs.
 Lane = Literal['quick', 'long']
 
 ON_WORKER: Final = 'worker'
@@ -14,26 +15,29 @@
 
 
 class Shape(NamedTuple):
-    """A number of accelerators and how near each other they must be."""
+    """A number of accelerators and how close together they must be."""
 
     accelerators: int
     adjacent: Adjacency = IN_RACK
 
 
 class Guarantee(NamedTuple):
-    """Shapes that a workspace may have back at any time."""
+    """Shapes guaranteed to a workspace, which it can reclaim at any time.
+
+    :param count: the number of shapes guaranteed.
+    """
 
     shape: str
-    # The folder's key; it hides a method of tuples that nobody needs.
+    # The key in the files; it shadows tuple.count(), which is not used.
     count: int  # type: ignore[assignment]
     data_centre: str
 
 
 class Workspace(NamedTuple):
-    """One customer's share of the system.
+    """A tenant: its callers' tokens, its guarantees and its share beyond them.
 
     :param token_digests: SHA-256 of each bearer token, in hexadecimal.
-    :param weight: its part of what is borrowed, against the others'.
+    :param weight: its relative share of the borrowed capacity.
     :param borrowing: whether it may use more than its guarantees.
     """
 
@@ -44,11 +48,11 @@
 
 
 class Kind(NamedTuple):
-    """One kind of work.
+    """A kind of work that callers may request.
 
     :param shape: the shape of a long kind; a quick one takes one slot.
-    :param deadline_s: how long a caller waits, unless it says otherwise.
-    :param run_time_s: the declared run time; it may be far off.
+    :param deadline_s: the deadline of a request that does not set one.
+    :param run_time_s: the declared run time; the actual one may differ widely.
     """
 
     service: str
@@ -61,28 +65,32 @@
 
 
 class Service(NamedTuple):
-    """What each worker gives to a service."""
+    """Slots and connections that each worker offers to a service."""
 
     slots: int
     connections: int
 
 
 class Rack(NamedTuple):
-    """A rack's workers, all of one size."""
+    """A rack of workers that all have the same number of slots.
+
+    :param workers: the number of workers.
+    :param slots: the slots of each worker.
+    """
 
     workers: int
     slots: int
 
 
 class DataCentre(NamedTuple):
-    """A data centre's region and racks, against which promises are checked."""
+    """A data centre; guarantees are checked against the size of its racks."""
 
     region: str
     racks: dict[str, Rack]
 
 
 class ConfigurationDocument(NamedTuple):
-    """The whole merged document."""
+    """The merged configuration of all files."""
 
     workspaces: dict[str, Workspace] = {}
     shapes: dict[str, Shape] = {}
@@ -92,7 +100,7 @@
 
 
 class Manifest(NamedTuple):
-    """One revision: which files it merges and what came of it.
+    """A revision: the files that it merges and the digest of the result.
 
     :param files: file name -> SHA-256 of its content, in merge order.
     :param merged: SHA-256 of the merged document's canonical JSON.
@@ -105,7 +113,7 @@
     applied_at_s: float = 0.0
 
 
-#: JSON as the folder's files hold it.
+#: A JSON object, as each file of the folder holds one.
 Json = dict[str, Any]
 
 __all__ = (
--- a/src/curranthill/configuration/revisions.py
+++ b/src/curranthill/configuration/revisions.py
@@ -1,7 +1,8 @@
 """Revisions of the configuration in the platform's table and object store.
 
-The table's one row says which revision is in force (compare-and-set); the
-contents lie in the object store under their digests and never change.
+One row of the table holds the manifest of the revision in force and is
+replaced by compare-and-set. The contents of files are immutable objects in
+the object store, named by their digests.
 """
 
 import json
@@ -22,22 +23,22 @@
 REVISION_KEY = 'configuration/revision'
 HISTORY_PREFIX = 'configuration/history/'
 
-#: How often a change is put onto another operator's before it is given up.
+#: How often a change is rebased onto concurrent changes before it fails.
 REBASE_ATTEMPTS = 20
 
-#: A change: file name -> new content, or nothing to remove the file.
+#: File name -> new content, or None to remove the file.
 Change = Mapping[str, bytes | None]
 
 
 class RevisionStore:
-    """Read and move the revision that is in force.
+    """Reads the revision in force and replaces it.
 
     :param platform: the table and the object store.
-    :param clock: for waits and the time in the history.
+    :param clock: for retry delays and for the time that a revision is applied.
     """
 
     def __init__(self, *, platform: Platform, clock: Clock) -> None:
-        """Keep the platform's clients."""
+        """Initialize; nothing is read yet."""
         self._platform = platform
         self._clock = clock
         self._committer = Committer(table=platform.table, clock=clock)
@@ -49,16 +50,16 @@
     async def read_document(self, manifest: Manifest) -> Json:
         """Return the merged document of a manifest.
 
-        :raises ConfigurationError: if its object cannot be had.
+        :raises ConfigurationError: if its object is missing or damaged.
         """
-        content = await self._content(manifest.merged)
+        content = await self._read_object(manifest.merged)
         document: Json = json.loads(content)
         return document
 
     async def read_contents(self, manifest: Manifest) -> dict[str, bytes]:
-        """Return each file of a manifest."""
+        """Return the content of each file of a manifest."""
         return {
-            name: await self._content(digest)
+            name: await self._read_object(digest)
             for name, digest in manifest.files.items()
         }
 
@@ -76,26 +77,26 @@
     async def apply(self, change: Change, author: str) -> Manifest:
         """Put a change of some files in force and return the new manifest.
 
-        A change that meets another operator's change of other files is put
-        onto it; where both touch one file, the later is refused.
+        A change is rebased onto concurrent changes of other files. Of two
+        concurrent changes of one file the later is refused.
 
-        :raises ConfigurationError: if the merge would be faulty, or another
-            operator's change of the same file was first.
+        :raises ConfigurationError: if the merged document would be invalid, or
+            another operator changed one of the files first.
         """
         row = await self._platform.table.read(REVISION_KEY)
-        started_from = _manifest(row)
+        original = _manifest(row)
         for _ in range(REBASE_ATTEMPTS):
             base = _manifest(row)
-            _refuse_overlap(change, started_from, base)
+            _refuse_conflicts(change, original, base)
             manifest = await self._prepare(change, base, author)
             if manifest.files == base.files:
                 return base
             try:
-                return await self._put(manifest, row)
+                return await self._commit(manifest, row)
             except ConflictError:
                 row = await self._platform.table.read(REVISION_KEY)
         raise ConfigurationError(
-            'Other changes kept coming first; nothing was applied.',
+            'Concurrent changes kept preventing this one; nothing was applied.',
             step='change',
         )
 
@@ -105,6 +106,7 @@
         base: Manifest,
         author: str,
     ) -> Manifest:
+        """Store the changed files and their merge; return the new manifest."""
         contents = await self.read_contents(base)
         for name, content in change.items():
             if content is None:
@@ -114,10 +116,10 @@
         merged = merge(contents)
         validate_document(merged)
         merged_json = canonical_json(merged)
-        await self._keep(merged_json)
+        await self._store_object(merged_json)
         files: dict[str, str] = {}
         for name in sorted(contents, key=str.encode):
-            files[name] = await self._keep(contents[name])
+            files[name] = await self._store_object(contents[name])
         return Manifest(
             revision=base.revision + 1,
             files=files,
@@ -126,7 +128,7 @@
             applied_at_s=self._clock.wall_s(),
         )
 
-    async def _put(self, manifest: Manifest, row: Row | None) -> Manifest:
+    async def _commit(self, manifest: Manifest, row: Row | None) -> Manifest:
         document: dict[str, Any] = manifest._asdict()
         version = row.version if row else ABSENT
         history_key = f'{HISTORY_PREFIX}{manifest.revision:08d}'
@@ -138,17 +140,17 @@
         )
         return manifest
 
-    async def _keep(self, content: bytes) -> str:
+    async def _store_object(self, content: bytes) -> str:
         digest = sha256_hex(content)
         await self._platform.objects.put(f'configuration/{digest}', content)
         return digest
 
-    async def _content(self, digest: str) -> bytes:
+    async def _read_object(self, digest: str) -> bytes:
         name = f'configuration/{digest}'
         content = await self._platform.objects.get(name)
         if content is None or sha256_hex(content) != digest:
             raise ConfigurationError(
-                'A revision names content that the store does not have.',
+                'An object of the revision is missing or damaged.',
                 step='read content',
                 peer=name,
             )
@@ -166,13 +168,19 @@
     return Manifest(**known)
 
 
-def _refuse_overlap(
+def _refuse_conflicts(
     change: Change,
-    started_from: Manifest,
+    original: Manifest,
     base: Manifest,
 ) -> None:
+    """Refuse a change of files that differ between two manifests.
+
+    :param original: the manifest in force when the change began.
+    :param base: the manifest in force now.
+    :raises ConfigurationError: if a file of the change was changed meanwhile.
+    """
     for name in change:
-        if started_from.files.get(name) != base.files.get(name):
+        if original.files.get(name) != base.files.get(name):
             raise ConfigurationError(
                 f'{name}: revision {base.revision} by {base.author} changed'
                 ' this file first; nothing was applied.',
--- a/src/curranthill/configuration/validation.py
+++ b/src/curranthill/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Cross checks of a merged document: names, sizes and promises."""
+"""Validates a merged document: fields, references and guarantees."""
 
 from collections.abc import Iterator
 
@@ -19,17 +19,18 @@
 def validate_document(
     merged: Json, name: str = 'merged'
 ) -> ConfigurationDocument:
-    """Return a merged document as records, all of it checked.
+    """Return a merged document as validated records.
 
-    :raises ConfigurationError: listing every fault.
+    :param name: what the document is, for messages.
+    :raises ConfigurationError: listing all validation errors.
     """
     try:
         document = validate(ConfigurationDocument, merged, name)
     except SettingsError as error:
         raise ConfigurationError(error.message, step='check') from error
-    faults = list(_faults(document))
-    if faults:
-        raise ConfigurationError('\n'.join(faults), step='check')
+    errors = list(_errors(document))
+    if errors:
+        raise ConfigurationError('\n'.join(errors), step='check')
     return document
 
 
@@ -37,29 +38,30 @@
     """Return whether a shape fits an empty data centre."""
     racks = data_centre.racks.values()
     if shape.adjacent == ON_WORKER:
-        room = max((rack.slots for rack in racks), default=0)
+        capacity = max((rack.slots for rack in racks), default=0)
     elif shape.adjacent == IN_RACK:
-        room = max((rack.workers * rack.slots for rack in racks), default=0)
+        capacity = max((rack.workers * rack.slots for rack in racks), default=0)
     else:
-        room = sum(rack.workers * rack.slots for rack in racks)
-    return shape.accelerators <= room
+        capacity = sum(rack.workers * rack.slots for rack in racks)
+    return shape.accelerators <= capacity
 
 
-def _faults(document: ConfigurationDocument) -> Iterator[str]:
+def _errors(document: ConfigurationDocument) -> Iterator[str]:
+    """Yield the errors that the types of the fields do not rule out."""
     for name, shape in document.shapes.items():
         if shape.accelerators < 1:
             yield f'shapes.{name}: needs at least one accelerator.'
     for name, kind in document.kinds.items():
-        yield from _kind_faults(name, kind, document)
+        yield from _kind_errors(name, kind, document)
     for name, workspace in document.workspaces.items():
         for guarantee in workspace.guarantees:
-            where = f'workspaces.{name}.guarantees'
-            yield from _guarantee_faults(where, guarantee, document)
+            path = f'workspaces.{name}.guarantees'
+            yield from _guarantee_errors(path, guarantee, document)
     for name in document.data_centres:
-        yield from _promise_faults(name, document)
+        yield from _capacity_errors(name, document)
 
 
-def _kind_faults(
+def _kind_errors(
     name: str,
     kind: Kind,
     document: ConfigurationDocument,
@@ -72,39 +74,41 @@
         yield f'kinds.{name}: times must be positive.'
 
 
-def _guarantee_faults(
-    where: str,
+def _guarantee_errors(
+    path: str,
     guarantee: Guarantee,
     document: ConfigurationDocument,
 ) -> Iterator[str]:
     shape = document.shapes.get(guarantee.shape)
     if shape is None:
-        yield f'{where}: no shape is named {guarantee.shape!r}.'
+        yield f'{path}: no shape is named {guarantee.shape!r}.'
     data_centre = document.data_centres.get(guarantee.data_centre)
     if data_centre is None:
-        yield f'{where}: no data centre is named {guarantee.data_centre!r}.'
+        yield f'{path}: no data centre is named {guarantee.data_centre!r}.'
     if guarantee.count < 1:
-        yield f'{where}: count must be at least 1.'
+        yield f'{path}: count must be at least 1.'
     if shape and data_centre and not shape_fits(shape, data_centre):
-        yield f'{where}: {guarantee.shape} does not fit any rack there.'
+        yield (
+            f'{path}: {guarantee.shape} does not fit {guarantee.data_centre}.'
+        )
 
 
-def _promise_faults(
+def _capacity_errors(
     name: str,
     document: ConfigurationDocument,
 ) -> Iterator[str]:
-    """Find whether all promises of a data centre fit it at the same time.
+    """Yield guarantees of a data centre that do not fit it all at once.
 
-    The shapes are packed largest first, each into the fullest place that
-    still holds it; a set that only another order could pack is refused too.
+    The shapes are packed by best fit, the largest first. The heuristic may
+    refuse a set of guarantees that another order could pack.
     """
-    rooms = {
+    free_slots = {
         rack_name: [rack.slots for _ in range(rack.workers)]
         for rack_name, rack in document.data_centres[name].racks.items()
     }
-    promised = sorted(_promises(name, document), key=_largest_first)
-    for shape, workspace_name, guarantee in promised:
-        if not _pack(shape, rooms):
+    guaranteed = sorted(_guaranteed_shapes(name, document), key=_largest_first)
+    for shape, workspace_name, guarantee in guaranteed:
+        if not _pack(shape, free_slots):
             yield (
                 f'workspaces.{workspace_name}.guarantees: {guarantee.count} x'
                 f' {guarantee.shape} does not fit {name} beside the other'
@@ -112,11 +116,11 @@
             )
 
 
-def _promises(
+def _guaranteed_shapes(
     name: str,
     document: ConfigurationDocument,
 ) -> Iterator[tuple[Shape, str, Guarantee]]:
-    """Yield each promised shape of a data centre as often as promised."""
+    """Yield each shape guaranteed in a data centre, once per count."""
     for workspace_name, workspace in document.workspaces.items():
         for guarantee in workspace.guarantees:
             shape = document.shapes.get(guarantee.shape)
@@ -125,36 +129,40 @@
                     yield shape, workspace_name, guarantee
 
 
-def _largest_first(promise: tuple[Shape, str, Guarantee]) -> int:
-    return -promise[0].accelerators
+def _largest_first(guaranteed: tuple[Shape, str, Guarantee]) -> int:
+    return -guaranteed[0].accelerators
 
 
-def _pack(shape: Shape, rooms: dict[str, list[int]]) -> bool:
+def _pack(shape: Shape, free_slots: dict[str, list[int]]) -> bool:
+    """Take a shape's slots by best fit; return whether it fits.
+
+    :param free_slots: the free slots of each worker, by rack.
+    """
     size = shape.accelerators
     single = [
         (free, rack_name, index)
-        for rack_name, workers in rooms.items()
+        for rack_name, workers in free_slots.items()
         for index, free in enumerate(workers)
         if free >= size
     ]
     if single:
         _, rack_name, index = min(single)
-        rooms[rack_name][index] -= size
+        free_slots[rack_name][index] -= size
         return True
     if shape.adjacent == ON_WORKER:
         return False
-    racks = [workers for workers in rooms.values() if sum(workers) >= size]
+    racks = [workers for workers in free_slots.values() if sum(workers) >= size]
     if shape.adjacent == IN_RACK:
         if not racks:
             return False
         return _take(min(racks, key=sum), size) == 0
-    for workers in rooms.values():
+    for workers in free_slots.values():
         size = _take(workers, size)
     return size == 0
 
 
 def _take(workers: list[int], size: int) -> int:
-    """Take slots from the emptiest workers first; return what is left."""
+    """Take slots from the emptiest workers first; return how many lack."""
     emptiest_first = sorted(
         range(len(workers)),
         key=workers.__getitem__,
--- a/src/curranthill/scheduler/election.py
+++ b/src/curranthill/scheduler/election.py
@@ -86,7 +86,7 @@
     def require(self, step: str) -> None:
         """Require a valid lease, with its margin, before an effect.
 
-        :raises LeaseLapsedError: if it is not valid.
+        :raises LeaseExpiredError: if it is not valid.
         """
         if self.lease_left_s() <= 0:
             raise LeaseExpiredError(
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -114,7 +114,7 @@
         During an outage of the table the leader waits; once another scheduler
         leads, it stops waiting.
 
-        :raises LeaseLapsedError: if this process no longer leads.
+        :raises LeaseExpiredError: if this process no longer leads.
         """
         election = self._context.election
         while election.leading and election.lease_left_s() <= 0:
--- a/src/curranthill/settings/__init__.py
+++ b/src/curranthill/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a process, read from one file of JSON with comments."""
+"""The settings of a process, read from a JSON5 file."""
 
 from curranthill.settings.reader import parse_json5, read_settings, validate
 from curranthill.settings.records import (
--- a/src/curranthill/settings/reader.py
+++ b/src/curranthill/settings/reader.py
@@ -1,4 +1,4 @@
-"""JSON with comments, read strictly and checked into records."""
+"""Parses JSON5 and validates it into records."""
 
 import re
 from pathlib import Path
@@ -15,10 +15,10 @@
 
 
 def parse_json5(content: bytes, name: str) -> Any:
-    """Return the JSON value of a file's content; comments are allowed.
+    """Return the value of a JSON5 document; duplicate keys are refused.
 
-    :param name: the file's name, for the message.
-    :raises SettingsError: with the file and line of the first fault.
+    :param name: the file's name, for error messages.
+    :raises SettingsError: with the file and line of the first error.
     """
     try:
         text = content.decode('utf-8')
@@ -32,7 +32,7 @@
         return json5.loads(text, allow_duplicate_keys=False)
     except ValueError as error:
         raise SettingsError(
-            _fault(text, name, str(error)),
+            _syntax_error(text, name, str(error)),
             step='parse',
         ) from error
 
@@ -40,17 +40,17 @@
 def validate(record_type: type[Record], document: Any, name: str) -> Record:
     """Return a document as a record.
 
-    :param name: the file or document it came from, for the message.
-    :raises SettingsError: listing every wrong field with its path, what was
+    :param name: the file or document that it came from, for error messages.
+    :raises SettingsError: listing every invalid field with its path, what was
         found and what is allowed.
     """
     try:
         return TypeAdapter(record_type).validate_python(document)
     except ValidationError as error:
         lines = [
-            f'{name}: {_path(fault["loc"])}: {fault["msg"]}'
-            f' (found {fault["input"]!r:.60})'
-            for fault in error.errors()
+            f'{name}: {_path(detail["loc"])}: {detail["msg"]}'
+            f' (found {detail["input"]!r:.60})'
+            for detail in error.errors()
         ]
         raise SettingsError('\n'.join(lines), step='check') from error
 
@@ -58,7 +58,7 @@
 def read_settings(record_type: type[Record], path: Path) -> Record:
     """Return the settings of a process from its file.
 
-    :raises SettingsError: if the file cannot be read or holds faults.
+    :raises SettingsError: if the file cannot be read or is invalid.
     """
     try:
         content = path.read_bytes()
@@ -74,14 +74,18 @@
     return '.'.join(str(part) for part in location)
 
 
-def _fault(text: str, name: str, message: str) -> str:
+def _syntax_error(text: str, name: str, message: str) -> str:
+    """Return a parser's message with the file's name and the line.
+
+    The parser gives no line for a duplicate key: it is searched in the text.
+    """
     duplicate = _DUPLICATE.search(message)
     if duplicate is None:
         return f'{name}:{message.removeprefix("<string>:")}'
     key = re.escape(duplicate['name'])
-    places = list(re.finditer(rf'["\']?{key}["\']?\s*:', text))
-    line = text[: places[-1].start()].count('\n') + 1 if places else 1
-    return f'{name}:{line}: the key "{duplicate["name"]}" stands twice.'
+    matches = list(re.finditer(rf'["\']?{key}["\']?\s*:', text))
+    line = text[: matches[-1].start()].count('\n') + 1 if matches else 1
+    return f'{name}:{line}: the key "{duplicate["name"]}" is a duplicate.'
 
 
 __all__ = ('parse_json5', 'read_settings', 'validate')
--- a/src/curranthill/settings/records.py
+++ b/src/curranthill/settings/records.py
@@ -1,4 +1,4 @@
-"""The settings of a process, one record a concern, units in the names."""
+"""Records of the settings, one for each concern, with units in the names."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class HostSettings(NamedTuple):
-    """Where this process runs.
+    """The host of this process and its location.
 
-    :param address: the IP number that peers and callers reach it at.
+    :param address: the IP address at which peers and callers reach it.
     """
 
     name: str
@@ -18,13 +18,13 @@
 
 
 class PlatformSettings(NamedTuple):
-    """How the platform's services are reached and how hard.
+    """How the platform's services are reached, and at which rates.
 
     :param client: a name in the registry of platform clients.
-    :param writes_per_s: writes of jobs and keys by one process; the leader's
-        heartbeat is not counted.
-    :param list_interval_s: how often the host list is read.
-    :param revision_interval_s: how often the revision row is read.
+    :param writes_per_s: the maximum rate at which one process writes jobs and
+        keys; the leader's heartbeat is not counted.
+    :param list_interval_s: the interval between reads of the host list.
+    :param revision_interval_s: the interval between reads of the revision row.
     """
 
     url: str
@@ -35,17 +35,18 @@
 
 
 class MembershipSettings(NamedTuple):
-    """How processes watch each other.
+    """Membership and failure detection among the processes.
 
     :param port: the port of the inner protocol.
-    :param seeds: ``address:port`` of some peers to begin with.
-    :param key_file: a file that holds the key shared by all processes; the
-        environment variable CURRANTHILL_KEY takes its place.
-    :param probe_interval_s: the time between two random probes.
-    :param probe_timeout_s: how long an answer may take.
-    :param suspicion_s: how long a silent peer is doubted before it counts
-        as dead.
-    :param remote_contacts: peers watched in each other data centre.
+    :param seeds: ``address:port`` of the peers that are contacted first.
+    :param key_file: a file with the key that all processes share; the
+        environment variable CURRANTHILL_KEY has precedence.
+    :param probe_interval_s: the interval between two probes.
+    :param probe_timeout_s: the timeout of a probe.
+    :param suspicion_s: how long an unresponsive peer is suspected before it is
+        declared dead.
+    :param remote_contacts: the number of peers that are probed in each other
+        data centre.
     """
 
     port: int = 0
@@ -58,19 +59,20 @@
 
 
 class LogSettings(NamedTuple):
-    """How log lines look."""
+    """The format and the minimum level of log lines."""
 
     style: LogStyle = 'json'
     level: str = 'INFO'
 
 
 class CallerSettings(NamedTuple):
-    """Bounds on what callers may send and hold.
+    """Limits on callers' connections and requests.
 
-    :param idle_s: how long a connection may stay without a request.
-    :param body_timeout_s: how long a body may take to arrive.
-    :param max_wait_s: the longest ``wait_s`` of a job query.
-    :param key_retention_s: how long an idempotency key is remembered.
+    :param idle_s: how long a connection without a request is kept open.
+    :param body_timeout_s: how long a request's body may take to arrive.
+    :param max_wait_s: the maximum ``wait_s`` of a job query.
+    :param key_retention_s: how long an idempotency key is stored.
+    :param drain_s: how long requests may take to end after a stop signal.
     """
 
     port: int = 0
@@ -85,13 +87,14 @@
 
 
 class QuickSettings(NamedTuple):
-    """The quick lane's limits.
+    """Limits on quick requests.
 
     :param choice: a name in the registry of worker choices.
-    :param queue_per_workspace: requests that may wait for one workspace.
-    :param gateways: the most gateways a data centre may have; a worker's
-        connections are shared among so many without asking anyone.
-    :param retry_share: retries allowed as a share of recent requests.
+    :param queue_per_workspace: the maximum number of waiting requests of one
+        workspace.
+    :param gateways: the maximum number of gateways in a data centre; each may
+        use its share of a worker's connections without coordination.
+    :param retry_share: the maximum share of retries in recent requests.
     :param healthy_share: the share of workers that is never ejected.
     """
 
@@ -119,13 +122,13 @@
     """The terms of leases, in seconds.
 
     :param leader_term_s: how long a scheduler leads without a renewal.
-    :param leader_renew_s: how often it renews.
-    :param margin_s: how long before its end a lease counts as over.
+    :param leader_renew_s: the interval between two renewals.
+    :param margin_s: how long before its end a lease is regarded as expired.
     :param member_term_s: the term of a gang member's lease at a worker.
-    :param reserve_term_s: the first term of a reservation; longer than a
-        poll may be held, since only the next poll renews it.
-    :param poll_wait_s: how long a worker may hold a poll; well inside the
-        member term.
+    :param reserve_term_s: the first term of a reservation; longer than
+        ``poll_wait_s``, since only the next poll renews it.
+    :param poll_wait_s: how long a worker may delay its response to a poll;
+        much shorter than ``member_term_s``.
     """
 
     leader_term_s: float = 4.0
@@ -137,22 +140,26 @@
 
 
 class PlacementSettings(NamedTuple):
-    """How jobs are placed.
+    """How jobs are placed, preempted and retried.
 
     :param policy: a name in the registry of policies.
-    :param quick_slots: slots kept for quick work when demand is unknown.
-    :param grace_s: the time that a preempted task has to checkpoint.
-    :param failures: different healthy workers on which a job may fail.
-    :param preemptions: how often one job may be preempted.
-    :param losses: attempts of one job that may be lost with their workers; it
-        may be what crashes them.
-    :param quarantine_s: how long a worker on which different jobs fail gets
-        no work before it is probed.
-    :param quarantine_failures: how many different jobs those are.
-    :param scan_interval_s: how often all open rows are read, for jobs of
-        which no news arrived; a row has about a kilobyte.
-    :param adopt_marked_s: how long after its home's lease lapsed a marked
-        idempotent job may be run elsewhere.
+    :param quick_slots: the minimum number of slots reserved for quick work;
+        they are reserved also while its demand is unknown.
+    :param grace_s: how long a preempted task may take to checkpoint.
+    :param failures: the number of different healthy workers on which a job
+        fails before it is given up.
+    :param preemptions: how often a job may be preempted before it is placed as
+        non-preemptible, if the guarantees allow it.
+    :param losses: the number of a job's attempts that are lost with their
+        workers before it is given up: it may be what crashes them.
+    :param quarantine_s: how long a worker on which different jobs fail gets no
+        work, until it is tried again.
+    :param quarantine_failures: the number of different jobs that fail on a
+        worker before it is quarantined.
+    :param scan_interval_s: the interval between reads of all open rows, which
+        find jobs whose notification was lost; a row has about a kilobyte.
+    :param adopt_marked_s: how long after its home's lease expired an idempotent
+        job with a start record may be run elsewhere.
     """
 
     policy: str = 'guarantees'
@@ -183,7 +190,7 @@
 class OperatorSettings(NamedTuple):
     """Settings of the operators' command.
 
-    :param entry_hosts: ``address:port`` of some inner services to ask.
+    :param entry_hosts: ``address:port`` of some processes that it may query.
     """
 
     platform: PlatformSettings
--- a/src/curranthill/settings/reference.py
+++ b/src/curranthill/settings/reference.py
@@ -1,4 +1,4 @@
-"""The settings page, made from the records.
+"""Generates the settings page from the doc comments of the records.
 
 ``python -m curranthill.settings.reference > docs/operations/settings.md``
 """
@@ -13,9 +13,9 @@
 _INTRODUCTION: Final = """\
 # Settings
 
-Made from the records in `curranthill.settings.records`; a test holds this
-page to them. One file of JSON with comments for each process; unknown fields
-are refused, and `--check-settings` names every wrong one.
+Generated from the records in `curranthill.settings.records`; a test compares
+the two. Each process reads one JSON5 file. Unknown fields are refused, and
+`--check-settings` lists every invalid field.
 """
 
 _PARAMETER: Final = re.compile(
@@ -25,7 +25,7 @@
 
 
 def render_page() -> str:
-    """Return the whole page as Markdown."""
+    """Return the page as Markdown."""
     return '\n'.join((_INTRODUCTION, *_sections()))
 
 
--- a/src/curranthill/settings/secrets.py
+++ b/src/curranthill/settings/secrets.py
@@ -1,4 +1,4 @@
-"""Secrets from files or the environment; they are never logged."""
+"""Reads secrets from a file or the environment; they are never logged."""
 
 import os
 from pathlib import Path
@@ -9,9 +9,11 @@
 
 
 def read_shared_key(key_file: str) -> str:
-    """Return the key that all processes share.
+    """Return the key that all processes share to authenticate each other.
 
-    :raises SettingsError: if neither the variable nor the file gives one.
+    :param key_file: the path of its file; the environment variable has
+        precedence.
+    :raises SettingsError: if neither is set, or the file cannot be read.
     """
     from_environment = os.environ.get(KEY_VARIABLE)
     if from_environment:
