--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -10,11 +10,11 @@
 import time
 from collections.abc import Callable
 
-from curranthill.telemetry.events import LINES_PER_KIND_PER_S, EventLog
+from curranthill.telemetry.events import MAX_LINES_PER_KIND_PER_S, EventLog
 
 #: Kinds that are written in turn, so that none passes its budget.
 KINDS = 100
-LINES = KINDS * LINES_PER_KIND_PER_S
+LINES = KINDS * MAX_LINES_PER_KIND_PER_S
 RUNS = 5
 
 
--- a/src/curranthill/application.py
+++ b/src/curranthill/application.py
@@ -1,4 +1,4 @@
-"""The central object of each process: it owns all else and cleans it up."""
+"""The application object, which manages the lifecycle of a process."""
 
 import asyncio
 import signal
@@ -13,17 +13,17 @@
 
 
 class Application:
-    """Start, own and stop the parts of one process.
+    """Starts and stops the components of a process, and owns its tasks.
 
-    Hooks given to :meth:`on_stop` run in the reverse order of their adding,
-    so that a part stops before what it rests on.
+    Hooks added by :meth:`on_stop` run in reverse order, so that a component
+    stops before those that it depends on.
 
-    :param name: the process's name in logs.
-    :param clock: the clock of every part; the machine's own by default.
+    :param name: the name of the process in logs.
+    :param clock: the clock of all components; by default the system's.
     """
 
     def __init__(self, *, name: str, clock: Clock | None = None) -> None:
-        """Make an application with no parts."""
+        """Initialize without hooks and tasks."""
         self.name = name
         self.clock: Clock = clock or SystemClock()
         self._start_hooks: list[Hook] = []
@@ -32,23 +32,23 @@
         self._stopping = asyncio.Event()
 
     def on_start(self, hook: Hook) -> None:
-        """Add a coroutine function to run at start, in order of adding."""
+        """Add a coroutine function to call at start, in order of addition."""
         self._start_hooks.append(hook)
 
     def on_stop(self, hook: Hook) -> None:
-        """Add a coroutine function to run at stop, last added first."""
+        """Add a coroutine function to call at stop, the last added first."""
         self._stop_hooks.append(hook)
 
     def spawn(
         self,
-        work: Coroutine[Any, Any, None],
+        coroutine: Coroutine[Any, Any, None],
         *,
         name: str,
     ) -> asyncio.Task[None]:
-        """Run a task that this application cancels when it stops."""
-        task = asyncio.create_task(work, name=name)
+        """Run a coroutine as a task that is cancelled when this stops."""
+        task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._on_task_done)
         return task
 
     async def start(self) -> None:
@@ -58,7 +58,7 @@
         logger.bind(step='start').info('{} started', self.name)
 
     async def stop(self) -> None:
-        """Run the stop hooks, then cancel the tasks that are left."""
+        """Run the stop hooks, then cancel the remaining tasks."""
         for hook in reversed(self._stop_hooks):
             await hook()
         tasks = list(self._tasks)
@@ -76,14 +76,14 @@
         await self._stopping.wait()
         await self.stop()
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
         error = task.exception()
         if error is not None:
             logger.bind(step=task.get_name()).opt(exception=error).error(
-                'task {} ended by an error',
+                'task {} failed',
                 task.get_name(),
             )
 
--- a/src/curranthill/clock.py
+++ b/src/curranthill/clock.py
@@ -1,4 +1,4 @@
-"""Time as an object, so that tests can move it."""
+"""Clocks as objects, so that tests can control the time."""
 
 import asyncio
 import time
@@ -7,40 +7,40 @@
 
 
 class Clock(Protocol):
-    """What the system asks of time."""
+    """The source of time for all components."""
 
     def monotonic_s(self) -> float:
-        """Return seconds that never run back, time suspended included."""
+        """Return seconds that never decrease and include suspended time."""
 
     def wall_s(self) -> float:
-        """Return seconds since 1970, for records that people read."""
+        """Return seconds since 1970, for timestamps that people read."""
 
     async def sleep(self, delay_s: float) -> None:
         """Return after ``delay_s`` seconds or later.
 
-        Timers stand still while the machine is suspended, so whoever wakes
-        up reads the clock before it goes by what it knew.
+        Timers stop while the machine is suspended, so a caller must read the
+        clock again afterwards before it relies on earlier readings.
         """
 
 
 def uptime_s() -> float:
-    """Return seconds since the machine's start, time suspended included.
+    """Return seconds since the machine started, including suspended time.
 
-    The steady clock stands still while the machine is suspended: leases and
-    ages read by it would seem to be as fresh as before.
+    The usual monotonic clock stops while the machine is suspended: by it,
+    leases and ages would afterwards seem as fresh as before.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def monotonic_s(self) -> float:
-        """Return seconds that go on while the machine is suspended."""
+        """Return the machine's uptime, including suspended time."""
         return uptime_s()
 
     def wall_s(self) -> float:
-        """Return the machine's wall clock."""
+        """Return the wall-clock time in seconds since 1970."""
         return time.time()
 
     async def sleep(self, delay_s: float) -> None:
@@ -49,23 +49,23 @@
 
 
 async def wait_at_most(
-    work: Coroutine[Any, Any, Any] | asyncio.Future[Any],
+    awaitable: Coroutine[Any, Any, Any] | asyncio.Future[Any],
     *,
     timeout_s: float,
     clock: Clock,
 ) -> bool:
-    """Wait for some work by a clock; return whether it ended in time.
+    """Wait with a timeout by a clock; return whether it ended in time.
 
-    A coroutine that did not end is cancelled; a future is left as it is.
+    On a timeout a coroutine is cancelled; a future is not.
     """
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(awaitable)
     sleep = asyncio.ensure_future(clock.sleep(timeout_s))
     try:
         await asyncio.wait((task, sleep), return_when=asyncio.FIRST_COMPLETED)
         return task.done()
     finally:
         sleep.cancel()
-        if task is not work:
+        if task is not awaitable:
             task.cancel()
 
 
--- a/src/curranthill/connections.py
+++ b/src/curranthill/connections.py
@@ -1,8 +1,8 @@
-"""Kept HTTP connections, a pool for each peer.
+"""Pools of persistent HTTP connections, one for each peer.
 
-An open connection may fall silent for good while new ones work. One call that
-gets no answer in time is taken as a sign that all kept connections to its
-peer may have, so that they are not tried one timeout after the other.
+An open connection may stop responding for good while new ones work. If a call
+times out, all pooled connections to its peer are regarded as affected and are
+no longer used: trying each of them could cost a timeout each.
 """
 
 from collections.abc import AsyncIterator
@@ -13,17 +13,17 @@
 
 from curranthill.clock import uptime_s
 
-#: How long an unused connection is kept, in seconds: above the interval of
-#: every regular call, so that these need no new connections.
+#: How long an unused connection is kept open, in seconds: longer than the
+#: interval of every periodic call, so that these need no new connections.
 KEEP_ALIVE_S: Final = 60.0
 
-#: A peer that was not called for so long is forgotten, in seconds: by then
-#: its connections have been closed.
-FORGET_AFTER_S: Final = 2 * KEEP_ALIVE_S
+#: The time without a call after which a peer's pool is dropped, in seconds: by
+#: then its connections have been closed.
+POOL_EXPIRY_S: Final = 2 * KEEP_ALIVE_S
 
 
 class _Pool:
-    """Connections to one peer that were opened since the last silence."""
+    """Connections to one peer that were opened since its last timeout."""
 
     def __init__(self) -> None:
         self.session = aiohttp.ClientSession(
@@ -34,61 +34,61 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
         )
-        self.calls = 0
+        self.active_calls = 0
         self.retired = False
-        self.used_s = uptime_s()
+        self.last_used_s = uptime_s()
 
 
 class ConnectionPools:
-    """The connections of one process to all its peers."""
+    """The connections of one process to all its peers, pooled by peer."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Initialize without connections."""
         self._pools: dict[str, _Pool] = {}
         self._retired: set[_Pool] = set()
 
     @asynccontextmanager
     async def session(self, peer: str) -> AsyncIterator[aiohttp.ClientSession]:
-        """Lend the peer's session for one call.
+        """Provide the peer's session for one call.
 
-        A call that ends by a timeout retires the pool: calls under way end on
-        it, later ones open connections of their own.
+        A call that times out retires the pool: calls in progress continue on
+        it, and later ones open new connections.
 
-        :param peer: what tells a peer from all others, as its IP and port.
+        :param peer: the unique name of a peer, such as its IP and port.
         """
-        pool = self._pool_of(peer)
-        pool.calls += 1
+        pool = self._get_or_create_pool(peer)
+        pool.active_calls += 1
         try:
             yield pool.session
         except TimeoutError:
             self._retire(peer, pool)
             raise
         finally:
-            pool.calls -= 1
-            pool.used_s = uptime_s()
-            await self._close_if_over(pool)
+            pool.active_calls -= 1
+            pool.last_used_s = uptime_s()
+            await self._close_if_drained(pool)
 
     async def close(self) -> None:
-        """Close all connections, also those of calls under way."""
+        """Close all connections, including those of calls in progress."""
         pools = [*self._pools.values(), *self._retired]
         self._pools.clear()
         self._retired.clear()
         for pool in pools:
             await pool.session.close()
 
-    def _pool_of(self, peer: str) -> _Pool:
+    def _get_or_create_pool(self, peer: str) -> _Pool:
         pool = self._pools.get(peer)
         if pool is None:
-            self._forget_unused()
+            self._retire_unused()
             pool = _Pool()
             self._pools[peer] = pool
         return pool
 
-    def _forget_unused(self) -> None:
-        """Let go of peers that are called no more, such as former workers."""
-        oldest_s = uptime_s() - FORGET_AFTER_S
+    def _retire_unused(self) -> None:
+        """Drop peers that are no longer called, such as removed workers."""
+        oldest_s = uptime_s() - POOL_EXPIRY_S
         for peer, pool in list(self._pools.items()):
-            if not pool.calls and pool.used_s < oldest_s:
+            if not pool.active_calls and pool.last_used_s < oldest_s:
                 self._retire(peer, pool)
 
     def _retire(self, peer: str, pool: _Pool) -> None:
@@ -97,9 +97,9 @@
         pool.retired = True
         self._retired.add(pool)
 
-    async def _close_if_over(self, pool: _Pool) -> None:
-        """Close a retired pool after the last call that it was lent to."""
-        if pool.retired and not pool.calls and pool in self._retired:
+    async def _close_if_drained(self, pool: _Pool) -> None:
+        """Close a retired pool once its last call has ended."""
+        if pool.retired and not pool.active_calls and pool in self._retired:
             self._retired.discard(pool)
             await pool.session.close()
 
--- a/src/curranthill/errors.py
+++ b/src/curranthill/errors.py
@@ -1,8 +1,8 @@
-"""The tree of errors, each knowing the step and the peer where it arose."""
+"""The hierarchy of errors; each names the step and the peer that failed."""
 
 from typing import Final, Literal
 
-#: What is known of a request's effect when an error is reported.
+#: Whether a request took effect, as far as known when an error is reported.
 Outcome = Literal['not_run', 'unknown', 'failed']
 
 NOT_RUN: Final = 'not_run'
@@ -11,11 +11,11 @@
 
 
 class CurranthillError(Exception):
-    """The base of every error of this package.
+    """Base of all errors of this package.
 
-    :param message: a plain sentence for a person.
-    :param step: the step of the work that failed, such as ``reserve``.
-    :param peer: the host, worker or service at the other end, if any.
+    :param message: a sentence for users or operators.
+    :param step: the step that failed, such as ``reserve``.
+    :param peer: the host, worker or service that was called, if any.
     """
 
     def __init__(
@@ -25,60 +25,60 @@
         step: str,
         peer: str = '',
     ) -> None:
-        """Keep the message with the place where the error arose."""
+        """Initialize with the message, the step and the peer."""
         super().__init__(message)
         self.message = message
         self.step = step
         self.peer = peer
 
     def __str__(self) -> str:
-        """Return the sentence with the step and the peer behind it."""
+        """Return the message, followed by the step and the peer."""
         where = f'{self.step} at {self.peer}' if self.peer else self.step
         return f'{self.message} (step: {where})'
 
 
 class SettingsError(CurranthillError):
-    """A settings file holds faults; the message lists every one."""
+    """Settings are invalid; the message lists every error."""
 
 
 class ConfigurationError(CurranthillError):
-    """An operators' folder cannot be read, merged or accepted."""
+    """A configuration cannot be read, merged or validated."""
 
 
 class StorageError(CurranthillError):
-    """The base of what the platform's table and object store may answer."""
+    """Base of the errors of the platform's table and object store."""
 
 
 class ConflictError(StorageError):
-    """A conditional write met another version; nothing was written."""
+    """A conditional write found another version; nothing was written."""
 
 
 class NotSentError(StorageError):
-    """The store was not reached or refused; nothing was written."""
+    """The store was not reached or refused the call; nothing was written."""
 
 
 class ReplyLostError(StorageError):
-    """The reply was lost; the write may or may not have taken effect."""
+    """The response was lost; the write may or may not have taken effect."""
 
 
 class WorkerError(CurranthillError):
-    """The base of what a worker may answer."""
+    """Base of the errors of calls to workers."""
 
 
 class WorkerUnreachableError(WorkerError):
-    """No byte of the call was taken by the worker."""
+    """The worker received no byte of the call."""
 
 
 class WorkerReplyLostError(WorkerError):
-    """The call was sent and no whole answer came back."""
+    """The call was sent, but no complete response arrived."""
 
 
 class WorkerBusyError(WorkerError):
-    """The worker refused for want of a slot or connection; not run."""
+    """The worker rejected the call for lack of capacity; nothing was run."""
 
 
 class FencedError(WorkerError):
-    """The worker has seen a higher epoch, or this epoch of another holder.
+    """The worker has seen a higher epoch, or this epoch with another holder.
 
     :param seen_epoch: the highest epoch that the worker has seen.
     """
@@ -91,13 +91,13 @@
         peer: str = '',
         seen_epoch: int = 0,
     ) -> None:
-        """Keep the epoch that won."""
+        """Initialize with the epoch that has precedence."""
         super().__init__(message, step=step, peer=peer)
         self.seen_epoch = seen_epoch
 
 
 class UnknownPollError(WorkerError):
-    """The worker does not remember the last poll; name the attempts again."""
+    """The worker has no record of the last poll; name the attempts again."""
 
 
 class TaskFailedError(WorkerError):
@@ -105,7 +105,7 @@
 
 
 class LeaseExpiredError(CurranthillError):
-    """The holder's own lease is past its margin; the effect was not tried."""
+    """The holder's own lease, less its margin, expired; nothing was tried."""
 
 
 class PeerError(CurranthillError):
@@ -113,11 +113,12 @@
 
 
 class RefusedError(CurranthillError):
-    """A caller's request is answered with a problem document.
+    """A caller's request is refused with a problem document.
 
-    :param status: the HTTP status of the answer.
-    :param outcome: what is known of the request's effect.
-    :param retry_after_s: when to come back, in seconds, if that helps.
+    :param status: the HTTP status of the response.
+    :param outcome: whether the request took effect, as far as known.
+    :param retry_after_s: after how many seconds a retry may succeed; None if
+        a retry does not help.
     """
 
     def __init__(  # noqa: WPS211
@@ -130,7 +131,7 @@
         outcome: Outcome = NOT_RUN,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep what the problem document needs."""
+        """Initialize with the contents of the problem document."""
         super().__init__(message, step=step, peer=peer)
         self.status = status
         self.outcome = outcome
--- a/src/curranthill/registry.py
+++ b/src/curranthill/registry.py
@@ -1,4 +1,4 @@
-"""Open registries that decorators fill."""
+"""Registries of named implementations, filled by decorators."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -9,18 +9,18 @@
 
 
 class Registry(Generic[Entry]):
-    """Named ways of doing one thing, chosen by settings.
+    """Named implementations of one interface, selected by settings.
 
-    :param concern: what the entries do, for the message about a wrong name.
+    :param concern: what the entries are, for the error about an unknown name.
     """
 
     def __init__(self, *, concern: str) -> None:
-        """Start empty."""
+        """Initialize without entries."""
         self._concern = concern
         self._entries: dict[str, Entry] = {}
 
     def register(self, name: str) -> Callable[[Entry], Entry]:
-        """Return a decorator that files its target under ``name``."""
+        """Return a decorator that registers its target under ``name``."""
 
         def decorate(entry: Entry) -> Entry:  # noqa: WPS430
             self._entries[name] = entry
@@ -31,7 +31,7 @@
     def get(self, name: str) -> Entry:
         """Return the entry under ``name``.
 
-        :raises SettingsError: if there is none; the message lists all names.
+        :raises SettingsError: if there is none; it lists the known names.
         """
         try:
             return self._entries[name]
@@ -43,7 +43,7 @@
             ) from None
 
     def __iter__(self) -> Iterator[str]:
-        """Yield the names in order."""
+        """Yield the names in alphabetical order."""
         return iter(sorted(self._entries))
 
 
--- a/src/curranthill/telemetry/__init__.py
+++ b/src/curranthill/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics."""
+"""Logs, events and metrics."""
 
 from curranthill.telemetry.logs import LogStyle, configure_logs
 from curranthill.telemetry.metrics import (
--- a/src/curranthill/telemetry/events.py
+++ b/src/curranthill/telemetry/events.py
@@ -1,7 +1,8 @@
-"""One JSON line on standard output for each decision.
+"""The event log: one JSON line on standard output for each decision.
 
-A line never blocks: what the reader does not take at once is dropped and
-counted, and each kind of line has a budget a second.
+Writing never blocks. Lines that the reader of the output does not take at
+once are dropped and counted, and so are lines above the rate limit of their
+kind.
 """
 
 import json
@@ -15,19 +16,19 @@
 from curranthill.clock import uptime_s
 from curranthill.telemetry.metrics import metrics
 
-#: Most lines of one kind in one second; the rest are counted and left out.
-#: 200 lines of some 200 bytes keep a kind under 40 KB a second.
-LINES_PER_KIND_PER_S: Final = 200
+#: The maximum number of lines of one kind per second; further ones are dropped
+#: and counted. 200 lines of some 200 bytes limit a kind to 40 KB per second.
+MAX_LINES_PER_KIND_PER_S: Final = 200
 
 
 class EventLog:
-    """Writes events; each has a kind and named fields with their units.
+    """Writes events of a kind, with named fields and units in the names.
 
-    :param dropped_lines: lines that were not written since the last that was.
+    :param dropped_lines: how many lines were dropped since the last one written.
     """
 
     def __init__(self) -> None:
-        """Start with all budgets full."""
+        """Initialize a closed log, which ignores events."""
         self._second = 0
         self._counts: dict[str, int] = {}
         self.dropped_lines = 0
@@ -35,9 +36,9 @@
         self._fields: dict[str, Any] = {}
 
     def open(self, **fields: Any) -> None:
-        """Send events to standard output from now on.
+        """Write events, and log records from warnings on, to standard output.
 
-        :param fields: what each line carries, such as the host's name.
+        :param fields: fields of every line, such as the host's name.
         """
         self._enabled = True
         self._fields = fields
@@ -46,8 +47,8 @@
         logger.add(self._forward, level='WARNING', format='{message}')
 
     def log(self, kind: str, **fields: Any) -> None:
-        """Write one event unless its kind is over its budget."""
-        if not self._enabled or self._is_over_budget(kind):
+        """Write an event unless its kind is above its rate limit."""
+        if not self._enabled or self._is_over_limit(kind):
             return
         line = {'t_s': round(time.time(), 3), 'event': kind}
         line.update(self._fields)
@@ -63,20 +64,24 @@
         self.dropped_lines += 1
         metrics.log_lines_dropped.add(1)
 
-    def _is_over_budget(self, kind: str) -> bool:
+    def _is_over_limit(self, kind: str) -> bool:
         second = int(uptime_s())
         if second != self._second:
             self._second = second
             self._counts.clear()
         count = self._counts.get(kind, 0) + 1
         self._counts[kind] = count
-        if count > LINES_PER_KIND_PER_S:
+        if count > MAX_LINES_PER_KIND_PER_S:
             self._count_dropped()
             return True
         return False
 
     def write(self, line: str) -> bool:
-        """Write a line whole or not at all, as far as a pipe allows."""
+        """Write a line without blocking; return whether it was written.
+
+        A pipe takes a line whole or not at all, unless the line is longer
+        than the size of its atomic writes.
+        """
         try:
             os.write(sys.stdout.fileno(), f'{line}\n'.encode())
         except (BlockingIOError, BrokenPipeError):
@@ -84,7 +89,7 @@
         return True
 
     def _forward(self, message: Any) -> None:
-        """Turn a line of the logging library into an event."""
+        """Write a record of the logging library as an event."""
         record = message.record
         error = record['exception']
         self.log(
--- a/src/curranthill/telemetry/labels.py
+++ b/src/curranthill/telemetry/labels.py
@@ -1,32 +1,35 @@
-"""Labels whose number is bounded, however many names there are."""
+"""Metric labels of bounded cardinality."""
 
 from typing import Final
 
-#: Names that a process tells apart; all further ones share a label.
+#: The number of names that get a label of their own in one process.
 MAX_NAMES: Final = 16
 
-#: The label of all that is not told apart.
+#: The label that all further names share.
 OTHERS: Final = 'others'
 
 
 class BoundedLabels:
-    """Gives the first names a label each, and the rest one together."""
+    """Gives each of the first names its own label, and all others one.
 
-    def __init__(self, *, most: int = MAX_NAMES) -> None:
-        """Start with no name seen."""
-        self._most = most
+    :param max_names: the number of names with a label of their own.
+    """
+
+    def __init__(self, *, max_names: int = MAX_NAMES) -> None:
+        """Initialize without names."""
+        self._max_names = max_names
         self._names: set[str] = set()
 
     def label(self, name: str) -> str:
         """Return the label of a name."""
         if name not in self._names:
-            if len(self._names) >= self._most:
+            if len(self._names) >= self._max_names:
                 return OTHERS
             self._names.add(name)
         return name
 
 
-#: The workspaces that this process tells apart in its counters.
+#: The labels of workspaces in the metrics of this process.
 workspace_labels: Final = BoundedLabels()
 
 
--- a/src/curranthill/telemetry/logs.py
+++ b/src/curranthill/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines for people or for machines, by loguru."""
+"""Configures loguru to write log lines as JSON or as readable text."""
 
 import sys
 from typing import Literal
@@ -16,7 +16,7 @@
     level: str,
     process: str,
 ) -> None:
-    """Send log lines to standard error in the chosen style.
+    """Write log lines to standard error in the given style.
 
     :param process: the name of the process in each line.
     """
--- a/src/curranthill/telemetry/metrics.py
+++ b/src/curranthill/telemetry/metrics.py
@@ -1,27 +1,29 @@
-"""The metrics of every process, by OpenTelemetry."""
+"""The metrics of all processes, as OpenTelemetry instruments."""
 
 from opentelemetry import metrics as api
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import MetricReader
 
-#: Bounds of replies, in seconds: a store or worker replies in 5 ms, is given
-#: up on after 0.3 to 1.5 s, and a caller after 3 s.
-REPLY_BOUNDS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 0.6, 1.5, 3.0)
+#: Bucket boundaries of response times, in seconds: a store or worker responds
+#: in 5 ms, calls to them time out after 0.3 to 1.5 s, and a caller's request
+#: after 3 s.
+RESPONSE_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 0.6, 1.5, 3.0)
 
-#: Bounds of first starts, in seconds: 0.2 s is the aim on an idle cluster, and
-#: some 2.7 s the bound of covered urgent jobs.
-START_BOUNDS_S = (0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 2.7, 5.0, 15.0, 60.0)
+#: Bucket boundaries of the time to a job's first start, in seconds: the target
+#: on an idle cluster is 0.2 s, and the bound for urgent jobs that are covered
+#: by guarantees some 2.7 s.
+START_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 2.7, 5.0, 15.0, 60.0)
 
 
 class Metrics:
-    """Each counter and histogram under one name, made once a process.
+    """The instruments of a process.
 
-    The instruments exist before a provider does, so that modules can use
-    them at any time; without a provider they cost a call and keep nothing.
+    They are created before a meter provider is installed, so that modules can
+    use them at any time; without a provider a use costs a call, no more.
     """
 
     def __init__(self) -> None:
-        """Make the instruments."""
+        """Create the instruments."""
         meter = api.get_meter('curranthill')
         self.table_writes = meter.create_counter('table_writes')
         self.table_reads = meter.create_counter('table_reads')
@@ -44,22 +46,22 @@
         self.jobs_accepted = meter.create_counter('jobs_accepted')
         self.accept_s = meter.create_histogram(
             'accept_s',
-            explicit_bucket_boundaries_advisory=REPLY_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=RESPONSE_BUCKETS_S,
         )
         self.leader_commit_s = meter.create_histogram(
             'leader_commit_s',
-            explicit_bucket_boundaries_advisory=REPLY_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=RESPONSE_BUCKETS_S,
         )
         self.leader_commits_retried = meter.create_counter(
             'leader_commits_retried'
         )
         self.first_start_s = meter.create_histogram(
             'first_start_s',
-            explicit_bucket_boundaries_advisory=START_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=START_BUCKETS_S,
         )
         self.start_order_s = meter.create_histogram(
             'start_order_s',
-            explicit_bucket_boundaries_advisory=REPLY_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=RESPONSE_BUCKETS_S,
         )
         self.orders_unanswered = meter.create_counter('orders_unanswered')
         self.runs_ended = meter.create_counter('runs_ended')
@@ -99,7 +101,7 @@
 
 
 def install_metric_reader(reader: MetricReader) -> None:
-    """Send this process's metrics to a reader, once a process."""
+    """Export the metrics through a reader; to be called once per process."""
     api.set_meter_provider(MeterProvider(metric_readers=[reader]))
 
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -9,7 +9,7 @@
 from contextlib import redirect_stdout
 from unittest.mock import patch
 
-from curranthill.telemetry.events import LINES_PER_KIND_PER_S, EventLog
+from curranthill.telemetry.events import MAX_LINES_PER_KIND_PER_S, EventLog
 
 #: Writes far more than a pipe holds while nobody reads, then says so.
 FLOOD = """
@@ -67,10 +67,10 @@
         """Other kinds are written all the same, and tell the count."""
         log, lines = self.open_log()
         with patch('curranthill.telemetry.events.uptime_s', return_value=100.0):
-            for _ in range(LINES_PER_KIND_PER_S + 50):
+            for _ in range(MAX_LINES_PER_KIND_PER_S + 50):
                 log.log('flood')
             log.log('other')
-        self.assertEqual(len(lines), LINES_PER_KIND_PER_S + 1)
+        self.assertEqual(len(lines), MAX_LINES_PER_KIND_PER_S + 1)
         self.assertEqual(json.loads(lines[-1])['lines_left_out'], 50)
 
     def test_a_reader_that_stops_reading_blocks_nothing(self) -> None:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -161,7 +161,7 @@
 
     def test_names_beyond_the_limit_share_a_label(self) -> None:
         """The first names keep labels of their own."""
-        labels = BoundedLabels(most=2)
+        labels = BoundedLabels(max_names=2)
         given = [labels.label(name) for name in ('a', 'b', 'c', 'a', 'd')]
         self.assertEqual(given, ['a', 'b', OTHERS, 'a', OTHERS])
 
