--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -129,7 +129,7 @@
         if target is None or await self.probe(target.address):
             return
         if not await self.probe_indirectly(target):
-            self._channels.forget(target.address)
+            self._channels.close_channel(target.address)
             self._view.suspect(target.name)
 
     def _next_target(self) -> Member | None:
--- a/src/curranthill/protocol/__init__.py
+++ b/src/curranthill/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between the system's own processes, by gRPC."""
+"""The inner protocol: gRPC between the processes of this system."""
 
 from curranthill.protocol.channels import KEY_FIELD, Channels
 from curranthill.protocol.inner_grpc import (
--- a/src/curranthill/protocol/channels.py
+++ b/src/curranthill/protocol/channels.py
@@ -1,4 +1,4 @@
-"""Connections to other processes of the system, one for each peer."""
+"""gRPC channels to the other processes of the system, one for each peer."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -13,10 +13,10 @@
     SchedulerStub,
 )
 
-#: The metadata field that carries the shared key.
+#: The metadata field of the shared key.
 KEY_FIELD = 'curranthill-key'
 
-#: What a call that got no answer raises; time-outs are OS errors.
+#: What a call without a response raises; a timeout is an OSError.
 _FAILURES = (OSError, GRPCError, StreamTerminatedError)
 
 Reply = TypeVar('Reply')
@@ -24,13 +24,13 @@
 
 
 class Channels:
-    """Open, keep and close connections to peers.
+    """A cache of channels to peers, by address.
 
     :param key: the key that all processes share; sent with each call.
     """
 
     def __init__(self, *, key: str) -> None:
-        """Start with no connection."""
+        """Initialize without channels."""
         self._metadata = {KEY_FIELD: key}
         self._channels: dict[str, Channel] = {}
 
@@ -41,12 +41,12 @@
         request: Any,
         timeout_s: float,
     ) -> Reply:
-        """Make one call.
+        """Call a method of a peer.
 
-        :param method: picks a stub's method, given the channel.
-        :raises PeerError: if no answer came in time.
+        :param method: returns the method of a channel's stub.
+        :raises PeerError: if no response arrived in time.
         """
-        channel = self._channel(address)
+        channel = self._get_or_open(address)
         try:
             return await method(channel)(
                 request,
@@ -55,23 +55,23 @@
             )
         except _FAILURES as error:
             raise PeerError(
-                f'The peer did not answer: {error!r:.80}.',
+                f'The peer did not respond: {error!r:.80}.',
                 step=type(request).__name__,
                 peer=address,
             ) from error
 
-    def forget(self, address: str) -> None:
-        """Close the connection to a peer that is gone."""
+    def close_channel(self, address: str) -> None:
+        """Close the channel to a peer; a later call opens a new one."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all channels."""
         for address in list(self._channels):
-            self.forget(address)
+            self.close_channel(address)
 
-    def _channel(self, address: str) -> Channel:
+    def _get_or_open(self, address: str) -> Channel:
         channel = self._channels.get(address)
         if channel is None:
             host, _, port = address.rpartition(':')
--- a/src/curranthill/protocol/methods.py
+++ b/src/curranthill/protocol/methods.py
@@ -1,4 +1,4 @@
-"""The methods of the inner protocol, as :meth:`Channels.call` takes them."""
+"""Selectors of the inner protocol's methods, for :meth:`Channels.call`."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,56 +15,56 @@
 def probe_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ProbeReply]]:
-    """Pick the probe of a peer."""
+    """Return the method that probes a peer."""
     return PeerStub(channel).Probe
 
 
 def relay_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.RelayReply]]:
-    """Pick the relayed probe of a third process."""
+    """Return the method that has a peer probe a third process."""
     return PeerStub(channel).Relay
 
 
 def fetch_configuration_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ConfigurationContent]]:
-    """Pick the request for a peer's configuration."""
+    """Return the method that fetches a peer's configuration."""
     return PeerStub(channel).FetchConfiguration
 
 
 def notify_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.NotifyReply]]:
-    """Pick the news of changed jobs."""
+    """Return the method that notifies a scheduler of changed jobs."""
     return SchedulerStub(channel).Notify
 
 
 def report_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.Allotment]]:
-    """Pick the report of a gateway's demand."""
+    """Return the method that reports a gateway's demand."""
     return SchedulerStub(channel).Report
 
 
 def explain_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.ExplainReply]]:
-    """Pick the question why a job waits."""
+    """Return the method that explains why a job waits."""
     return SchedulerStub(channel).Explain
 
 
 def drain_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.DrainReply]]:
-    """Pick the order to place nothing more on a worker."""
+    """Return the method that drains a worker."""
     return SchedulerStub(channel).Drain
 
 
 def status_method(
     channel: Channel,
 ) -> Callable[..., Awaitable[inner_pb2.StatusReply]]:
-    """Pick the question how a process is."""
+    """Return the method that returns the status of a process."""
     return OperationsStub(channel).Status
 
 
--- a/src/curranthill/protocol/server.py
+++ b/src/curranthill/protocol/server.py
@@ -1,4 +1,4 @@
-"""The server of the inner protocol; a call without the key is refused."""
+"""The server of the inner protocol, which refuses calls without the key."""
 
 import hmac
 from collections.abc import Sequence
@@ -13,28 +13,28 @@
 
 
 class InnerServer:
-    """Serve handlers of the inner protocol.
+    """Serves the services of the inner protocol.
 
     :param key: the key that all processes share.
-    :param handlers: generated service bases, implemented.
+    :param handlers: implementations of the generated service bases.
     """
 
     def __init__(self, *, key: str, handlers: Sequence[Any]) -> None:
-        """Keep the handlers; nothing is served yet."""
+        """Initialize; nothing is served yet."""
         self.port = 0
         self._key = key
         self._server = Server(list(handlers))
         listen(self._server, RecvRequest, self._authenticate)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; port 0 takes a free one, kept in :attr:`port`."""
+        """Listen; port 0 selects a free one, which :attr:`port` then has."""
         await self._server.start(host, port)
-        # grpclib keeps the asyncio server private and offers no other way.
+        # grpclib has no public attribute for the asyncio server.
         listener: Any = self._server._server  # noqa: SLF001, WPS437
         self.port = listener.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and end the calls."""
+        """Stop listening and cancel the calls in progress."""
         self._server.close()
         await self._server.wait_closed()
 
--- a/src/curranthill/tasks/__init__.py
+++ b/src/curranthill/tasks/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs as steps of tasks: their shape, their progress, their tables."""
+"""Jobs as steps of tasks: specifications, progress and tables."""
 
 from curranthill.tasks.progress import (
     CANCELLED,
--- a/src/curranthill/tasks/progress.py
+++ b/src/curranthill/tasks/progress.py
@@ -1,4 +1,4 @@
-"""How far a job has come: what the leader writes and any host reads."""
+"""The progress of jobs, written by the leader and read by every host."""
 
 import zlib
 from typing import Any, Final, Literal, TypeVar
@@ -18,37 +18,39 @@
 
 ENDED: Final = frozenset((COMPLETED, FAILED, CANCELLED))
 
-#: Bits of a task's moves: its run stood still, its worker was slow.
+#: Bits of a task's moves: its run was stalled, or its worker was slow.
 MOVED_STALLED: Final = 1
 MOVED_SLOW: Final = 2
 
-#: Records from this size on are compressed, in bytes: 64 KB must hold the
-#: progress of the widest jobs, and small rows are cheaper as they are.
+#: Records of at least this size are compressed, in bytes: the progress of the
+#: widest jobs must fit into 64 KB, while for small rows it does not pay off.
 COMPRESS_FROM_BYTES: Final = 8192
 
 #: zlib's fastest level.
 COMPRESSION_LEVEL: Final = 1
 
-#: The first byte of zlib's format; no JSON text begins so.
+#: The first byte of the zlib format, with which no JSON text begins.
 _ZLIB_START: Final = b'\x78'
 
 Record = TypeVar('Record')
 
 
 class TaskProgress(msgspec.Struct, array_like=True):
-    """One task's life.
+    """The progress of one task.
 
-    :param attempt: the number of the newest start; it only grows.
-    :param failures: attempts that ended as failed, of a gang as a whole.
-    :param worker: where a run is marked, or empty if none can exist.
+    :param attempt: the number of the latest attempt; it only increases.
+    :param failures: the number of failed attempts; a gang's attempt counts
+        once, however many members fail.
+    :param worker: the worker that the task is assigned to; empty if no run of
+        it can exist.
     :param checkpoint: the newest known checkpoint, or empty.
-    :param failed_attempt: the newest attempt that counts among the failures.
-    :param losses: runs that were lost with their worker.
-    :param prompt_crashes: of these, the ones whose worker crashed for certain
+    :param failed_attempt: the latest attempt that is counted as a failure.
+    :param losses: the number of runs that were lost with their workers.
+    :param prompt_crashes: the number of these whose worker certainly crashed,
         and right after the start.
-    :param incarnation: that of the worker when the run was marked there, 0 if
-        not told.
-    :param moves: the reasons for which it was moved elsewhere, as bits.
+    :param incarnation: the worker's incarnation when the task was assigned to
+        it; 0 if not known.
+    :param moves: the reasons for which it was moved to another worker, as bits.
     """
 
     attempt: int = 0
@@ -64,14 +66,14 @@
 
 
 class JobProgress(msgspec.Struct, array_like=True):
-    """One job's life; tasks that never started are not listed.
-
-    :param tasks: by occurrence, step and rank, joined by dots.
-    :param ended_at_s: wall-clock seconds of the end, 0 before it.
-    :param done_steps: occurrence and step, joined by a dot, of steps all of
-        whose tasks are done; these are listed no more.
-    :param reason: why the job failed, as a sentence; else empty.
-    :param stops: how often runs of it were stopped for others.
+    """The progress of one job; tasks that never started are not included.
+
+    :param tasks: progress by occurrence, step and rank, joined by dots.
+    :param ended_at_s: when the job ended, in wall-clock seconds; 0 before.
+    :param done_steps: occurrence and step, joined by a dot, of the steps whose
+        tasks are all done; ``tasks`` no longer includes these tasks.
+    :param reason: why the job failed, as a sentence; empty if it did not.
+    :param stops: how often runs of it were stopped in favour of other jobs.
     """
 
     queue: str
@@ -83,18 +85,18 @@
     stops: int = 0
 
     def record_step_done(self, occurrence: int, step: int, width: int) -> None:
-        """Keep of a step only that all its tasks are done."""
+        """Record that a step is done, and drop the progress of its tasks."""
         name = f'{occurrence}.{step}'
         self.done_steps.append(name)
         for rank in range(width):
             self.tasks.pop(f'{name}.{rank}', None)
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Return whether a step is known to be done."""
+        """Return whether a step is recorded as done."""
         return f'{occurrence}.{step}' in self.done_steps
 
     def task(self, key: TaskKey) -> TaskProgress:
-        """Return a task's progress, made on first use."""
+        """Return a task's progress; it is created on first use."""
         name = f'{key.occurrence}.{key.step}.{key.rank}'
         found = self.tasks.get(name)
         if found is None:
@@ -103,12 +105,12 @@
         return found
 
     def find_task(self, key: TaskKey) -> TaskProgress | None:
-        """Return a task's progress if it ever started."""
+        """Return a task's progress, or None if it never started."""
         return self.tasks.get(f'{key.occurrence}.{key.step}.{key.rank}')
 
 
 def encode(record: msgspec.Struct | tuple[Any, ...]) -> bytes:
-    """Return a record's stored form; large ones are compressed."""
+    """Serialize a record for the store; large ones are compressed."""
     content = msgspec.json.encode(record)
     if len(content) < COMPRESS_FROM_BYTES:
         return content
@@ -116,8 +118,9 @@
 
 
 def decode(content: bytes, record: type[Record]) -> Record:
-    """Return a record from its stored form.
+    """Deserialize a record from the store.
 
+    :param record: the type of the record.
     :raises MalformedRecordError: if the content is not such a record.
     """
     try:
--- a/src/curranthill/tasks/records.py
+++ b/src/curranthill/tasks/records.py
@@ -1,13 +1,14 @@
-"""Jobs as steps of tasks over processor, memory and accelerators."""
+"""Records of jobs, their resources, and the configuration that rules them."""
 
 from typing import NamedTuple
 
-#: What one accelerator counts for, in cores, when lost work is weighed.
+#: The number of cores that one accelerator counts as when the cost of lost
+#: work is compared.
 CORES_PER_GPU = 8
 
 
 class Resources(NamedTuple):
-    """An amount of a worker's room.
+    """An amount of a worker's resources.
 
     :param cpu_millis: thousandths of a core.
     """
@@ -25,7 +26,7 @@
         )
 
     def minus(self, other: 'Resources') -> 'Resources':
-        """Return the difference; parts may become negative."""
+        """Return the difference; its amounts may be negative."""
         return Resources(
             self.cpu_millis - other.cpu_millis,
             self.memory_mb - other.memory_mb,
@@ -33,7 +34,7 @@
         )
 
     def covers(self, other: 'Resources') -> bool:
-        """Return whether no part of ``other`` is larger."""
+        """Return whether each amount is at least that of ``other``."""
         return (
             self.cpu_millis >= other.cpu_millis
             and self.memory_mb >= other.memory_mb
@@ -42,24 +43,29 @@
 
     @property
     def weight_cores(self) -> float:
-        """Return the room in cores, accelerators counted as several."""
+        """Return processor and accelerators together, in cores."""
         return self.cpu_millis / 1000 + CORES_PER_GPU * self.gpus
 
 
 class Step(NamedTuple):
-    """Tasks of one shape.
-
-    :param width: how many tasks the step has.
-    :param needs: what one task takes on its worker.
-    :param after: numbers of earlier steps that must be done first.
-    :param gang: the tasks run together or not at all.
-    :param same_rack: the tasks run slower over more than one rack.
-    :param near_rack: the rack near which the tasks run fast, if any.
-    :param max_per_worker: most tasks of an occurrence on one worker; 0: any.
-    :param perpetual: the tasks run until the job is cancelled.
-    :param may_miss: tasks that may be away at once by the system's doing.
-    :param fills: the processor asked for is not counted against the room.
-    :param target_ms: the tail latency a serving task must stay under; 0: none.
+    """A step of a job: a number of equal tasks.
+
+    :param width: the number of tasks.
+    :param needs: the resources that one task needs on its worker.
+    :param estimate_s: the estimated run time of a task.
+    :param after: the numbers of the earlier steps that must be done first.
+    :param gang: whether the tasks run all at once or not at all.
+    :param same_rack: whether the tasks run slower across several racks.
+    :param near_rack: the rack of the tasks' data, near which they run fastest;
+        empty if there is none.
+    :param max_per_worker: the maximum number of tasks of one occurrence on one
+        worker; 0 for no limit.
+    :param perpetual: whether the tasks run until the job is cancelled.
+    :param may_miss: how many tasks the system may interrupt at the same time.
+    :param fills: whether the tasks are best effort: their processor request is
+        not counted against a worker's capacity.
+    :param target_ms: the maximum tail latency of a serving task; 0 if the
+        tasks do not serve requests.
     """
 
     width: int
@@ -81,18 +87,24 @@
 
     @property
     def run_s(self) -> float:
-        """Return how long a task may run; 0 if it lasts."""
+        """Return the estimated run time of a task; 0 if it is perpetual."""
         return 0.0 if self.perpetual else self.estimate_s
 
 
 class Queue(NamedTuple):
-    """Where jobs are handed in, and how they are treated.
-
-    :param priority: 0 goes first and may preempt the others.
-    :param attempts: failed runs of one task after which its job fails.
-    :param slack_factor: the objective's multiple of the longest chain of work.
-    :param target_s: what the objective adds to that.
-    :param advisor: whether only advised workers may run the queue's tasks.
+    """Where jobs are submitted, and how they are scheduled.
+
+    :param host: the host name of the requests that submit jobs.
+    :param path_prefix: the prefix of the path of these requests.
+    :param service: the service whose workers run the tasks.
+    :param priority: 0 is the highest and may preempt all others.
+    :param attempts: the number of failed attempts of one task after which its
+        job fails.
+    :param slack_factor: the multiple of the critical path that the objective
+        allows.
+    :param target_s: the time that the objective adds to it, in seconds.
+    :param public: whether callers need no key.
+    :param advisor: whether tasks run only on workers that the advisor allows.
     """
 
     name: str
@@ -110,10 +122,13 @@
 class JobSpec(NamedTuple):
     """A job as accepted; it never changes.
 
-    :param workspace: whose guarantee the job counts against; may be empty.
-    :param payload: the caller's text, handed to each task.
+    :param workspace: the workspace against whose guarantee the job counts; may
+        be empty.
+    :param payload: the caller's text, which is passed to each task.
     :param accepted_at_s: wall-clock seconds since 1970.
-    :param times: how often the steps run; 0 for a plain job.
+    :param times: the number of occurrences of a periodic job; 0 for others.
+    :param start_at_s: when the first occurrence is due, in wall-clock seconds.
+    :param interval_s: the time between two occurrences, in seconds.
     """
 
     job_id: str
@@ -128,7 +143,7 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how often the steps run, at least once."""
+        """Return how often the steps run; 1 for a job that is not periodic."""
         return max(self.times, 1)
 
     def due_s(self, occurrence: int) -> float:
@@ -139,7 +154,7 @@
 
     @property
     def critical_path_s(self) -> float:
-        """Return the estimated longest chain of steps in seconds."""
+        """Return the estimated time of the longest chain of steps."""
         ends_s: list[float] = []
         for step in self.steps:
             before_s = max((ends_s[one] for one in step.after), default=0.0)
@@ -155,12 +170,12 @@
 
     @property
     def gpus(self) -> int:
-        """Return the accelerators that all tasks take together."""
+        """Return the number of accelerators that all tasks need together."""
         return sum(step.width * step.needs.gpus for step in self.steps)
 
 
 class TaskKey(NamedTuple):
-    """One task of one job; ``rank`` is its place in its step."""
+    """The identity of a task; ``rank`` is its index in its step."""
 
     job_id: str
     occurrence: int
@@ -168,14 +183,14 @@
     rank: int
 
     def __str__(self) -> str:
-        """Return the name that workers know the task by."""
+        """Return the name that identifies the task at workers."""
         return f'{self.job_id}.{self.occurrence}.{self.step}.{self.rank}'
 
     @classmethod
     def parse(cls, name: str) -> 'TaskKey':
         """Return the key of a name.
 
-        :raises ValueError: if the name has another form.
+        :raises ValueError: if the name is malformed.
         """
         job_id, occurrence, step, rank = name.rsplit('.', 3)
         return cls(job_id, int(occurrence), int(step), int(rank))
@@ -190,16 +205,16 @@
 
 
 class Limits(NamedTuple):
-    """What callers' requests may measure.
+    """Limits on callers' requests.
 
-    :param body_bytes: the largest body of a request.
+    :param body_bytes: the maximum size of a request's body.
     """
 
     body_bytes: int = 262_144
 
 
 class Revision(NamedTuple):
-    """One configuration in full."""
+    """A complete revision of the configuration."""
 
     number: int
     queues: tuple[Queue, ...]
@@ -208,13 +223,13 @@
 
     def queue_for(self, host: str, path: str) -> Queue | None:
         """Return the queue with the longest prefix of the path, if any."""
-        fitting = [
+        matching = [
             queue
             for queue in self.queues
             if queue.host == host and path.startswith(queue.path_prefix)
         ]
         return max(
-            fitting,
+            matching,
             key=lambda queue: len(queue.path_prefix),
             default=None,
         )
@@ -227,26 +242,26 @@
         return None
 
     def guaranteed_gpus(self, workspace: str) -> int:
-        """Return a workspace's guaranteed accelerators."""
-        for promise in self.workspaces:
-            if promise.name == workspace:
-                return promise.guaranteed_gpus
+        """Return the number of accelerators guaranteed to a workspace."""
+        for guarantee in self.workspaces:
+            if guarantee.name == workspace:
+                return guarantee.guaranteed_gpus
         return 0
 
 
 class Timing(NamedTuple):
-    """Bounds that the platform and its workers set, in seconds.
-
-    :param lease_s: the longest lease a worker grants.
-    :param stop_s: the longest time a stop takes.
-    :param gang_timeout_s: how long a member of a gang waits for the others.
-    :param status_s: how long the state of an ended job is kept.
-    :param far_factor: how much longer work takes away from its data.
-    :param restore_s: what resuming from a checkpoint takes.
-    :param evacuate_s: how soon after its closing no task starts in a data
-        centre any more; 0 if nobody asks for a bound.
-    :param in_force_s: how soon after its acknowledgement a configuration is in
-        force on every host; 0 if nobody asks for a bound.
+    """Times and factors of the platform and its workers, in seconds.
+
+    :param lease_s: the maximum term of a lease that a worker grants.
+    :param stop_s: the maximum duration of a stop.
+    :param gang_timeout_s: how long a gang member waits for the others.
+    :param status_s: how long the state of an ended job is stored.
+    :param far_factor: by which factor work takes longer away from its data.
+    :param restore_s: the duration of resuming from a checkpoint.
+    :param evacuate_s: how long after its closing tasks may still start in a
+        data centre; 0 if no bound is required.
+    :param in_force_s: how long after its acknowledgement a configuration may
+        take to be in force on every host; 0 if no bound is required.
     """
 
     lease_s: float = 6.0
--- a/src/curranthill/tasks/tables.py
+++ b/src/curranthill/tasks/tables.py
@@ -1,40 +1,41 @@
-"""The names of the tables and keys under which state is kept.
+"""The names of tables, keys and partitions in the store.
 
-A commit stays within one partition, and commits of one partition take turns.
-All that the leader writes lies in one, so that each of its commits can check
-that it still leads; jobs as accepted lie in others.
+A commit is limited to one partition, and the commits of a partition are
+serialized. All rows that the leader writes are in one partition, so that each
+of its commits can check that it still leads; accepted jobs are in others.
 """
 
 from typing import Final
 from zlib import crc32
 
-#: Jobs as accepted, and cancellations; written by the host that was asked.
+#: Accepted jobs and cancellations, written by the host that got the request.
 INTAKE: Final = 'intake'
 
-#: The progress of jobs, written by the leader from the first start on.
+#: The progress of jobs, written by the leader from a job's first start on.
 PROGRESS: Final = 'progress'
 
-#: The leader's row, and the queue lengths that the leader counts.
+#: The row of the leader, and the row of the queue lengths that it counts.
 LEADER: Final = 'leader'
 
-#: Where each host passes other hosts' calls on to the store.
+#: The addresses at which hosts relay other hosts' calls to the store.
 HOSTS: Final = 'hosts'
 
 LEADER_KEY: Final = 'leader'
 PENDING_KEY: Final = 'pending'
 
-#: Behind a job's id: its caller cancelled it.
+#: The suffix of a job's id in the key of its cancellation.
 CANCEL_SUFFIX: Final = '/cancel'
 
-#: The partition of all that the leader writes.
+#: The partition of all rows that the leader writes.
 LEADER_PARTITION: Final = 'main'
 
-#: The partition of the list of hosts: a hundred of them start together.
+#: The partition of the host list; separate, since a hundred hosts may start
+#: together.
 HOSTS_PARTITION: Final = 'hosts'
 
-#: Partitions of accepted jobs: a store that takes 0.3 s for each commit then
-#: accepts some fifty jobs a second, eight times what the largest deployment
-#: is sent. A takeover reads each of them.
+#: The partitions of accepted jobs: a store that takes 0.3 s per commit accepts
+#: with 16 of them some fifty jobs per second, eight times the load of the
+#: largest deployment. A takeover has to read each of them.
 INTAKE_PARTITIONS: Final = tuple(f'intake-{number}' for number in range(16))
 
 
@@ -49,7 +50,7 @@
 
 
 def partitions_of(table: str) -> tuple[str, ...]:
-    """Return the partitions that a table's rows may lie in."""
+    """Return the partitions that may contain rows of a table."""
     if table == INTAKE:
         return INTAKE_PARTITIONS
     return (partition_of(table, ''),)
--- a/src/curranthill/tasks/validation.py
+++ b/src/curranthill/tasks/validation.py
@@ -1,17 +1,19 @@
-"""What a submitted job must satisfy before it is stored."""
+"""Validates a submitted job before it is stored."""
 
 from collections.abc import Iterator
 
 from curranthill.tasks.records import Step
 
-#: The longest text that a caller may hand to its tasks, in characters.
+#: The maximum length of the text that a job passes to its tasks, in characters.
 MAX_PAYLOAD_CHARS = 4000
 
-#: The most tasks that a job may have at a time: with a checkpoint each, their
-#: progress fits the 64 KB of a row (tested with random checkpoints).
+#: The maximum number of tasks in one occurrence of a job: with a checkpoint
+#: each, their progress fits into the 64 KB of a row (tested with random
+#: checkpoints).
 MAX_TASKS = 3000
 
-#: The most steps of a job: with the longest text they fit the 64 KB of a row.
+#: The maximum number of steps of a job: with the longest text they fit into the
+#: 64 KB of a row.
 MAX_STEPS = 400
 
 
@@ -21,36 +23,37 @@
     *,
     times: int,
 ) -> tuple[str, ...]:
-    """Return every fault of a job as a plain sentence.
+    """Return every validation error of a job as a sentence.
 
-    :param times: how often the steps run; 0 for a plain job.
+    :param payload: the text that the job passes to its tasks.
+    :param times: the number of occurrences; 0 for a job that is not periodic.
     """
-    faults = []
+    errors = []
     if sum(step.width for step in steps) > MAX_TASKS:
-        faults.append(f'The job has more than {MAX_TASKS} tasks.')
+        errors.append(f'The job has more than {MAX_TASKS} tasks.')
     if len(steps) > MAX_STEPS:
-        faults.append(f'The job has more than {MAX_STEPS} steps.')
+        errors.append(f'The job has more than {MAX_STEPS} steps.')
     if times < 0:
-        faults.append('The job runs a negative number of times.')
+        errors.append('The job runs a negative number of times.')
     if len(payload) > MAX_PAYLOAD_CHARS:
-        faults.append(
+        errors.append(
             f'The text is longer than {MAX_PAYLOAD_CHARS} characters.'
         )
     if not steps:
-        faults.append('The job has no steps.')
+        errors.append('The job has no steps.')
     for number, step in enumerate(steps):
-        faults.extend(_step_faults(number, step))
-    return tuple(faults)
+        errors.extend(_step_errors(number, step))
+    return tuple(errors)
 
 
-def _step_faults(number: int, step: Step) -> Iterator[str]:
+def _step_errors(number: int, step: Step) -> Iterator[str]:
     if step.width < 1:
         yield f'Step {number} has no tasks.'
     if min(step.needs) < 0:
-        yield f'Step {number} asks for a negative amount.'
+        yield f'Step {number} requests a negative amount of a resource.'
     for earlier in step.after:
         if not 0 <= earlier < number:
-            yield f'Step {number} waits for step {earlier}, no earlier step.'
+            yield f'Step {number} requires step {earlier}, not an earlier one.'
 
 
 __all__ = ('MAX_PAYLOAD_CHARS', 'MAX_STEPS', 'MAX_TASKS', 'validation_errors')
--- a/src/curranthill/workers/__init__.py
+++ b/src/curranthill/workers/__init__.py
@@ -1,4 +1,4 @@
-"""The interface of a worker and its HTTP client."""
+"""The interface of a worker, and its implementation over HTTP."""
 
 from curranthill.workers.http import http_worker_clients
 from curranthill.workers.interface import (
--- a/src/curranthill/workers/http.py
+++ b/src/curranthill/workers/http.py
@@ -1,4 +1,4 @@
-"""A client of workers over HTTP, as docs/standins/worker.md states."""
+"""The HTTP client of workers; docs/standins/worker.md specifies the API."""
 
 import asyncio
 import json
@@ -37,8 +37,8 @@
 
 CONNECT_TIMEOUT_S = 0.5
 
-#: The longest a call may take that brings no result, and how long a result
-#: may stand still on its way, in seconds.
+#: The timeout of a call that fetches no result, and the maximum time between
+#: two parts of a result, in seconds.
 CALL_TIMEOUT_S = 2.0
 
 #: Connections kept open to one worker by one process.
@@ -56,17 +56,17 @@
 _HTTP_FENCED = 412
 
 
-class _Answer(NamedTuple):
+class _Response(NamedTuple):
     body: bytes
     content_type: str
     free_slots: int
 
 
 class HttpWorker:
-    """One worker over HTTP.
+    """The client of one worker over HTTP.
 
     :param address: the worker's base URL.
-    :param session: the connections that the workers of a process share.
+    :param session: a session that all clients of the process share.
     """
 
     def __init__(
@@ -75,18 +75,18 @@
         address: str,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Keep the address and the session."""
+        """Initialize; nothing is sent yet."""
         self._address = address
         self._session = session
 
     async def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
-        """Raise the epoch seen and return all leases."""
-        reply = await self._post('fence', _token(token))
+        """Fence off older tokens and return all leases."""
+        reply = await self._post('fence', _token_fields(token))
         return tuple(lease_from_document(lease) for lease in reply['leases'])
 
     async def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
-        """Hold slots for an attempt."""
-        body = _token(token) | request.attempt_id._asdict()
+        """Reserve slots for an attempt."""
+        body = _token_fields(token) | request.attempt_id._asdict()
         body |= {'slots': request.slots, 'term_s': request.term_s}
         await self._post('reserve', body)
 
@@ -97,7 +97,7 @@
         task: Task,
     ) -> None:
         """Start the attempt's task."""
-        body = _token(token) | attempt_id._asdict()
+        body = _token_fields(token) | attempt_id._asdict()
         body['task'] = task._asdict()
         await self._post('start', body)
 
@@ -109,9 +109,9 @@
         attempts: Sequence[AttemptId] | None,
         known_ended: Sequence[AttemptId],
     ) -> WorkerReport:
-        """Renew leases and wait for an end."""
+        """Renew leases and wait until one ends."""
         named = None if attempts is None else [list(one) for one in attempts]
-        body = _token(token) | {
+        body = _token_fields(token) | {
             'term_s': term_s,
             'wait_s': wait_s,
             'attempts': named,
@@ -130,8 +130,10 @@
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
-        """Checkpoint and stop an attempt."""
-        body = _token(token) | attempt_id._asdict() | {'grace_s': grace_s}
+        """Stop an attempt; return the name of its checkpoint."""
+        body = (
+            _token_fields(token) | attempt_id._asdict() | {'grace_s': grace_s}
+        )
         reply = await self._post(
             'stop',
             body,
@@ -140,8 +142,8 @@
         return str(reply['checkpoint'])
 
     async def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
-        """Give an attempt's slots back; say whether it had started."""
-        body = _token(token) | attempt_id._asdict()
+        """Release an attempt's slots; return whether it ever started."""
+        body = _token_fields(token) | attempt_id._asdict()
         reply = await self._post('release', body)
         return bool(reply['started'])
 
@@ -151,36 +153,36 @@
         attempt_id: AttemptId,
         share: float,
     ) -> None:
-        """Let the task use only a share of its slots."""
-        body = _token(token) | attempt_id._asdict() | {'share': share}
+        """Limit the task to a share of its slots."""
+        body = _token_fields(token) | attempt_id._asdict() | {'share': share}
         await self._post('throttle', body)
 
     async def fetch_result(self, attempt_id: AttemptId) -> bytes:
-        """Return an attempt's whole result."""
+        """Return an attempt's complete result."""
         job, attempt = attempt_id
-        answer = await self._call(
+        response = await self._call(
             'GET',
             f'results/{job}/{attempt}',
-            limits=aiohttp.ClientTimeout(
+            timeouts=aiohttp.ClientTimeout(
                 sock_read=CALL_TIMEOUT_S,
                 sock_connect=CONNECT_TIMEOUT_S,
             ),
         )
-        return answer.body
+        return response.body
 
     async def quick(self, request: QuickRequest) -> QuickReply:
         """Run one quick request."""
-        answer = await self._call(
+        response = await self._call(
             'POST',
             f'quick/{request.service}/{request.kind}',
-            limits=_within(request.deadline_s),
+            timeouts=_timeouts(request.deadline_s),
             data=request.body,
             headers={
                 'Request-Id': request.request_id,
                 'Deadline-S': f'{request.deadline_s:.3f}',
             },
         )
-        return QuickReply(*answer)
+        return QuickReply(*response)
 
     async def _post(
         self,
@@ -189,24 +191,24 @@
         *,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Any:
-        limits = _within(timeout_s)
-        answer = await self._call('POST', step, limits=limits, json=body)
-        return json.loads(answer.body)
+        timeouts = _timeouts(timeout_s)
+        response = await self._call('POST', step, timeouts=timeouts, json=body)
+        return json.loads(response.body)
 
     async def _call(
         self,
         method: str,
         step: str,
         *,
-        limits: aiohttp.ClientTimeout,
+        timeouts: aiohttp.ClientTimeout,
         **options: Any,
-    ) -> _Answer:
+    ) -> _Response:
         url = f'{self._address}/v1/{step}'
         try:
             async with self._session.request(
                 method,
                 url,
-                timeout=limits,
+                timeout=timeouts,
                 **options,
             ) as reply:
                 body = await reply.read()
@@ -221,19 +223,19 @@
             ) from error
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
             raise WorkerReplyLostError(
-                'No whole answer came from the worker.',
+                'No complete response arrived from the worker.',
                 step=step,
                 peer=self._address,
             ) from error
-        self._raise_for(reply, body, step)
+        self._raise_for_status(reply, body, step)
         self._check_digest(reply, body, step)
-        return _Answer(
+        return _Response(
             body=body,
             content_type=reply.content_type,
             free_slots=int(reply.headers.get('Free-Slots', '0')),
         )
 
-    def _raise_for(
+    def _raise_for_status(
         self,
         reply: aiohttp.ClientResponse,
         body: bytes,
@@ -251,7 +253,7 @@
             )
         kind = _ERRORS.get(status, WorkerReplyLostError)
         raise kind(
-            body.decode(errors='replace') or f'The worker answered {status}.',
+            body.decode(errors='replace') or f'The worker returned {status}.',
             step=step,
             peer=self._address,
         )
@@ -265,7 +267,7 @@
         digest = reply.headers.get('Content-Digest')
         if digest is not None and digest != content_digest(body):
             raise WorkerReplyLostError(
-                'The answer arrived damaged.',
+                'The response does not match its digest.',
                 step=step,
                 peer=self._address,
             )
@@ -273,7 +275,7 @@
 
 @worker_clients.register('http')
 def http_worker_clients() -> WorkerClients:
-    """Return a factory of HTTP clients that share one pool."""
+    """Return a factory of HTTP clients that share one connection pool."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
             limit=0,
@@ -289,15 +291,15 @@
     return WorkerClients(at=at, close=session.close)
 
 
-def _within(timeout_s: float) -> aiohttp.ClientTimeout:
-    """Return the limits of a call whose whole answer comes in time."""
+def _timeouts(timeout_s: float) -> aiohttp.ClientTimeout:
+    """Return timeouts for connecting and for the complete response."""
     return aiohttp.ClientTimeout(
         total=timeout_s,
         sock_connect=CONNECT_TIMEOUT_S,
     )
 
 
-def _token(token: FencingToken) -> dict[str, Any]:
+def _token_fields(token: FencingToken) -> dict[str, Any]:
     return {'epoch': token.epoch, 'holder': token.holder}
 
 
--- a/src/curranthill/workers/interface.py
+++ b/src/curranthill/workers/interface.py
@@ -1,4 +1,4 @@
-"""What the system asks of a worker; clients are chosen by a registry."""
+"""The interface of a worker, and the registry of its clients."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple, Protocol
@@ -17,17 +17,17 @@
 
 
 class Worker(Protocol):
-    """One worker; each method may raise any error of the worker's family."""
+    """The API of one worker; each method may raise any ``WorkerError``."""
 
     async def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
-        """Raise the epoch the worker has seen and return all its leases.
+        """Fence off older tokens and return all the worker's leases.
 
-        Both happen in one call, so that no older holder can start a member
-        between the answer and what is decided from it.
+        Both happen in one call, so that no previous holder can start a member
+        between the response and a decision based on it.
         """
 
     async def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
-        """Hold slots for an attempt; nothing runs yet.
+        """Reserve slots for an attempt; nothing runs yet.
 
         :raises WorkerBusyError: if the slots are not free.
         """
@@ -48,13 +48,14 @@
         attempts: Sequence[AttemptId] | None,
         known_ended: Sequence[AttemptId],
     ) -> WorkerReport:
-        """Renew the named leases; answer once one ends or ``wait_s`` pass.
-
-        An end that the caller knows already does not cut the wait short.
-        No attempts at all (``None``) means those of the last poll under the
-        same token, which keeps a poll small while nothing changes.
-
-        :raises LastPollForgottenError: if the worker remembers no such poll.
+        """Renew the named leases; return once one ends or ``wait_s`` pass.
+
+        :param attempts: the attempts whose leases to renew; None for those of
+            the last poll with the same token, which keeps a poll small while
+            nothing changes.
+        :param known_ended: attempts whose end the caller knows already and
+            which does not end the wait.
+        :raises UnknownPollError: if the worker has no record of such a poll.
         """
 
     async def stop(
@@ -63,13 +64,16 @@
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
-        """Checkpoint within the grace if it can, stop, and say its name."""
+        """Stop an attempt; return the name of its checkpoint, if any.
+
+        :param grace_s: how long it may take to checkpoint, in seconds.
+        """
 
     async def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
-        """Give the slots back; an attempt that runs is stopped first.
+        """Release an attempt's slots; a running attempt is stopped first.
 
-        A released attempt can never start again. Returns whether it ever
-        had started here.
+        A released attempt can never start again. Return whether it ever
+        started on this worker.
         """
 
     async def throttle(
@@ -78,27 +82,31 @@
         attempt_id: AttemptId,
         share: float,
     ) -> None:
-        """Let the task use only this share of its slots."""
+        """Limit the task to a share of its slots."""
 
     async def fetch_result(self, attempt_id: AttemptId) -> bytes:
-        """Return the attempt's whole result, its digest checked."""
+        """Return the attempt's complete result, verified by its digest."""
 
     async def quick(self, request: QuickRequest) -> QuickReply:
         """Run one quick request.
 
-        :raises WorkerBusyError: if it was refused and not run.
+        :raises WorkerBusyError: if it was rejected and not run.
         :raises TaskFailedError: if it ran and failed.
         """
 
 
 class WorkerClients(NamedTuple):
-    """A factory of worker clients that share their connections."""
+    """A factory of worker clients that share their connections.
+
+    :param at: returns the client of the worker at a base URL.
+    :param close: closes the connections.
+    """
 
     at: Callable[[str], Worker]
     close: Callable[[], Awaitable[None]]
 
 
-#: Ways to reach workers: settings name -> factory().
+#: Implementations of worker clients, by their names in the settings.
 worker_clients: Registry[Callable[[], WorkerClients]] = Registry(
     concern='worker client',
 )
--- a/src/curranthill/workers/records.py
+++ b/src/curranthill/workers/records.py
@@ -1,8 +1,8 @@
-"""What goes to a worker and what comes back."""
+"""Records of the requests to a worker and of its responses."""
 
 from typing import Any, Final, Literal, NamedTuple
 
-#: The life of one attempt's lease at one worker.
+#: The state of one attempt's lease at one worker.
 LeaseState = Literal['reserved', 'running', 'finished', 'failed', 'stopped']
 
 RESERVED: Final = 'reserved'
@@ -11,26 +11,30 @@
 TASK_FAILED: Final = 'failed'
 STOPPED: Final = 'stopped'
 
-#: States in which the task no longer runs and never will under this attempt.
+#: States in which the task does not run and never will again in this attempt.
 ENDED_STATES: Final = frozenset((FINISHED, TASK_FAILED, STOPPED))
 
 
 class FencingToken(NamedTuple):
-    """A fencing token: a lower epoch, or the same of another holder, loses."""
+    """A token that fences its holder off once a newer one was seen.
+
+    A worker rejects a lower epoch than it has seen, and the same epoch with
+    another holder.
+    """
 
     epoch: int
     holder: str
 
 
 class AttemptId(NamedTuple):
-    """One attempt of one job; a worker holds at most one lease for it."""
+    """An attempt of a job; a worker has at most one lease for it."""
 
     job: str
     attempt: int
 
 
 class LeaseRequest(NamedTuple):
-    """What a reservation asks for."""
+    """A request to reserve slots for an attempt."""
 
     attempt_id: AttemptId
     slots: int
@@ -38,10 +42,11 @@
 
 
 class Task(NamedTuple):
-    """What a started member runs.
+    """The task that a gang member runs.
 
-    :param rank: the member's place in its gang, 0 gives the result.
-    :param checkpoint: the name of the checkpoint to go on from, if any.
+    :param rank: the member's index in its gang; rank 0 provides the result.
+    :param members: the number of members of the gang.
+    :param checkpoint: the name of the checkpoint to resume from, if any.
     """
 
     service: str
@@ -53,9 +58,10 @@
 
 
 class LeaseReport(NamedTuple):
-    """One lease as the worker has it.
+    """A lease, as reported by its worker.
 
-    :param used_slots: what the task was last measured to use; it lags.
+    :param used_slots: the slots that the task used when last measured; the
+        value lags.
     """
 
     job: str
@@ -74,11 +80,12 @@
 
 
 class WorkerReport(NamedTuple):
-    """A worker's answer to a poll.
+    """A worker's response to a poll.
 
-    :param leases: leases that the poll did not name, and named ones that
-        have ended or use more than they hold.
-    :param unknown: named attempts of which the worker holds no lease.
+    :param leases: leases that the poll did not name, and named ones that have
+        ended or use more slots than they reserve.
+    :param unknown: named attempts for which the worker has no lease.
+    :param leaving: whether the worker is draining.
     """
 
     leases: tuple[LeaseReport, ...]
@@ -88,9 +95,9 @@
 
 
 class QuickRequest(NamedTuple):
-    """One quick request as it goes to a worker.
+    """A quick request, as sent to a worker.
 
-    :param deadline_s: seconds that are left for it.
+    :param deadline_s: the time left for it, in seconds.
     """
 
     request_id: str
@@ -101,7 +108,7 @@
 
 
 class QuickReply(NamedTuple):
-    """A whole quick answer and the worker's load beside it."""
+    """The response to a quick request, with the worker's free slots."""
 
     body: bytes
     content_type: str
@@ -109,7 +116,7 @@
 
 
 def report_from_document(entry: dict[str, Any]) -> WorkerReport:
-    """Return a report from its JSON form; unknown fields are passed over."""
+    """Return a report from its JSON document; unknown fields are ignored."""
     leases = tuple(lease_from_document(lease) for lease in entry['leases'])
     return WorkerReport(
         leases=leases,
@@ -120,7 +127,7 @@
 
 
 def lease_from_document(entry: dict[str, Any]) -> LeaseReport:
-    """Return one lease from its JSON form."""
+    """Return a lease from its JSON document; unknown fields are ignored."""
     known = LeaseReport._fields
     return LeaseReport(**{name: entry[name] for name in known if name in entry})
 
