--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' folder: reading, merging, checking, revisions."""
+"""The configuration: reading, merging, validating and revising its files."""
 
 import asyncio
 import tempfile
@@ -33,35 +33,35 @@
 
 
 class FolderTest(unittest.TestCase):
-    """Wrong input is named by file and line, and nothing is applied."""
+    """Invalid files are refused, with the file and the line."""
 
     def setUp(self) -> None:
-        """Make an empty folder."""
+        """Create an empty folder."""
         self._temporary = tempfile.TemporaryDirectory()
         self.addCleanup(self._temporary.cleanup)
         self.folder = Path(self._temporary.name) / 'folder'
         self.folder.mkdir()
 
     def write(self, name: str, content: bytes) -> None:
-        """Write one file of the folder."""
+        """Write a file into the folder."""
         (self.folder / name).write_bytes(content)
 
-    def fault(self) -> str:
-        """Return the message of a folder that is refused."""
+    def error_message(self) -> str:
+        """Return the message of the error; the folder must be refused."""
         with self.assertRaises(ConfigurationError) as caught:
             merge(read_folder(self.folder).contents)
         return caught.exception.message
 
     def test_files_merge_in_the_byte_order_of_their_names(self) -> None:
-        """A later name wins; null removes."""
+        """A later file overrides earlier ones; null removes a key."""
         self.write('b.json', b'{"x": {"b": 2, "a": null}}')
         self.write('a.json', b'// first\n{"x": {"a": 1, "b": 1}, "y": [1]}')
         self.write('\u00e4.json', b'{"z": 3}')
         merged = merge(read_folder(self.folder).contents)
         self.assertEqual(merged, {'x': {'b': 2}, 'y': [1], 'z': 3})
 
-    def test_other_entries_are_ignored_with_a_line(self) -> None:
-        """Sub-folders, hidden files and backups do not count."""
+    def test_other_entries_are_ignored_with_a_message(self) -> None:
+        """Sub-folders, hidden files, backups and other file types."""
         (self.folder / 'sub').mkdir()
         for name in ('.hidden.json', 'a.json~', 'a.json.bak', 'notes.txt'):
             self.write(name, b'not json')
@@ -71,45 +71,45 @@
         self.assertIn('sub: ignored, a sub-folder.', read.ignored)
 
     def test_duplicate_key_names_file_and_line(self) -> None:
-        """A key that stands twice is refused."""
+        """A duplicate key is refused."""
         self.write('a.json', b'{\n"kinds": {},\n"kinds": {}\n}')
-        self.assertIn('a.json:3', self.fault())
+        self.assertIn('a.json:3', self.error_message())
 
     def test_invalid_utf8_names_file_and_line(self) -> None:
-        """Bytes that are no UTF-8 are refused."""
+        """Bytes that are not UTF-8 are refused."""
         self.write('a.json', b'{\n"a": "\xff"\n}')
-        self.assertIn('a.json:2', self.fault())
+        self.assertIn('a.json:2', self.error_message())
 
     def test_broken_json_names_file_and_line(self) -> None:
-        """A syntax fault is refused."""
+        """A syntax error is refused."""
         self.write('a.json', b'{\n"a": 1,\n"b": }')
-        self.assertIn('a.json:3', self.fault())
+        self.assertIn('a.json:3', self.error_message())
 
     def test_link_out_of_the_folder_is_refused(self) -> None:
-        """A symlink may not bring in a file from elsewhere."""
+        """A symbolic link may not include a file outside the folder."""
         outside = Path(self._temporary.name) / 'outside.json'
         outside.write_text('{}')
         (self.folder / 'a.json').symlink_to(outside)
-        self.assertIn('a.json: the link leads out', self.fault())
+        self.assertIn('a.json: the link leads out', self.error_message())
 
     def test_large_file_is_refused(self) -> None:
-        """A file above its bound is refused."""
+        """A file above the maximum size is refused."""
         self.write('a.json', b' ' * (MAX_FILE_BYTES + 1))
-        self.assertIn(f'at most {MAX_FILE_BYTES}', self.fault())
+        self.assertIn(f'at most {MAX_FILE_BYTES}', self.error_message())
 
-    def test_all_faults_are_listed_at_once(self) -> None:
-        """Two broken files give two lines."""
+    def test_all_errors_are_listed_at_once(self) -> None:
+        """Two invalid files are both named."""
         self.write('a.json', b'{')
         self.write('b.json', b'[]')
-        fault = self.fault()
-        self.assertIn('a.json', fault)
-        self.assertIn('b.json', fault)
+        message = self.error_message()
+        self.assertIn('a.json', message)
+        self.assertIn('b.json', message)
 
     @given(_JSON, _JSON)
     def test_merge_is_a_json_merge_patch(
         self, first: object, second: object
     ) -> None:
-        """Merging twice changes nothing more, and null never stays."""
+        """Applying a patch again changes nothing; no null is in the result."""
         files = {
             'a.json': canonical_json({'v': first}),
             'b.json': canonical_json({'v': second}),
@@ -122,18 +122,18 @@
             self.assertEqual(once, {'v': second})
 
 
-class CrossCheckTest(unittest.TestCase):
-    """Names that refer to nothing and promises that do not fit."""
+class ValidationTest(unittest.TestCase):
+    """References to missing entries, and guarantees that do not fit."""
 
-    def test_both_examples_are_in_order(self) -> None:
-        """The deployments of the brief check clean."""
+    def test_both_examples_are_valid(self) -> None:
+        """The configurations of both example deployments."""
         for name in ('tenggara', 'kalvola'):
             folder = read_folder(EXAMPLES / name / 'configuration')
             document = validate_document(merge(folder.contents))
             self.assertEqual(len(document.workspaces), 4)
 
-    def test_every_fault_is_reported(self) -> None:
-        """Dangling names and a promise beyond the data centre."""
+    def test_every_error_is_reported(self) -> None:
+        """Dangling references, and more guarantees than the data centre has."""
         with self.assertRaises(ConfigurationError) as caught:
             validate_document(
                 {
@@ -172,8 +172,8 @@
         self.assertIn("no data centre is named 'nowhere'", message)
         self.assertIn('does not fit dc beside the other', message)
 
-    def test_unknown_and_wrong_fields_are_all_named(self) -> None:
-        """Each wrong field is named with its path."""
+    def test_unknown_and_invalid_fields_are_all_named(self) -> None:
+        """Each invalid field is named with its path."""
         with self.assertRaises(ConfigurationError) as caught:
             validate_document(
                 {
@@ -187,10 +187,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """A process's settings file."""
+    """The settings file of a process."""
 
-    def test_all_wrong_fields_are_named_at_once(self) -> None:
-        """Unknown, missing and mistyped fields stand in one message."""
+    def test_all_invalid_fields_are_named_at_once(self) -> None:
+        """One message lists unknown, missing and mistyped fields."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.json'
             path.write_text(
@@ -204,7 +204,7 @@
             self.assertIn(f'gateway.json: {part}', message)
 
     def test_comments_are_allowed(self) -> None:
-        """A file with comments gives its record."""
+        """A file with comments is read as a record."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.json'
             path.write_text(
@@ -219,20 +219,20 @@
 
 
 class RevisionTest(unittest.TestCase):
-    """Operators who race each other, and a table that loses replies."""
+    """Concurrent changes by operators, and a table that loses responses."""
 
     def setUp(self) -> None:
-        """Make a store of revisions over embedded stand-ins."""
+        """Create a revision store over embedded stand-ins."""
         self.clock = ManualClock()
         self.table = EmbeddedTable(clock=self.clock)
         self.objects = EmbeddedObjects(clock=self.clock)
         self.store = self.new_store()
 
     def new_store(self) -> RevisionStore:
-        """Return another operator's client of the same platform."""
+        """Return another operator's revision store on the same platform."""
 
         async def close() -> None:
-            """Nothing is open."""
+            """Do nothing: there are no connections."""
 
         platform = Platform(
             table=self.table,
@@ -242,25 +242,27 @@
         )
         return RevisionStore(platform=platform, clock=self.clock)
 
-    def test_changes_of_different_files_both_land(self) -> None:
-        """Two operators at the same moment: both files are in force."""
+    def test_concurrent_changes_of_different_files_are_both_applied(
+        self,
+    ) -> None:
+        """Both files are in force."""
 
-        async def race() -> None:
+        async def change_both() -> None:
             await asyncio.gather(
                 self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
                 self.new_store().apply({'b.json': b'{"kinds": {}}'}, 'bo'),
             )
 
-        run(race())
+        run(change_both())
         manifest = run(self.store.read_manifest())
         self.assertEqual(sorted(manifest.files), ['a.json', 'b.json'])
         self.assertEqual(manifest.revision, 2)
 
     def test_later_change_of_the_same_file_is_refused(self) -> None:
-        """The second operator is told what it lost to."""
+        """The error names the change that was applied first."""
         two = b'{"shapes": {"s": {"accelerators": 2}}}'
 
-        async def race() -> list[object]:
+        async def change_both() -> list[object]:
             return list(
                 await asyncio.gather(
                     self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
@@ -269,14 +271,14 @@
                 ),
             )
 
-        outcomes = run(race())
+        outcomes = run(change_both())
         refused = [one for one in outcomes if isinstance(one, Exception)]
         self.assertEqual(len(refused), 1)
         self.assertIn('changed this file first', str(refused[0]))
         self.assertEqual(run(self.store.read_manifest()).revision, 1)
 
     def test_lost_reply_is_resolved_not_repeated(self) -> None:
-        """A change whose reply was lost counts once."""
+        """A change whose response was lost is applied once."""
 
         async def change() -> None:
             faults = self.table.faults
@@ -292,8 +294,8 @@
         self.assertEqual(run(self.store.read_manifest()).revision, 1)
         self.assertEqual(len(run(self.store.read_history())), 1)
 
-    def test_faulty_change_is_never_accepted(self) -> None:
-        """A merge that fails its checks leaves the old in force."""
+    def test_invalid_change_is_never_accepted(self) -> None:
+        """A change that would make the document invalid has no effect."""
         with self.assertRaises(ConfigurationError):
             run(
                 self.store.apply(
@@ -304,20 +306,22 @@
         self.assertEqual(run(self.store.read_manifest()).revision, 0)
 
     @given(st.lists(st.integers(min_value=1, max_value=9), max_size=12))
-    def test_holder_only_moves_upwards(self, revisions: list[int]) -> None:
-        """Whatever order revisions come in, the highest stays."""
-        holder = ActiveConfiguration()
+    def test_only_newer_revisions_are_activated(
+        self, revisions: list[int]
+    ) -> None:
+        """The highest revision is in force, in whatever order they arrive."""
+        active = ActiveConfiguration()
         manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
         merged = run(self.store.read_document(manifest))
         highest = 0
         for revision in revisions:
-            holder.activate(manifest._replace(revision=revision), merged)
+            active.activate(manifest._replace(revision=revision), merged)
             highest = max(highest, revision)
-            self.assertEqual(holder.revision, highest)
+            self.assertEqual(active.revision, highest)
 
-    def test_content_that_is_not_the_manifests_is_refused(self) -> None:
-        """A peer's wrong content leaves the old in force."""
-        holder = ActiveConfiguration()
+    def test_content_that_does_not_match_its_manifest_is_refused(self) -> None:
+        """Other content from a peer leaves the present revision in force."""
+        active = ActiveConfiguration()
         manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
-        self.assertFalse(holder.activate(manifest, {'shapes': {'s': {}}}))
-        self.assertEqual(holder.revision, 0)
+        self.assertFalse(active.activate(manifest, {'shapes': {'s': {}}}))
+        self.assertEqual(active.revision, 0)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, bounded, free of secrets, and never block."""
+"""The event log writes JSON lines, limits their rate and never blocks."""
 
 import io
 import json
@@ -11,7 +11,8 @@
 
 from curranthill.telemetry.events import MAX_LINES_PER_KIND_PER_S, EventLog
 
-#: Writes far more than a pipe holds while nobody reads, then says so.
+#: Logs more than a pipe's buffer holds while the pipe is not read, then prints
+#: the time taken and the number of dropped lines to standard error.
 FLOOD = """
 import os, sys, time
 from curranthill.telemetry.events import EventLog
@@ -31,7 +32,7 @@
     """The event log of one process."""
 
     def open_log(self) -> tuple[EventLog, list[str]]:
-        """Return a log whose lines go to a list."""
+        """Return an open log and the list that its lines are added to."""
         lines: list[str] = []
         log = EventLog()
         with (
@@ -48,14 +49,14 @@
         return log, lines
 
     def test_nothing_is_written_before_it_is_opened(self) -> None:
-        """Tests and commands of operators stay silent."""
+        """Tests and operators' commands write no events."""
         out = io.StringIO()
         with redirect_stdout(out):
             EventLog().log('kind')
         self.assertEqual(out.getvalue(), '')
 
     def test_each_line_is_one_json_object(self) -> None:
-        """With the kind, the time and the process's own fields."""
+        """It has the kind, the time and the fields of the process."""
         log, lines = self.open_log()
         log.log('accepted', job='a1', took_s=0.01)
         fields = json.loads(lines[0])
@@ -63,8 +64,8 @@
         self.assertEqual(fields['host'], 'h1')
         self.assertIn('t_s', fields)
 
-    def test_a_kind_over_its_budget_is_counted_not_written(self) -> None:
-        """Other kinds are written all the same, and tell the count."""
+    def test_lines_above_the_rate_limit_are_dropped_and_counted(self) -> None:
+        """Lines of other kinds are still written, and include the count."""
         log, lines = self.open_log()
         with patch('curranthill.telemetry.events.uptime_s', return_value=100.0):
             for _ in range(MAX_LINES_PER_KIND_PER_S + 50):
@@ -73,16 +74,16 @@
         self.assertEqual(len(lines), MAX_LINES_PER_KIND_PER_S + 1)
         self.assertEqual(json.loads(lines[-1])['lines_left_out'], 50)
 
-    def test_a_reader_that_stops_reading_blocks_nothing(self) -> None:
-        """570 KB into a pipe of 64 KB: lines are dropped and counted."""
+    def test_a_pipe_that_is_not_read_does_not_block(self) -> None:
+        """570 KB are written to a pipe of 64 KB: lines are dropped, counted."""
         process = subprocess.Popen(
             [sys.executable, '-c', FLOOD],
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
         assert process.stderr is not None
-        took_s, left_out = process.stderr.read().split()
+        took_s, dropped_lines = process.stderr.read().split()
         process.wait(timeout=20)
         process.communicate()
         self.assertLess(float(took_s), 8)
-        self.assertGreater(int(left_out), 300)
+        self.assertGreater(int(dropped_lines), 300)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,11 +1,11 @@
-"""What the CI script makes of a test run with known red tests."""
+"""The CI script that evaluates a test run with known failing tests."""
 
 import unittest
 from importlib import util
 from pathlib import Path
 from types import ModuleType
 
-#: The script stands beside the sources and is no part of the package.
+#: The script is not part of the package, so it is loaded by its path.
 SCRIPT = Path(__file__).parent.parent / '.ci' / 'count_tests.py'
 
 LOG = """\
@@ -32,43 +32,43 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Only what is listed is passed over."""
+    """Only failures of listed tests are ignored."""
 
     def setUp(self) -> None:
         """Load the script."""
         self.script = load()
 
     def judge(self, listing: str, log: str = LOG, code: int = 1) -> object:
-        """Return passed, failed and mended of a run."""
+        """Return the numbers passed and failed, and the listed tests mended."""
         known = self.script.known_tests(listing)
         return tuple(self.script.judge(log, known, code))
 
     def test_without_a_list_every_failure_counts(self) -> None:
-        """Both count."""
+        """Both failures count."""
         self.assertEqual(self.judge(''), (8, 2, ()))
 
-    def test_a_listed_failure_is_passed_over(self) -> None:
-        """The other one still counts."""
+    def test_a_listed_failure_is_ignored(self) -> None:
+        """The other failure still counts."""
         listing = 'tests.test_a.ATest.test_one | cause | issue 1\n'
         self.assertEqual(self.judge(listing), (8, 1, ()))
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        """Its line must go with the repair."""
+        """The commit that mends a test must also remove its line."""
         name = 'tests.test_a.ATest.test_three'
         self.assertEqual(self.judge(f'{name} | cause'), (8, 3, (name,)))
 
-    def test_a_listed_test_of_a_run_that_passes_fails_it(self) -> None:
-        """Also where nothing failed at all."""
+    def test_a_listed_test_fails_a_run_without_failures(self) -> None:
+        """A run that passes as a whole is checked, too."""
         log = 'Ran 3 tests in 0.1s\n\nOK\n'
         name = 'tests.test_a.ATest.test_one'
         self.assertEqual(self.judge(name, log, 0), (3, 1, (name,)))
 
-    def test_a_run_that_breaks_off_fails(self) -> None:
-        """Without a summary nothing has passed."""
+    def test_a_run_without_a_summary_fails(self) -> None:
+        """A run that was killed passes no test."""
         self.assertEqual(self.judge('', 'killed\n', 2), (0, 1, ()))
 
-    def test_comments_are_no_tests(self) -> None:
-        """Neither are empty lines."""
+    def test_comments_and_empty_lines_are_ignored(self) -> None:
+        """They name no tests."""
         self.assertEqual(self.script.known_tests('# text\n\n'), {})
 
 
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -1,4 +1,4 @@
-"""Imports follow the layers that docs/architecture.md draws."""
+"""Imports between packages follow the layers in docs/architecture.md."""
 
 import ast
 import unittest
@@ -7,7 +7,7 @@
 
 SOURCE = Path(__file__).parent.parent / 'src' / 'curranthill'
 
-#: From the bottom up; a package may import from its own layer and below.
+#: The layers, lowest first; a package may import from its own and lower ones.
 LAYERS = (
     {'errors', 'clock', 'registry', 'application', 'connections'},
     {'settings', 'protocol', 'telemetry'},
@@ -19,7 +19,7 @@
 )
 
 
-#: Names that only the users' platform gives things.
+#: Names in the wire formats of the users' platform.
 WIRE_NAMES = (
     'acked_through',
     'api_keys',
@@ -44,14 +44,14 @@
 
 
 def layer_of(package: str) -> int:
-    """Return the number of a package's layer."""
+    """Return the index of a package's layer."""
     return next(
         number for number, layer in enumerate(LAYERS) if package in layer
     )
 
 
 def imports_of(path: Path) -> Iterator[str]:
-    """Yield the packages of ours that a module imports."""
+    """Yield the packages of this project that a module imports."""
     for node in ast.walk(ast.parse(path.read_text('utf-8'))):
         if isinstance(node, ast.ImportFrom) and node.module:
             parts = node.module.split('.')
@@ -62,27 +62,25 @@
 class LayeringTest(unittest.TestCase):
     """No package imports from a layer above its own."""
 
-    def test_imports_run_downwards(self) -> None:
-        """Each import of each module."""
-        wrong = [
+    def test_no_module_imports_from_a_higher_layer(self) -> None:
+        """All imports of all modules are checked."""
+        violations = [
             f'{path.relative_to(SOURCE)} imports {package}'
             for path in sorted(SOURCE.rglob('*.py'))
             if not path.stem.startswith('inner_') and path.parent != SOURCE
             for package in imports_of(path)
             if layer_of(package) > layer_of(path.relative_to(SOURCE).parts[0])
         ]
-        self.assertEqual(wrong, [])
+        self.assertEqual(violations, [])
 
-    def test_gateway_and_scheduler_meet_only_in_protocol_and_table(
-        self,
-    ) -> None:
-        """Neither imports the other."""
+    def test_gateway_and_scheduler_do_not_import_each_other(self) -> None:
+        """They communicate only through the protocol and the table."""
         for one, other in (('gateway', 'scheduler'), ('scheduler', 'gateway')):
             for path in (SOURCE / one).glob('*.py'):
                 self.assertNotIn(other, set(imports_of(path)))
 
     def test_only_the_entry_point_imports_the_platform_folder(self) -> None:
-        """What translates the platform stays replaceable."""
+        """The adapter of the platform stays replaceable."""
         importers = {
             str(path.relative_to(SOURCE))
             for path in SOURCE.rglob('*.py')
@@ -91,10 +89,10 @@
         }
         self.assertEqual(importers, {'commands/host.py'})
 
-    def test_names_of_the_wire_stay_in_the_platform_folder(self) -> None:
-        """They are decoded once, into types with names of ours."""
+    def test_wire_names_occur_only_in_the_platform_folder(self) -> None:
+        """It decodes them into types with the names of this project."""
         found = [
-            f'{path.relative_to(SOURCE)} holds {name}'
+            f'{path.relative_to(SOURCE)} contains {name}'
             for path in sorted(SOURCE.rglob('*.py'))
             if path.relative_to(SOURCE).parts[0] != 'platform'
             for name in WIRE_NAMES
