--- a/src/curranthill/configuration/revisions.py
+++ b/src/curranthill/configuration/revisions.py
@@ -45,7 +45,7 @@
 
     async def read_manifest(self) -> Manifest:
         """Return the manifest in force; revision 0 if there is none yet."""
-        return _manifest(await self._platform.table.read(REVISION_KEY))
+        return _manifest_from_row(await self._platform.table.read(REVISION_KEY))
 
     async def read_document(self, manifest: Manifest) -> Json:
         """Return the merged document of a manifest.
@@ -69,7 +69,7 @@
         after = ''
         while True:
             page = await self._platform.table.scan(HISTORY_PREFIX, after, 100)
-            manifests.extend(_manifest(row) for row in page.rows)
+            manifests.extend(_manifest_from_row(row) for row in page.rows)
             after = page.after
             if not after:
                 return manifests
@@ -84,9 +84,9 @@
             another operator changed one of the files first.
         """
         row = await self._platform.table.read(REVISION_KEY)
-        original = _manifest(row)
+        original = _manifest_from_row(row)
         for _ in range(REBASE_ATTEMPTS):
-            base = _manifest(row)
+            base = _manifest_from_row(row)
             _refuse_conflicts(change, original, base)
             manifest = await self._prepare(change, base, author)
             if manifest.files == base.files:
@@ -157,7 +157,7 @@
         return content
 
 
-def _manifest(row: Row | None) -> Manifest:
+def _manifest_from_row(row: Row | None) -> Manifest:
     if row is None:
         return Manifest(revision=0, files={}, merged='')
     known = {
--- a/src/curranthill/tasks/records.py
+++ b/src/curranthill/tasks/records.py
@@ -250,13 +250,13 @@
 
 
 class Timing(NamedTuple):
-    """Times and factors of the platform and its workers, in seconds.
+    """Bounds and durations of the platform and its workers, in seconds.
 
     :param lease_s: the maximum term of a lease that a worker grants.
     :param stop_s: the maximum duration of a stop.
     :param gang_timeout_s: how long a gang member waits for the others.
     :param status_s: how long the state of an ended job is stored.
-    :param far_factor: by which factor work takes longer away from its data.
+    :param far_factor: the factor by which work away from its data takes longer.
     :param restore_s: the duration of resuming from a checkpoint.
     :param evacuate_s: how long after its closing tasks may still start in a
         data centre; 0 if no bound is required.
