--- a/src/curranthill/commands/configuration.py
+++ b/src/curranthill/commands/configuration.py
@@ -118,7 +118,7 @@
         manifest = await store.read_manifest()
         change: dict[str, bytes | None] = dict.fromkeys(manifest.files)
         change.update(contents)
-        applied = await store.apply(change, getpass.getuser())
+        applied = await store.apply_change(change, getpass.getuser())
         return applied.revision
 
     typer.echo(f'Revision {_with_store(settings, replace)} is in force.')
@@ -152,7 +152,7 @@
 
 def _change(settings: Path, change: dict[str, bytes | None]) -> None:
     async def put(store: RevisionStore) -> int:  # noqa: WPS430
-        applied = await store.apply(change, getpass.getuser())
+        applied = await store.apply_change(change, getpass.getuser())
         return applied.revision
 
     typer.echo(f'Revision {_with_store(settings, put)} is in force.')
--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -135,7 +135,7 @@
             platform=gateway.node.platform,
             clock=SystemClock(),
         )
-        await store.apply(self.contents, 'demo')
+        await store.apply_change(self.contents, 'demo')
 
     async def _wait_ready(self) -> None:
         """Wait until each data centre has a leader and the revision."""
--- a/src/curranthill/configuration/active.py
+++ b/src/curranthill/configuration/active.py
@@ -39,7 +39,7 @@
         """Return the number of the revision in force."""
         return self.manifest.revision
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call ``listener`` after each change of the revision."""
         self._listeners.append(listener)
 
--- a/src/curranthill/configuration/revisions.py
+++ b/src/curranthill/configuration/revisions.py
@@ -74,7 +74,7 @@
             if not after:
                 return manifests
 
-    async def apply(self, change: Change, author: str) -> Manifest:
+    async def apply_change(self, change: Change, author: str) -> Manifest:
         """Put a change of some files in force and return the new manifest.
 
         A change is rebased onto concurrent changes of other files. Of two
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -48,7 +48,7 @@
         self._interval_s = interval_s
         self._fetching = False
         view.listen(self._on_member)
-        configuration.listen(self._publish_revision)
+        configuration.add_listener(self._publish_revision)
 
     async def start(self) -> None:
         """Read the table at once, then periodically."""
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -52,7 +52,7 @@
         self._takeover: asyncio.Task[None] | None = None
         self._seen_epoch = 0
         directory.listen(self._on_workers_changed)
-        configuration.listen(self._on_configuration)
+        configuration.add_listener(self._on_configuration)
 
     async def start(self) -> None:
         """Start the election, the scan of open jobs and the load updates."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -249,8 +249,10 @@
 
         async def change_both() -> None:
             await asyncio.gather(
-                self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
-                self.new_store().apply({'b.json': b'{"kinds": {}}'}, 'bo'),
+                self.store.apply_change({'a.json': b'{"shapes": {}}'}, 'ann'),
+                self.new_store().apply_change(
+                    {'b.json': b'{"kinds": {}}'}, 'bo'
+                ),
             )
 
         run(change_both())
@@ -265,8 +267,10 @@
         async def change_both() -> list[object]:
             return list(
                 await asyncio.gather(
-                    self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
-                    self.new_store().apply({'a.json': two}, 'bo'),
+                    self.store.apply_change(
+                        {'a.json': b'{"shapes": {}}'}, 'ann'
+                    ),
+                    self.new_store().apply_change({'a.json': two}, 'bo'),
                     return_exceptions=True,
                 ),
             )
@@ -284,7 +288,7 @@
             faults = self.table.faults
             faults.settings = faults.settings._replace(lose_replies=1.0)
             work = asyncio.create_task(
-                self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'),
+                self.store.apply_change({'a.json': b'{"shapes": {}}'}, 'ann'),
             )
             await self.clock.until(work.done)
             manifest = work.result()
@@ -298,7 +302,7 @@
         """A change that would make the document invalid has no effect."""
         with self.assertRaises(ConfigurationError):
             run(
-                self.store.apply(
+                self.store.apply_change(
                     {'a.json': b'{"kinds": {"k": {"service": "no"}}}'},
                     'ann',
                 ),
@@ -311,7 +315,9 @@
     ) -> None:
         """The highest revision is in force, in whatever order they arrive."""
         active = ActiveConfiguration()
-        manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
+        manifest = run(
+            self.store.apply_change({'a.json': b'{"shapes": {}}'}, 'ann')
+        )
         merged = run(self.store.read_document(manifest))
         highest = 0
         for revision in revisions:
@@ -322,6 +328,8 @@
     def test_content_that_does_not_match_its_manifest_is_refused(self) -> None:
         """Other content from a peer leaves the present revision in force."""
         active = ActiveConfiguration()
-        manifest = run(self.store.apply({'a.json': b'{"shapes": {}}'}, 'ann'))
+        manifest = run(
+            self.store.apply_change({'a.json': b'{"shapes": {}}'}, 'ann')
+        )
         self.assertFalse(active.activate(manifest, {'shapes': {'s': {}}}))
         self.assertEqual(active.revision, 0)
