--- a/src/curranthill/commands/trace.py
+++ b/src/curranthill/commands/trace.py
@@ -42,10 +42,10 @@
         if as_json:
             typer.echo(json.dumps(line))
         else:
-            typer.echo(told(line, began_s))
+            typer.echo(describe_event(line, began_s))
 
 
-def told(line: Line, began_s: float) -> str:
+def describe_event(line: Line, began_s: float) -> str:
     """Return a line's sentence, with the time since the first line."""
     kind = line['event']
     sentence = kind
@@ -118,4 +118,4 @@
         yield line
 
 
-__all__ = ('events_of', 'sentences', 'told', 'trace')
+__all__ = ('describe_event', 'events_of', 'sentences', 'trace')
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from curranthill.commands.trace import told
+from curranthill.commands.trace import describe_event
 from curranthill.dispatch import unready
 from curranthill.dispatch.blockers import (
     ALL_DONE,
@@ -228,7 +228,7 @@
                 await domain.clock.advance(5.0)
             self.assertIn(len(found), {3, 4, 5})
             self.assertEqual(found[0]['held_by'], RUN)
-            sentence = told(found[0], 0.0)
+            sentence = describe_event(found[0], 0.0)
             self.assertIn('a1.0.0.', sentence)
             self.assertIn('unreachable', sentence)
             self.assertEqual(lines.lines, [])
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -5,7 +5,7 @@
 from unittest.mock import patch
 
 from curranthill.admission import waiting_reason
-from curranthill.commands.trace import told
+from curranthill.commands.trace import describe_event
 from curranthill.dispatch import waiting
 from curranthill.entry import job_handler
 from curranthill.placement import (
@@ -210,7 +210,7 @@
                 ['no room', 'no room'],
             )
             self.assertEqual(len({line['job'] for line in last}), 2)
-            self.assertIn('waits for no room', told(last[0], 0.0))
+            self.assertIn('waits for no room', describe_event(last[0], 0.0))
             # The first forecast is made 2 s after the start of the term.
             self.assertLessEqual(len(lines.of('waiting')), 2 * 4)
 
@@ -244,7 +244,7 @@
                 for name in ('listed', 'usable', 'empty', 'with_suspect')
             ]
             self.assertEqual(counts, [3, 3, 2, 0])
-            sentence = told(small, 0.0)
+            sentence = describe_event(small, 0.0)
             self.assertIn('kept for others (wide)', sentence)
             self.assertIn('of 3 workers 3 usable, 2 empty', sentence)
 
@@ -342,7 +342,7 @@
             self.assertEqual(line['reason'], 'too late')
             self.assertGreater(line['expected_wait_s'], 90.0)
             self.assertLess(line['outlook_age_s'], 2.5)
-            self.assertIn('turned away: too late', told(line, 0.0))
+            self.assertIn('turned away: too late', describe_event(line, 0.0))
 
         in_domain(case, workers=4, run_s=RUN_S)
 
