--- a/src/curranthill/commands/sentences.py
+++ b/src/curranthill/commands/formatters.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from curranthill.commands.waits import held_task, workers_of
+from curranthill.commands.wait_details import held_task, workers_of
 from curranthill.registry import Registry
 
 Line = dict[str, Any]
--- a/src/curranthill/commands/trace.py
+++ b/src/curranthill/commands/trace.py
@@ -7,8 +7,8 @@
 
 import typer
 
+from curranthill.commands.formatters import Line, sentences
 from curranthill.commands.options import FAILED, fail
-from curranthill.commands.sentences import Line, sentences
 
 LogPaths = Annotated[
     list[Path],
