--- a/src/curranthill/commands/__init__.py
+++ b/src/curranthill/commands/__init__.py
@@ -1,3 +1,3 @@
-"""The command lines."""
+"""Command-line interfaces of the programs."""
 
 __all__ = ()
--- a/src/curranthill/commands/formatters.py
+++ b/src/curranthill/commands/formatters.py
@@ -1,19 +1,25 @@
-"""How each kind of event is told in a sentence."""
+"""Formats log events as sentences, one formatter for each kind."""
 
 from collections.abc import Callable
 from typing import Any
 
-from curranthill.commands.wait_details import held_task, workers_of
+from curranthill.commands.wait_details import (
+    format_blocking_task,
+    format_worker_counts,
+)
 from curranthill.registry import Registry
 
-Line = dict[str, Any]
+#: An event: a JSON object of one log line.
+LogLine = dict[str, Any]
 
-#: How a kind of event is told: kind -> sentence of a line.
-sentences: Registry[Callable[[Line], str]] = Registry(concern='event')
+#: Functions that format an event as a sentence, by the event's kind.
+event_formatters: Registry[Callable[[LogLine], str]] = Registry(
+    concern='event',
+)
 
 
-@sentences.register('accepted')
-def _accepted(line: Line) -> str:
+@event_formatters.register('accepted')
+def _format_acceptance(line: LogLine) -> str:
     return (
         f'accepted for queue {line["queue"]} of workspace '
         f'{line["workspace"] or "-"} in {line["took_s"]} s; '
@@ -21,46 +27,47 @@
     )
 
 
-@sentences.register('accepted_before')
-def _accepted_before(line: Line) -> str:
-    return 'handed in again; it is one job'
+@event_formatters.register('accepted_before')
+def _format_resubmission(line: LogLine) -> str:
+    return 'submitted again; it had been accepted before'
 
 
-@sentences.register('refused')
-def _refused(line: Line) -> str:
+@event_formatters.register('refused')
+def _format_refusal(line: LogLine) -> str:
     return (
         f'{line["method"]} refused with {line["status"]} '
         f'({line["outcome"]}, step {line["step"]}): {line["reason"]}'
     )
 
 
-@sentences.register('turned_away')
-def _turned_away(line: Line) -> str:
+@event_formatters.register('turned_away')
+def _format_load_shedding(line: LogLine) -> str:
     return (
-        f'turned away: {line["reason"]}; expected wait '
-        f'{line["expected_wait_s"]} s, known for {line["outlook_age_s"]} s'
+        f'refused by load shedding: {line["reason"]}; expected wait '
+        f'{line["expected_wait_s"]} s, by a forecast that is '
+        f'{line["outlook_age_s"]} s old'
     )
 
 
-@sentences.register('waiting')
-def _waiting(line: Line) -> str:
-    named = ', '.join(line.get('kept_for', ()))
-    kept_for = f' ({named})' if named else ''
+@event_formatters.register('waiting')
+def _format_waiting(line: LogLine) -> str:
+    other_jobs = ', '.join(line.get('kept_for', ()))
+    reserved_for = f' ({other_jobs})' if other_jobs else ''
     return (
         f'{line["job"]} step {line["step"]} ({line["tasks"]} tasks) '
-        f'waits for {line["waits_for"]}{kept_for}'
-        f'{workers_of(line)}; accepted {line["waited_s"]} s ago'
+        f'waits for {line["waits_for"]}{reserved_for}'
+        f'{format_worker_counts(line)}; accepted {line["waited_s"]} s ago'
     )
 
 
-@sentences.register('not_ready')
-def _not_ready(line: Line) -> str:
-    tasks = '; '.join(map(held_task, line['held']))
+@event_formatters.register('not_ready')
+def _format_not_ready(line: LogLine) -> str:
+    tasks = '; '.join(map(format_blocking_task, line['held']))
     unnamed = line['held_tasks'] - len(line['held'])
     later = line['later_steps']
     parts = [
-        f'{line["job"]} step {line["step"]} is not ready for ',
-        f'{line["held_s"]} s: held by {line["held_by"]}',
+        f'{line["job"]} step {line["step"]} has not been ready for ',
+        f'{line["held_s"]} s: blocked by {line["held_by"]}',
         f' ({tasks})' if tasks else '',
         f' and {unnamed} more' if unnamed else '',
         f'; {later} later steps wait for it' if later else '',
@@ -69,80 +76,80 @@
     return f'{"".join(parts)}; accepted {line["waited_s"]} s ago'
 
 
-@sentences.register('workers_unused')
-def _workers_unused(line: Line) -> str:
+@event_formatters.register('workers_unused')
+def _format_unused_workers(line: LogLine) -> str:
     workers = '; '.join(
         f'{reason} ({", ".join(names)})'
         for reason, names in line['workers'].items()
     )
-    told = f'{line["unused"]} of {line["listed"]} listed workers are unused'
-    return f'{told}: {workers}' if workers else told
+    summary = f'{line["unused"]} of {line["listed"]} listed workers are unused'
+    return f'{summary}: {workers}' if workers else summary
 
 
-@sentences.register('placed')
-def _placed(line: Line) -> str:
+@event_formatters.register('placed')
+def _format_placement(line: LogLine) -> str:
     return (
         f'step {line["step"]} placed as attempt {line["attempt"]}: '
         f'{", ".join(line["tasks"])}'
     )
 
 
-@sentences.register('run_ended')
-def _run_ended(line: Line) -> str:
+@event_formatters.register('run_ended')
+def _format_run_end(line: LogLine) -> str:
     return (
-        f'{line["task"]} attempt {line["attempt"]} ended {line["how"]} '
-        f'at {line["worker"]}'
+        f'{line["task"]} attempt {line["attempt"]} ended on '
+        f'{line["worker"]}: {line["how"]}'
     )
 
 
-@sentences.register('run_vanished')
-def _run_vanished(line: Line) -> str:
+@event_formatters.register('run_vanished')
+def _format_absent_run(line: LogLine) -> str:
     return (
-        f'{line["task"]} attempt {line["attempt"]} given up at '
+        f'{line["task"]} attempt {line["attempt"]} confirmed absent from '
         f'{line["worker"]}: {line["reason"]}'
     )
 
 
-@sentences.register('preempted')
-def _preempted(line: Line) -> str:
+@event_formatters.register('preempted')
+def _format_preemption(line: LogLine) -> str:
     return (
-        f'{line["task"]} stopped for more urgent work '
+        f'{line["task"]} preempted by more urgent work '
         f'at {line["done_percent"]}%'
     )
 
 
-@sentences.register('moved_stalled')
-def _moved_stalled(line: Line) -> str:
+@event_formatters.register('moved_stalled')
+def _format_stalled_move(line: LogLine) -> str:
     return (
-        f'{line["task"]} stopped at {line["done_percent"]}%: no progress for '
-        f'{line["stalled_s"]} s at {line["worker"]}'
+        f'{line["task"]} stopped at {line["done_percent"]}%, to be moved: '
+        f'no progress for {line["stalled_s"]} s on {line["worker"]}'
     )
 
 
-@sentences.register('moved_slow')
-def _moved_slow(line: Line) -> str:
+@event_formatters.register('moved_slow')
+def _format_slow_move(line: LogLine) -> str:
     return (
-        f'{line["task"]} stopped at {line["done_percent"]}%: '
-        f'{line["here_s"]} s more at {line["worker"]}, which is slow, '
+        f'{line["task"]} stopped at {line["done_percent"]}%, to be moved: '
+        f'{line["here_s"]} s left on {line["worker"]}, which is slow, '
         f'{line["elsewhere_s"]} s elsewhere'
     )
 
 
-@sentences.register('job_completed')
-def _completed(line: Line) -> str:
+@event_formatters.register('job_completed')
+def _format_completion(line: LogLine) -> str:
     late_s = line['late_s']
-    judged = f'{late_s} s late' if late_s > 0 else 'in time'
-    return f'completed after {line["took_s"]} s, {judged}'
+    lateness = f'{late_s} s late' if late_s > 0 else 'in time'
+    return f'completed after {line["took_s"]} s, {lateness}'
 
 
-@sentences.register('job_ended')
-def _ended(line: Line) -> str:
+@event_formatters.register('job_ended')
+def _format_job_end(line: LogLine) -> str:
     reason = line.get('reason', '')
     return f'ended as {line["state"]}. {reason}'.rstrip()
 
 
-@sentences.register('lost_with_worker')
-def _lost_with_worker(line: Line) -> str:
+@event_formatters.register('lost_with_worker')
+def _format_loss(line: LogLine) -> str:
     return (
         f'{line["task"]} attempt {line["attempt"]} lost with {line["worker"]} '
         f'({line["reason"]}) after {line["worked_s"]} s of work: '
@@ -150,4 +157,4 @@
     )
 
 
-__all__ = ('Line', 'sentences')
+__all__ = ('LogLine', 'event_formatters')
--- a/src/curranthill/commands/losses.py
+++ b/src/curranthill/commands/losses.py
@@ -1,4 +1,4 @@
-"""Where the time and the work of jobs went, from saved log lines."""
+"""``curranthill losses``: jobs' time and lost work, from saved logs."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -10,32 +10,32 @@
 from curranthill.commands.options import FAILED, fail
 from curranthill.commands.tables import show_table
 from curranthill.commands.timelines import USEFUL, JobTimeline, Timelines
-from curranthill.commands.trace import LogPaths, events_of
+from curranthill.commands.trace import LogPaths, read_events
 from curranthill.registry import Registry
 
-#: What jobs can be summed up by.
+#: Functions that return the group of a job, by the name of the grouping.
 groupings: Registry[Callable[[JobTimeline], str]] = Registry(
     concern='grouping',
 )
 
 
 @groupings.register('queue')
-def _queue(job: JobTimeline) -> str:
+def _queue_of(job: JobTimeline) -> str:
     return f'{job.priority} {job.queue}'.strip()
 
 
 @groupings.register('workspace')
-def _workspace(job: JobTimeline) -> str:
+def _workspace_of(job: JobTimeline) -> str:
     return job.workspace
 
 
 @groupings.register('data-centre')
-def _data_centre(job: JobTimeline) -> str:
+def _data_centre_of(job: JobTimeline) -> str:
     return job.data_centre
 
 
 @groupings.register('job')
-def _job(job: JobTimeline) -> str:
+def _job_id_of(job: JobTimeline) -> str:
     return job.job_id
 
 
@@ -44,17 +44,17 @@
     *,
     by: Annotated[
         str,
-        typer.Option(help=f'Sum up by: {", ".join(groupings)}.'),
+        typer.Option(help=f'Group jobs by: {", ".join(groupings)}.'),
     ] = 'queue',
     as_json: Annotated[
         bool,
         typer.Option('--json', help='Print JSON.'),
     ] = False,
 ) -> None:
-    """Tell where jobs' time went, and which work was thrown away."""
+    """Show on what jobs spent their time, and how much work was lost."""
     timelines = read_timelines(logs)
     if not timelines.jobs:
-        fail('These logs tell of no accepted job.', FAILED)
+        fail('These logs contain no accepted job.', FAILED)
     groups: dict[str, list[JobTimeline]] = defaultdict(list)
     grouping = groupings.get(by)
     for job in timelines.finished():
@@ -67,23 +67,23 @@
     )
     unfinished = len(timelines.jobs) - sum(map(len, groups.values()))
     typer.echo(
-        f'{unfinished} jobs cancelled or without an end; '
-        f'{timelines.unread} lines unread, '
-        f'{timelines.left_out} not written by their hosts',
+        f'{unfinished} jobs cancelled or unfinished; '
+        f'{timelines.malformed_lines} malformed lines, '
+        f'{timelines.dropped_lines} lines dropped by their hosts',
         err=True,
     )
 
 
 def read_timelines(logs: Iterable[Path]) -> Timelines:
-    """Return the jobs that saved logs tell of."""
+    """Return the timelines of all jobs in saved logs."""
     timelines = Timelines()
-    lines = list(events_of(logs, ''))
-    timelines.read(sorted(lines, key=lambda line: line['t_s']))
+    lines = list(read_events(logs, ''))
+    timelines.add_lines(sorted(lines, key=lambda line: line['t_s']))
     return timelines
 
 
 def _causes(jobs: Iterable[JobTimeline]) -> list[str]:
-    """Return the causes that took any time, the longest first."""
+    """Return the causes of all time, in descending order of their totals."""
     totals: dict[str, float] = defaultdict(float)
     for job in jobs:
         for cause, spent_s in job.seconds_by_cause().items():
@@ -96,17 +96,21 @@
     jobs: list[JobTimeline],
     causes: list[str],
 ) -> list[str | int | float]:
-    """Return a group's mean seconds by cause, and its work thrown away."""
-    spent: dict[str, float] = defaultdict(float)
+    """Return the table row of a group of jobs.
+
+    The time by cause is averaged over all jobs of the group and the lateness
+    over the late ones; the lost work is summed.
+    """
+    seconds: dict[str, float] = defaultdict(float)
     for job in jobs:
         for cause, spent_s in job.seconds_by_cause().items():
-            spent[cause] += spent_s
+            seconds[cause] += spent_s
     late = [job.late_s for job in jobs if job.late_s > 0]
     lost_core_s = sum(
         run.core_s for job in jobs for run in job.runs if run.cause != USEFUL
     )
     mean_late_s = sum(late) / len(late) if late else 0.0
-    means_s = [spent[cause] / len(jobs) for cause in causes]
+    means_s = [seconds[cause] / len(jobs) for cause in causes]
     return [
         name,
         len(jobs),
--- a/src/curranthill/commands/timelines.py
+++ b/src/curranthill/commands/timelines.py
@@ -1,4 +1,4 @@
-"""Jobs' lives as the saved log lines of all hosts tell them."""
+"""Reconstructs the timelines of jobs from the saved logs of all hosts."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any, Final, NamedTuple
@@ -6,234 +6,259 @@
 from curranthill.registry import Registry
 from curranthill.tasks import Resources
 
-Line = dict[str, Any]
+#: An event: a JSON object of one log line.
+LogLine = dict[str, Any]
 
-#: How the time of a job without a useful run is told.
+#: Causes of a job's time, beside those for which its runs were lost.
 WAITING: Final = 'waiting'
 NOT_READY: Final = 'not ready'
 USEFUL: Final = 'useful'
 
-#: How a run ended that was not stopped, by the name that its line gives.
+#: Ends of a run, as its ``run_ended`` event reports them.
 _DONE: Final = 'done'
 _STOPPED: Final = 'stopped'
 
-#: A stop for which no line gives a reason: another member of the gang ended.
-_WITH_ITS_GANG: Final = 'with its gang'
+#: The cause of a stop without an event: another member of the gang ended.
+_STOPPED_WITH_GANG: Final = 'with its gang'
 
 
 class RunSpan(NamedTuple):
-    """One run of one task.
+    """A run of a task and the time that it took.
 
+    :param started_at_s: when the task was placed, in wall-clock time.
+    :param ended_at_s: when the run ended, in wall-clock time.
     :param cause: how it ended, or why it was stopped; ``useful`` if done.
-    :param weight_cores: its room in cores, accelerators counted as several.
+    :param weight_cores: the capacity that it used, in cores; an accelerator
+        counts as several.
     """
 
     task: str
     worker: str
-    began_s: float
-    ended_s: float
+    started_at_s: float
+    ended_at_s: float
     cause: str
     weight_cores: float
 
     @property
     def core_s(self) -> float:
-        """Return what the run took, in core-seconds."""
-        return self.weight_cores * (self.ended_s - self.began_s)
+        """Return the capacity that the run used, in core-seconds."""
+        return self.weight_cores * (self.ended_at_s - self.started_at_s)
 
 
 class JobTimeline:
-    """One job from its acceptance to its end.
-
-    :param objective_s: the time from acceptance that it should take.
-    :param estimate_s: the estimate of its longest step.
-    :param ended_s: when its state became final, or nothing.
+    """A job from its acceptance to its end.
+
+    :param accepted_at_s: when the request arrived, in wall-clock time.
+    :param objective_s: the time from its acceptance that it should take.
+    :param estimate_s: the largest of its steps' estimates.
+    :param ended_at_s: when its state became final; None until then.
+    :param open_runs: the worker and the start of each task that runs.
+    :param stop_reasons: the kind of the event for which a task was stopped.
+    :param not_ready_spans: when it was not ready, in order, without overlap.
     """
 
-    def __init__(self, *, line: Line) -> None:
-        """Begin with the line that tells of its acceptance."""
+    def __init__(self, *, line: LogLine) -> None:
+        """Initialize the timeline from the job's ``accepted`` event."""
         self.job_id: str = line['job']
         self.queue: str = line['queue']
         self.priority = str(line.get('priority', ''))
         self.workspace: str = line['workspace'] or '-'
         self.data_centre: str = line['data_centre']
-        self.accept_s = float(line['took_s'])
-        self.accepted_s = float(line['t_s']) - self.accept_s
+        self.acceptance_s = float(line['took_s'])
+        self.accepted_at_s = float(line['t_s']) - self.acceptance_s
         self.objective_s = float(line['objective_s'])
         steps = line['steps']
-        self.weights_cores = [
+        self.step_weights_cores = [
             Resources(*step['needs']).weight_cores for step in steps
         ]
-        self.tasks = sum(step['width'] for step in steps)
+        self.task_count = sum(step['width'] for step in steps)
         self.estimate_s = max(step.get('estimate_s', 0.0) for step in steps)
         self.state = ''
-        self.ended_s: float | None = None
+        self.ended_at_s: float | None = None
         self.runs: list[RunSpan] = []
-        self.open: dict[str, tuple[str, float]] = {}
-        self.stopped_for: dict[str, str] = {}
-        self.held: list[tuple[float, float]] = []
+        self.open_runs: dict[str, tuple[str, float]] = {}
+        self.stop_reasons: dict[str, str] = {}
+        self.not_ready_spans: list[tuple[float, float]] = []
 
     @property
     def late_s(self) -> float:
-        """Return by how much it missed its objective; negative if it met it."""
-        if self.ended_s is None:
+        """Return by how much it missed its objective; negative if it met it.
+
+        It is infinite for a job that has not ended.
+        """
+        if self.ended_at_s is None:
             return float('inf')
-        return self.ended_s - self.accepted_s - self.objective_s
+        return self.ended_at_s - self.accepted_at_s - self.objective_s
 
-    def begin(self, task: str, worker: str, at_s: float) -> None:
-        """Note the start of a run."""
-        self.open[task] = (worker, at_s)
+    def start_run(self, task: str, worker: str, at_s: float) -> None:
+        """Record the start of a run."""
+        self.open_runs[task] = (worker, at_s)
 
-    def end(self, task: str, at_s: float, cause: str) -> None:
-        """Note the end of a task's newest run."""
-        opened = self.open.pop(task, None)
-        if opened is None:
+    def end_run(self, task: str, at_s: float, cause: str) -> None:
+        """Record the end of a task's newest run."""
+        open_run = self.open_runs.pop(task, None)
+        if open_run is None:
             return
-        worker, began_s = opened
-        reason = self.stopped_for.pop(task, '')
+        worker, started_at_s = open_run
+        reason = self.stop_reasons.pop(task, '')
         if cause == _STOPPED:
-            cause = reason or _WITH_ITS_GANG
+            cause = reason or _STOPPED_WITH_GANG
         step = int(task.split('.')[-2])
         self.runs.append(
             RunSpan(
                 task=task,
                 worker=worker,
-                began_s=began_s,
-                ended_s=at_s,
+                started_at_s=started_at_s,
+                ended_at_s=at_s,
                 cause=USEFUL if cause == _DONE else cause,
-                weight_cores=self.weights_cores[step],
+                weight_cores=self.step_weights_cores[step],
             ),
         )
 
-    def hold(self, began_s: float, until_s: float) -> None:
-        """Note that it was not ready for a time; later lines tell more of it.
+    def add_not_ready_span(self, start_s: float, end_s: float) -> None:
+        """Record a time in which the job was not ready.
 
-        :param began_s: a line that tells the same time again has the same.
+        It is logged repeatedly while it lasts, always from its start, so a
+        span that overlaps the newest one is merged with it.
+
+        :param start_s: its start, in wall-clock time.
+        :param end_s: until when it is known to last, in wall-clock time.
         """
-        if self.held and began_s <= self.held[-1][1]:
-            began_s = min(began_s, self.held.pop()[0])
-        self.held.append((began_s, until_s))
+        if self.not_ready_spans and start_s <= self.not_ready_spans[-1][1]:
+            start_s = min(start_s, self.not_ready_spans.pop()[0])
+        self.not_ready_spans.append((start_s, end_s))
 
     def seconds_by_cause(self) -> dict[str, float]:
-        """Return where the time from acceptance to the end went, in seconds.
+        """Return the time from acceptance to the end by cause, in seconds.
 
-        A moment counts as useful while a run is under way that ends done;
-        else as the cause for which the runs under way were thrown away; else
-        as not ready, if a line tells so, or as waiting.
+        Time in which a run was active counts as useful if such a run ended as
+        done, else as the cause for which the first such run was lost. Other
+        time counts as not ready if it was logged so, else as waiting.
         """
-        ended_s = self.accepted_s if self.ended_s is None else self.ended_s
-        edges = {self.accepted_s, ended_s}
-        spans = [(run.began_s, run.ended_s) for run in self.runs]
-        for span in (*spans, *self.held):
-            edges.update(
-                edge for edge in span if self.accepted_s < edge < ended_s
+        ended_at_s = (
+            self.accepted_at_s if self.ended_at_s is None else self.ended_at_s
+        )
+        boundaries = {self.accepted_at_s, ended_at_s}
+        run_spans = [(run.started_at_s, run.ended_at_s) for run in self.runs]
+        for span in (*run_spans, *self.not_ready_spans):
+            boundaries.update(
+                time_s
+                for time_s in span
+                if self.accepted_at_s < time_s < ended_at_s
             )
-        spent: dict[str, float] = {}
-        moments = sorted(edges)
-        for began_s, until_s in zip(moments, moments[1:], strict=False):
-            cause = self._cause_at((began_s + until_s) / 2)
-            spent[cause] = spent.get(cause, 0.0) + until_s - began_s
-        return spent
+        seconds: dict[str, float] = {}
+        times_s = sorted(boundaries)
+        for start_s, end_s in zip(times_s, times_s[1:], strict=False):
+            cause = self._cause_at((start_s + end_s) / 2)
+            seconds[cause] = seconds.get(cause, 0.0) + end_s - start_s
+        return seconds
 
     def _cause_at(self, at_s: float) -> str:
         causes = [
-            run.cause for run in self.runs if run.began_s <= at_s < run.ended_s
+            run.cause
+            for run in self.runs
+            if run.started_at_s <= at_s < run.ended_at_s
         ]
         if USEFUL in causes:
             return USEFUL
         if causes:
             return causes[0]
-        held = any(began_s <= at_s < until_s for began_s, until_s in self.held)
-        return NOT_READY if held else WAITING
+        not_ready = any(
+            start_s <= at_s < end_s for start_s, end_s in self.not_ready_spans
+        )
+        return NOT_READY if not_ready else WAITING
 
 
 class Timelines:
-    """All jobs of some logs.
+    """The timelines of all jobs in some logs, by job id.
 
-    :param unread: lines that are cut off or lack a field.
-    :param left_out: lines that the hosts say they did not write.
+    :param malformed_lines: the number of events that lack a field or have one
+        of a wrong type.
+    :param dropped_lines: the number of lines that the hosts report to have
+        dropped instead of writing them.
     """
 
     def __init__(self) -> None:
-        """Start without a line."""
+        """Initialize without jobs."""
         self.jobs: dict[str, JobTimeline] = {}
-        self.unread = 0
-        self.left_out = 0
+        self.malformed_lines = 0
+        self.dropped_lines = 0
 
-    def read(self, lines: Iterable[Line]) -> None:
-        """Take in lines in the order of their times."""
+    def add_lines(self, lines: Iterable[LogLine]) -> None:
+        """Add the events of lines, which are in chronological order."""
         for line in lines:
-            self.left_out += int(line.get('lines_left_out', 0))
+            self.dropped_lines += int(line.get('lines_left_out', 0))
             try:
-                self._read_one(line)
+                self._add_line(line)
             except (LookupError, ValueError, TypeError):
-                self.unread += 1
+                self.malformed_lines += 1
 
     def finished(self) -> Iterator[JobTimeline]:
-        """Yield jobs that ran to their end, cancelled ones left out."""
+        """Yield the jobs that completed or failed, but not cancelled ones."""
         for job in self.jobs.values():
-            if job.ended_s is not None and job.state != 'cancelled':
+            if job.ended_at_s is not None and job.state != 'cancelled':
                 yield job
 
-    def _read_one(self, line: Line) -> None:
+    def _add_line(self, line: LogLine) -> None:
         kind = line['event']
         if kind == 'accepted':
             self.jobs.setdefault(line['job'], JobTimeline(line=line))
-        elif kind in set(readers):
+        elif kind in set(event_handlers):
             job_id = line.get('job') or line['task'].split('.')[0]
             job = self.jobs.get(job_id)
             if job is not None:
-                readers.get(kind)(job, line)
+                event_handlers.get(kind)(job, line)
 
 
-#: What a line of a kind tells of its job.
-readers: Registry[Any] = Registry(concern='event')
+#: Functions that apply an event to its job's timeline, by the event's kind.
+event_handlers: Registry[Any] = Registry(concern='event')
 
 
-@readers.register('placed')
-def _placed(job: JobTimeline, line: Line) -> None:
+@event_handlers.register('placed')
+def _handle_placement(job: JobTimeline, line: LogLine) -> None:
     occurrence = line.get('occurrence', 0)
-    for placed in line['tasks']:
-        rank, worker = placed.split('@')
+    for assignment in line['tasks']:
+        rank, worker = assignment.split('@')
         task = f'{job.job_id}.{occurrence}.{line["step"]}.{rank}'
-        job.begin(task, worker, line['t_s'])
+        job.start_run(task, worker, line['t_s'])
 
 
-@readers.register('not_ready')
-def _not_ready(job: JobTimeline, line: Line) -> None:
-    job.hold(line['t_s'] - line['held_s'], line['t_s'])
+@event_handlers.register('not_ready')
+def _handle_not_ready(job: JobTimeline, line: LogLine) -> None:
+    job.add_not_ready_span(line['t_s'] - line['held_s'], line['t_s'])
 
 
-@readers.register('run_ended')
-def _run_ended(job: JobTimeline, line: Line) -> None:
-    job.end(line['task'], line['t_s'], line['how'])
+@event_handlers.register('run_ended')
+def _handle_run_end(job: JobTimeline, line: LogLine) -> None:
+    job.end_run(line['task'], line['t_s'], line['how'])
 
 
-@readers.register('run_vanished')
-def _run_vanished(job: JobTimeline, line: Line) -> None:
-    job.end(line['task'], line['t_s'], line['reason'])
+@event_handlers.register('run_vanished')
+def _handle_absent_run(job: JobTimeline, line: LogLine) -> None:
+    job.end_run(line['task'], line['t_s'], line['reason'])
 
 
-@readers.register('preempted')
-@readers.register('moved_stalled')
-@readers.register('moved_slow')
-@readers.register('moved_away')
-def _stopped(job: JobTimeline, line: Line) -> None:
-    job.stopped_for[line['task']] = line['event']
+@event_handlers.register('preempted')
+@event_handlers.register('moved_stalled')
+@event_handlers.register('moved_slow')
+@event_handlers.register('moved_away')
+def _handle_stop(job: JobTimeline, line: LogLine) -> None:
+    job.stop_reasons[line['task']] = line['event']
 
 
-@readers.register('job_completed')
-def _completed(job: JobTimeline, line: Line) -> None:
+@event_handlers.register('job_completed')
+def _handle_completion(job: JobTimeline, line: LogLine) -> None:
     job.state = 'completed'
-    job.ended_s = line['t_s']
-    # A gang's end is listed by one of its members for all.
-    for task in list(job.open):
-        job.end(task, line['t_s'], _DONE)
+    job.ended_at_s = line['t_s']
+    # The end of a gang is logged for only one of its members.
+    for task in list(job.open_runs):
+        job.end_run(task, line['t_s'], _DONE)
 
 
-@readers.register('job_ended')
-def _ended(job: JobTimeline, line: Line) -> None:
+@event_handlers.register('job_ended')
+def _handle_job_end(job: JobTimeline, line: LogLine) -> None:
     job.state = line['state']
-    job.ended_s = line['t_s']
+    job.ended_at_s = line['t_s']
 
 
 __all__ = (
--- a/src/curranthill/commands/trace.py
+++ b/src/curranthill/commands/trace.py
@@ -1,4 +1,4 @@
-"""Tells the story of one job from the saved log lines of all hosts."""
+"""``curranthill trace``: the events of one job, from saved logs."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -7,19 +7,19 @@
 
 import typer
 
-from curranthill.commands.formatters import Line, sentences
+from curranthill.commands.formatters import LogLine, event_formatters
 from curranthill.commands.options import FAILED, fail
 
 LogPaths = Annotated[
     list[Path],
-    typer.Argument(help='Saved log files, or folders of them.'),
+    typer.Argument(help='Saved log files, or folders of such files.'),
 ]
 
-#: Kinds of lines of a job that is not at work.
-WAITS: Final = frozenset(('waiting', 'not_ready'))
+#: Events of a job that waits for capacity or is not ready.
+WAIT_EVENTS: Final = frozenset(('waiting', 'not_ready'))
 
-#: The kind of line that tells which workers accept no work.
-UNUSED: Final = 'workers_unused'
+#: The event that names the workers on which nothing can be placed.
+UNUSED_WORKERS_EVENT: Final = 'workers_unused'
 
 
 def trace(
@@ -28,87 +28,97 @@
     *,
     as_json: Annotated[
         bool,
-        typer.Option('--json', help='Print the lines themselves.'),
+        typer.Option('--json', help='Print the log lines as JSON.'),
     ] = False,
 ) -> None:
-    """Tell what happened to one job, in order, over all hosts."""
-    lines = sorted(events_of(logs, job_id), key=_written_s)
+    """Print the events of a job on all hosts, in chronological order."""
+    lines = sorted(read_events(logs, job_id), key=_logged_at_s)
     if not lines:
-        fail(f'No line of these logs names {job_id}.', FAILED)
-    lines.extend(_unused_workers(logs, lines, job_id))
-    lines.sort(key=_written_s)
-    began_s = lines[0]['t_s']
+        fail(f'These logs contain no event of {job_id}.', FAILED)
+    lines.extend(_unused_worker_events(logs, lines, job_id))
+    lines.sort(key=_logged_at_s)
+    first_s = lines[0]['t_s']
     for line in lines:
         if as_json:
             typer.echo(json.dumps(line))
         else:
-            typer.echo(describe_event(line, began_s))
+            typer.echo(describe_event(line, first_s))
 
 
-def describe_event(line: Line, began_s: float) -> str:
-    """Return a line's sentence, with the time since the first line."""
+def describe_event(line: LogLine, first_s: float) -> str:
+    """Return an event's time, host and sentence.
+
+    A kind without a formatter is shown with all its fields, as JSON.
+
+    :param first_s: the time of the first event; times are relative to it.
+    """
     kind = line['event']
     sentence = kind
-    if kind in set(sentences):
-        sentence = sentences.get(kind)(line)
+    if kind in set(event_formatters):
+        sentence = event_formatters.get(kind)(line)
     else:
-        rest = {
-            name: field
-            for name, field in line.items()
+        fields = {
+            name: value
+            for name, value in line.items()
             if name not in {'t_s', 'event', 'host', 'data_centre'}
         }
-        sentence = f'{kind} {json.dumps(rest)}'
-    return f'{line["t_s"] - began_s:9.3f} s  {line["host"]}  {sentence}'
+        sentence = f'{kind} {json.dumps(fields)}'
+    return f'{line["t_s"] - first_s:9.3f} s  {line["host"]}  {sentence}'
 
 
-def _unused_workers(
+def _unused_worker_events(
     logs: Iterable[Path],
-    lines: Iterable[Line],
+    lines: Iterable[LogLine],
     job_id: str,
-) -> list[Line]:
-    """Return what is told of unused workers while a job waits.
+) -> list[LogLine]:
+    """Return the events of unused workers that apply while a job waits.
 
-    It is told when it changes, so what holds at the beginning of the wait is
-    the newest line before.
+    They are logged on changes only, so the newest one from before the first
+    wait holds at its beginning.
     """
-    waits_s = [
+    wait_times_s = [
         line['t_s']
         for line in lines
-        if line['event'] in WAITS and line.get('job') == job_id
+        if line['event'] in WAIT_EVENTS and line.get('job') == job_id
     ]
-    if not waits_s:
+    if not wait_times_s:
         return []
-    found = sorted(
+    unused = sorted(
         (
             line
-            for line in events_of(logs, UNUSED)
-            if line['event'] == UNUSED and line['t_s'] <= max(waits_s)
+            for line in read_events(logs, UNUSED_WORKERS_EVENT)
+            if line['event'] == UNUSED_WORKERS_EVENT
+            and line['t_s'] <= max(wait_times_s)
         ),
-        key=_written_s,
+        key=_logged_at_s,
     )
-    before = [line for line in found if line['t_s'] < min(waits_s)]
-    return found[max(len(before) - 1, 0) :]
+    before = [line for line in unused if line['t_s'] < min(wait_times_s)]
+    return unused[max(len(before) - 1, 0) :]
 
 
-def _written_s(line: Line) -> float:
+def _logged_at_s(line: LogLine) -> float:
     return float(line['t_s'])
 
 
-def events_of(paths: Iterable[Path], named: str) -> Iterator[Line]:
-    """Yield the events of saved logs.
+def read_events(paths: Iterable[Path], substring: str) -> Iterator[LogLine]:
+    """Yield the events of saved logs, file by file.
 
-    :param named: what a line must hold, such as a job's id; empty for all.
+    :param substring: what a line must contain, such as a job's id; empty to
+        yield all events.
     """
     for path in paths:
-        for one in sorted(path.iterdir()) if path.is_dir() else [path]:
-            texts = one.read_text('utf-8', 'replace').splitlines()
+        for file in sorted(path.iterdir()) if path.is_dir() else [path]:
+            texts = file.read_text('utf-8', 'replace').splitlines()
             for text in texts:
-                if named in text:
-                    yield from _event(text)
+                if substring in text:
+                    yield from _parse_event(text)
 
 
-def _event(text: str) -> Iterator[Line]:
-    """Yield the event, if the text is one; a cut-off line is not."""
+def _parse_event(text: str) -> Iterator[LogLine]:
+    """Yield the event of a line, unless the line is truncated or other text.
+
+    Text before the first brace is skipped.
+    """
     start = max(text.find('{'), 0)
     try:
         line = json.loads(text[start:])
@@ -118,4 +128,4 @@
         yield line
 
 
-__all__ = ('describe_event', 'events_of', 'sentences', 'trace')
+__all__ = ('describe_event', 'event_formatters', 'read_events', 'trace')
--- a/src/curranthill/commands/wait_details.py
+++ b/src/curranthill/commands/wait_details.py
@@ -1,10 +1,10 @@
-"""Parts of the sentences of jobs that wait."""
+"""Formats details of the events of waiting and blocked jobs."""
 
 from typing import Any
 
 
-def workers_of(line: dict[str, Any]) -> str:
-    """Return what the workers are; lines of earlier releases don't tell."""
+def format_worker_counts(line: dict[str, Any]) -> str:
+    """Format the worker counts of a line, which older releases omit."""
     if 'workers_usable' not in line:
         return ''
     return (
@@ -14,25 +14,25 @@
     )
 
 
-def held_task(held: dict[str, Any]) -> str:
-    """Return what holds one task, and what is amiss with its worker."""
-    worker = [
-        '' if held['tracked'] else 'no such run there',
-        '' if held['listed'] else 'not listed',
-        '' if held['reachable'] else 'unreachable',
-        '' if held['synced'] else 'not synced',
-        'gone' if held['gone'] else '',
+def format_blocking_task(task: dict[str, Any]) -> str:
+    """Format a task that blocks its job, with the problems of its worker."""
+    problems = [
+        '' if task['tracked'] else 'run not tracked',
+        '' if task['listed'] else 'not listed',
+        '' if task['reachable'] else 'unreachable',
+        '' if task['synced'] else 'not synced',
+        'removed' if task['gone'] else '',
     ]
-    amiss = ', '.join(filter(None, worker))
-    known = f' for {held["held_s"]} s' if held['held_s'] else ''
-    stop = ', to be stopped' if held['stop_wanted'] else ''
-    at_worker = f' at {held["worker"]}' if held['worker'] else ''
-    if at_worker and amiss:
-        at_worker = f'{at_worker}: {amiss}'
+    worker_state = ', '.join(filter(None, problems))
+    duration = f' for {task["held_s"]} s' if task['held_s'] else ''
+    stop = ', to be stopped' if task['stop_wanted'] else ''
+    on_worker = f' on {task["worker"]}' if task['worker'] else ''
+    if on_worker and worker_state:
+        on_worker = f'{on_worker}: {worker_state}'
     return (
-        f'{held["task"]} attempt {held["attempt"]} '
-        f'{held["state"]}{known}{stop}{at_worker}'
+        f'{task["task"]} attempt {task["attempt"]} '
+        f'{task["state"]}{duration}{stop}{on_worker}'
     )
 
 
-__all__ = ('held_task', 'workers_of')
+__all__ = ('format_blocking_task', 'format_worker_counts')
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where jobs' time went, from the logs of several hosts."""
+"""``curranthill losses``: jobs' time and lost work, from hosts' logs."""
 
 import json
 import tempfile
@@ -28,7 +28,7 @@
 
 
 def lines() -> list[dict[str, Any]]:
-    """Return the life of a gang of two that was stopped once."""
+    """Return the events of a gang of two that was preempted once."""
     return [
         line(
             1.5,
@@ -52,23 +52,23 @@
 
 
 class TimelineTest(unittest.TestCase):
-    """One job's time, moment by moment."""
+    """The time of one job by its causes."""
 
-    def test_each_moment_has_one_cause(self) -> None:
-        """It waits, runs in vain, waits again and runs to its end."""
+    def test_all_time_has_one_cause(self) -> None:
+        """The job waits, is preempted, waits again and completes."""
         timelines = Timelines()
-        timelines.read(lines())
+        timelines.add_lines(lines())
         job = timelines.jobs[JOB]
-        spent = job.seconds_by_cause()
-        self.assertAlmostEqual(spent[WAITING], 1.0 + 1.4)
-        self.assertAlmostEqual(spent['preempted'], 0.6)
-        self.assertAlmostEqual(spent[USEFUL], 2.0)
+        seconds = job.seconds_by_cause()
+        self.assertAlmostEqual(seconds[WAITING], 1.0 + 1.4)
+        self.assertAlmostEqual(seconds['preempted'], 0.6)
+        self.assertAlmostEqual(seconds[USEFUL], 2.0)
         self.assertAlmostEqual(job.late_s, 0.0)
 
-    def test_a_stop_without_a_reason_came_with_the_gang(self) -> None:
-        """Only one member was chosen; both took 12 cores for 0.6 s."""
+    def test_a_stop_without_a_reason_is_that_of_a_gang_member(self) -> None:
+        """One of two members is preempted; each used 12 cores for 0.6 s."""
         timelines = Timelines()
-        timelines.read(lines())
+        timelines.add_lines(lines())
         lost = [run for run in timelines.jobs[JOB].runs if run.cause != USEFUL]
         self.assertEqual(
             {run.task: run.cause for run in lost},
@@ -76,31 +76,36 @@
         )
         self.assertAlmostEqual(sum(run.core_s for run in lost), 2 * 12 * 0.6)
 
-    def test_time_in_which_it_was_not_ready_is_told_apart(self) -> None:
-        """Of 1.4 s between two runs 1 s, told twice; while it ran, none."""
+    def test_time_in_which_a_job_was_not_ready_is_shown_apart(self) -> None:
+        """It is 1 s before the first run and 1 of 1.4 s between the runs.
+
+        It is logged twice, and counts only while no run is active.
+        """
         timelines = Timelines()
-        held = [
+        not_ready = [
             line(3.0, 'not_ready', job=JOB, held_s=2.0),
             line(3.6, 'not_ready', job=JOB, held_s=2.6),
         ]
-        timelines.read(sorted([*lines(), *held], key=lambda one: one['t_s']))
-        spent = timelines.jobs[JOB].seconds_by_cause()
-        self.assertAlmostEqual(spent[NOT_READY], 1.0 + 1.0)
-        self.assertAlmostEqual(spent[WAITING], 0.4)
-        self.assertAlmostEqual(spent['preempted'], 0.6)
-
-    def test_lines_without_their_fields_are_counted(self) -> None:
-        """They change nothing else."""
+        timelines.add_lines(
+            sorted([*lines(), *not_ready], key=lambda event: event['t_s'])
+        )
+        seconds = timelines.jobs[JOB].seconds_by_cause()
+        self.assertAlmostEqual(seconds[NOT_READY], 1.0 + 1.0)
+        self.assertAlmostEqual(seconds[WAITING], 0.4)
+        self.assertAlmostEqual(seconds['preempted'], 0.6)
+
+    def test_lines_that_lack_fields_are_counted(self) -> None:
+        """They have no other effect."""
         timelines = Timelines()
-        broken = [line(0.5, 'accepted', job='other'), line(7.0, 'placed')]
-        timelines.read([*lines(), *broken])
-        self.assertEqual(timelines.unread, 2)
-        self.assertEqual(timelines.left_out, 3)
+        malformed = [line(0.5, 'accepted', job='other'), line(7.0, 'placed')]
+        timelines.add_lines([*lines(), *malformed])
+        self.assertEqual(timelines.malformed_lines, 2)
+        self.assertEqual(timelines.dropped_lines, 3)
         self.assertEqual(list(timelines.jobs), [JOB])
 
 
 class CommandTest(unittest.TestCase):
-    """``curranthill losses``."""
+    """The output of the command."""
 
     def run_command(self, text: str, *options: str) -> tuple[int, str]:
         """Return the exit code and the output for one log file."""
@@ -109,8 +114,8 @@
             result = CliRunner().invoke(app, ['losses', folder, *options])
         return result.exit_code, result.stdout
 
-    def test_jobs_are_summed_up_by_queue(self) -> None:
-        """With the seconds a job by cause; a cut-off line is passed over."""
+    def test_jobs_are_grouped_by_queue(self) -> None:
+        """Their mean time has its causes; a truncated line is ignored."""
         text = '\n'.join(map(json.dumps, lines()))
         code, output = self.run_command(f'{text}\n{{"t_s": 9, "ev', '--json')
         self.assertEqual(code, 0)
@@ -122,7 +127,7 @@
         self.assertAlmostEqual(row['waiting'], 2.4)
         self.assertEqual(row['lost core-s'], 14)
 
-    def test_logs_without_a_job_are_said_so(self) -> None:
-        """With exit code 1."""
+    def test_logs_without_a_job_are_an_error(self) -> None:
+        """The exit code is 1."""
         code, _ = self.run_command('no event')
         self.assertEqual(code, 1)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The story of one job, from the logs of several hosts."""
+"""``curranthill trace``: the events of one job, from several hosts' logs."""
 
 import json
 import tempfile
@@ -19,10 +19,10 @@
 
 
 class TraceTest(unittest.TestCase):
-    """``curranthill trace``."""
+    """The output of the command."""
 
     def trace(self, *options: str) -> list[str]:
-        """Return what is printed for one job in two hosts' logs."""
+        """Return the output for a job that two hosts logged, by lines."""
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / 'h2.log').write_text(
                 '\n'.join(
@@ -70,25 +70,27 @@
         self.assertEqual(result.exit_code, 0, result.output)
         return result.output.splitlines()
 
-    def test_lines_of_all_hosts_are_told_in_order(self) -> None:
-        """A sentence each, with the time since the first."""
-        told = self.trace()
-        self.assertEqual(len(told), 4)
-        self.assertIn('h1  accepted for queue q', told[0])
-        self.assertIn('1.000 s  h2  step 0 placed as attempt 1', told[1])
-        self.assertIn('ended failed at w1', told[2])
-        self.assertIn('ended as failed', told[3])
+    def test_events_of_all_hosts_are_printed_in_chronological_order(
+        self,
+    ) -> None:
+        """Each is a sentence, with the time since the first event."""
+        output = self.trace()
+        self.assertEqual(len(output), 4)
+        self.assertIn('h1  accepted for queue q', output[0])
+        self.assertIn('1.000 s  h2  step 0 placed as attempt 1', output[1])
+        self.assertIn('attempt 1 ended on w1: failed', output[2])
+        self.assertIn('ended as failed', output[3])
 
-    def test_the_lines_themselves_can_be_had(self) -> None:
-        """For other programs."""
-        kinds = [json.loads(one)['event'] for one in self.trace('--json')]
+    def test_events_are_printed_as_json(self) -> None:
+        """Programs read them by this option."""
+        kinds = [json.loads(event)['event'] for event in self.trace('--json')]
         self.assertEqual(
             kinds,
             ['accepted', 'placed', 'run_ended', 'job_ended'],
         )
 
-    def test_a_wait_is_told_with_what_it_is_for(self) -> None:
-        """Why it is not ready, for whom room is kept, who is unused."""
+    def test_a_waiting_job_is_shown_with_its_reasons(self) -> None:
+        """What blocks it, whose reservation it waits for, unused workers."""
         held = {
             'task': f'{JOB}.0.0.1',
             'attempt': 2,
@@ -142,24 +144,26 @@
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / 'h2.log').write_text('\n'.join(logs), 'utf-8')
             result = CliRunner().invoke(app, ['trace', JOB, folder])
-        told = result.output.splitlines()
-        self.assertEqual(len(told), 3, result.output)
+        output = result.output.splitlines()
+        self.assertEqual(len(output), 3, result.output)
         self.assertIn(
             '2 of 24 listed workers are unused: unreachable (w1, w2)',
-            told[0],
+            output[0],
         )
-        self.assertIn('kept for others (b2)', told[1])
-        self.assertIn('of 24 workers 22 usable, 3 empty, 2 with a', told[1])
-        self.assertIn('is not ready for 6.0 s: held by a run that', told[2])
+        self.assertIn('kept for others (b2)', output[1])
+        self.assertIn('of 24 workers 22 usable, 3 empty, 2 with a', output[1])
         self.assertIn(
-            'attempt 2 unknown for 4.0 s, to be stopped at w1: '
-            'no such run there, unreachable, not synced) and 2 more',
-            told[2],
+            'has not been ready for 6.0 s: blocked by a run that', output[2]
         )
-        self.assertIn('1 later steps wait for it', told[2])
+        self.assertIn(
+            'attempt 2 unknown for 4.0 s, to be stopped on w1: '
+            'run not tracked, unreachable, not synced) and 2 more',
+            output[2],
+        )
+        self.assertIn('1 later steps wait for it', output[2])
 
-    def test_an_unknown_job_is_said_so(self) -> None:
-        """With exit code 1."""
+    def test_an_unknown_job_is_an_error(self) -> None:
+        """The exit code is 1."""
         with tempfile.TemporaryDirectory() as folder:
             result = CliRunner().invoke(app, ['trace', JOB, folder])
         self.assertEqual(result.exit_code, 1)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -342,7 +342,10 @@
             self.assertEqual(line['reason'], 'too late')
             self.assertGreater(line['expected_wait_s'], 90.0)
             self.assertLess(line['outlook_age_s'], 2.5)
-            self.assertIn('turned away: too late', describe_event(line, 0.0))
+            self.assertIn(
+                'refused by load shedding: too late; expected wait ',
+                describe_event(line, 0.0),
+            )
 
         in_domain(case, workers=4, run_s=RUN_S)
 
