--- a/src/curranthill/commands/configuration.py
+++ b/src/curranthill/commands/configuration.py
@@ -1,4 +1,4 @@
-"""``curranthill config``: check, merge, compare, apply, look back."""
+"""``curranthill config``: validates, compares and applies folders."""
 
 import asyncio
 import getpass
@@ -12,11 +12,11 @@
 from curranthill.clock import SystemClock
 from curranthill.commands.daemons import (
     EPILOG,
-    FAILED,
+    EXIT_FAILURE,
     fail,
-    settings_or_exit,
+    read_settings_or_exit,
 )
-from curranthill.commands.tables import show_table
+from curranthill.commands.tables import print_table
 from curranthill.configuration import (
     Json,
     RevisionStore,
@@ -31,7 +31,7 @@
 from curranthill.storage import platforms
 
 app = typer.Typer(
-    help='Check, merge, compare and apply the configuration folder.',
+    help='Validate, merge, compare and apply configuration folders.',
     epilog=EPILOG,
     no_args_is_help=True,
     rich_markup_mode=None,
@@ -40,7 +40,7 @@
 FolderPath = Annotated[Path, typer.Argument(help='The configuration folder.')]
 OperatorPath = Annotated[
     Path,
-    typer.Option('--settings', help="The operators' settings file."),
+    typer.Option('--settings', help="The operator's settings file."),
 ]
 AsJson = Annotated[bool, typer.Option('--json', help='Print JSON.')]
 
@@ -49,13 +49,13 @@
 
 @app.command(epilog=EPILOG)
 def check(folder: FolderPath) -> None:
-    """Check a folder: each file, the merge and all cross checks."""
-    merged = _merged(folder)
+    """Validate a folder: each file, the merge and all checks across files."""
+    merged = _merge_or_exit(folder)
     try:
         checked(merged)
     except CurranthillError as error:
         fail(error.message)
-    typer.echo('The folder is in order.')
+    typer.echo('The folder is valid.')
 
 
 @app.command('merge', epilog=EPILOG)
@@ -64,11 +64,11 @@
     *,
     digest: Annotated[
         bool,
-        typer.Option('--digest', help="Print the merge's SHA-256 instead."),
+        typer.Option('--digest', help="Print the document's SHA-256 instead."),
     ] = False,
 ) -> None:
     """Print the merged document as canonical JSON."""
-    content = canonical_json(_merged(folder))
+    content = canonical_json(_merge_or_exit(folder))
     typer.echo(digest_of(content) if digest else content.decode())
 
 
@@ -79,16 +79,16 @@
     *,
     as_json: AsJson = False,
 ) -> None:
-    """Show which values differ between a folder and what is in force."""
-    merged = _merged(folder)
+    """Show how a folder differs from the revision in force."""
+    merged = _merge_or_exit(folder)
 
-    async def in_force(store: RevisionStore) -> Json:  # noqa: WPS430
+    async def read_in_force(store: RevisionStore) -> Json:  # noqa: WPS430
         manifest = await store.manifest()
         return await store.document(manifest) if manifest.revision else {}
 
-    before = _with_store(settings, in_force)
+    before = _run_with_store(settings, read_in_force)
     rows = _differences(before, merged, '')
-    show_table(('path', 'in_force', 'folder'), rows, as_json=as_json)
+    print_table(('path', 'in_force', 'folder'), rows, as_json=as_json)
 
 
 @app.command(epilog=EPILOG)
@@ -96,8 +96,8 @@
     file: Annotated[Path, typer.Argument(help='The file to add or replace.')],
     settings: OperatorPath,
 ) -> None:
-    """Put one file of the folder in force, under its own name."""
-    _change(settings, {file.name: _content(file)})
+    """Add or replace one file, under its own name, and put it in force."""
+    _apply_change(settings, {file.name: _read_file_or_exit(file)})
 
 
 @app.command(epilog=EPILOG)
@@ -105,14 +105,14 @@
     name: Annotated[str, typer.Argument(help='The name of the file.')],
     settings: OperatorPath,
 ) -> None:
-    """Take one file of the folder out of force."""
-    _change(settings, {name: None})
+    """Remove one file from the configuration in force."""
+    _apply_change(settings, {name: None})
 
 
 @app.command(epilog=EPILOG)
 def apply(folder: FolderPath, settings: OperatorPath) -> None:
-    """Put a whole folder in force; files that it lacks are removed."""
-    contents = _read(folder)
+    """Put a folder in force as a whole; files that it lacks are removed."""
+    contents = _read_or_exit(folder)
 
     async def replace(store: RevisionStore) -> int:  # noqa: WPS430
         manifest = await store.manifest()
@@ -121,14 +121,14 @@
         applied = await store.change(change, getpass.getuser())
         return applied.revision
 
-    typer.echo(f'Revision {_with_store(settings, replace)} is in force.')
+    typer.echo(f'Revision {_run_with_store(settings, replace)} is in force.')
 
 
 @app.command(epilog=EPILOG)
 def history(settings: OperatorPath, *, as_json: AsJson = False) -> None:
-    """List every revision: when, by whom, which merge."""
+    """List all revisions with their time, author and digest."""
 
-    async def listed(store: RevisionStore) -> list[Any]:  # noqa: WPS430
+    async def read_rows(store: RevisionStore) -> list[Any]:  # noqa: WPS430
         return [
             (
                 manifest.revision,
@@ -143,33 +143,35 @@
             for manifest in await store.history()
         ]
 
-    show_table(
+    print_table(
         ('revision', 'applied_utc', 'author', 'files', 'digest'),
-        _with_store(settings, listed),
+        _run_with_store(settings, read_rows),
         as_json=as_json,
     )
 
 
-def _change(settings: Path, change: dict[str, bytes | None]) -> None:
-    async def put(store: RevisionStore) -> int:  # noqa: WPS430
+def _apply_change(settings: Path, change: dict[str, bytes | None]) -> None:
+    async def apply_change(store: RevisionStore) -> int:  # noqa: WPS430
         applied = await store.change(change, getpass.getuser())
         return applied.revision
 
-    typer.echo(f'Revision {_with_store(settings, put)} is in force.')
+    typer.echo(
+        f'Revision {_run_with_store(settings, apply_change)} is in force.'
+    )
 
 
-def _with_store(
+def _run_with_store(
     path: Path,
-    work: Callable[[RevisionStore], Awaitable[Result]],
+    operation: Callable[[RevisionStore], Awaitable[Result]],
 ) -> Result:
-    settings = settings_or_exit(OperatorSettings, path)
+    settings = read_settings_or_exit(OperatorSettings, path)
 
     async def run() -> Result:  # noqa: WPS430
         platform = platforms.get(settings.platform.client)(
             settings.platform.url,
         )
         try:
-            return await work(
+            return await operation(
                 RevisionStore(platform=platform, clock=SystemClock()),
             )
         finally:
@@ -181,7 +183,7 @@
         fail(str(error))
 
 
-def _read(folder: Path) -> dict[str, bytes]:
+def _read_or_exit(folder: Path) -> dict[str, bytes]:
     try:
         read = read_folder(folder)
     except CurranthillError as error:
@@ -191,22 +193,25 @@
     return read.contents
 
 
-def _merged(folder: Path) -> Json:
-    contents = _read(folder)
+def _merge_or_exit(folder: Path) -> Json:
+    contents = _read_or_exit(folder)
     try:
         return merge(contents)
     except CurranthillError as error:
         fail(error.message)
 
 
-def _content(path: Path) -> bytes:
+def _read_file_or_exit(path: Path) -> bytes:
     folder = path.resolve().parent
     try:
         read = read_folder(folder)
     except CurranthillError as error:
         fail(error.message)
     if path.name not in read.contents:
-        fail(f'{path.name} is no file that a folder takes.', FAILED)
+        fail(
+            f'{path.name} is not a file that configuration folders accept.',
+            EXIT_FAILURE,
+        )
     return read.contents[path.name]
 
 
@@ -224,10 +229,10 @@
         return rows
     if before == after:
         return []
-    return [(path, _brief(before), _brief(after))]
+    return [(path, _format_value(before), _format_value(after))]
 
 
-def _brief(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return '-' if value is None else canonical_json(value).decode()
 
 
--- a/src/curranthill/commands/daemons.py
+++ b/src/curranthill/commands/daemons.py
@@ -1,4 +1,4 @@
-"""What the daemons' command lines have in common."""
+"""Shared parts of the daemons' command lines."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,10 +12,10 @@
 
 from curranthill.application import Application
 from curranthill.commands.options import (
-    DONE,
     EPILOG,
-    FAILED,
-    WRONG_USE,
+    EXIT_FAILURE,
+    EXIT_SUCCESS,
+    EXIT_USAGE_ERROR,
     CheckOnly,
     Version,
     fail,
@@ -31,85 +31,97 @@
 Settings = TypeVar('Settings')
 
 
-def settings_or_exit(record: type[Settings], path: Path) -> Settings:
-    """Return checked settings; print every fault and end if there are any."""
+def read_settings_or_exit(
+    settings_type: type[Settings], path: Path
+) -> Settings:
+    """Return validated settings, or print all validation errors and exit."""
     try:
-        return read_settings(record, path)
+        return read_settings(settings_type, path)
     except CurranthillError as error:
-        fail(error.message, WRONG_USE)
+        fail(error.message, EXIT_USAGE_ERROR)
 
 
 class DaemonSettings(Protocol):
-    """What every daemon's settings have in common."""
+    """The settings that all daemons have."""
 
     @property
     def host(self) -> HostSettings:
-        """Return where the daemon runs."""
+        """Return the host on which the daemon runs."""
 
     @property
     def logs(self) -> LogSettings:
-        """Return how its log lines look."""
+        """Return the style and the level of its log."""
 
     @property
     def metrics_port(self) -> int:
-        """Return where its metrics can be pulled; 0 means nowhere."""
+        """Return the port that serves its metrics; 0 disables it."""
 
 
-Daemon = TypeVar('Daemon', bound=DaemonSettings)
+DaemonRecord = TypeVar('DaemonRecord', bound=DaemonSettings)
 
 
 def run_from_file(
     path: Path,
-    record_type: type[Daemon],
-    make: Callable[[Daemon], Application],
+    settings_type: type[DaemonRecord],
+    create_application: Callable[[DaemonRecord], Application],
     *,
     role: str,
     check_only: bool,
 ) -> None:
-    """Run a daemon by its settings file, or only check the file."""
-    settings = settings_or_exit(record_type, path)
+    """Run a daemon with a settings file, or only validate the file.
+
+    :param create_application: creates the daemon from its settings.
+    :param role: the role of the process, for its name in the log.
+    """
+    settings = read_settings_or_exit(settings_type, path)
     if check_only:
-        typer.echo('The settings are in order.')
+        typer.echo('The settings are valid.')
         return
     if settings.metrics_port:
         provide(PrometheusMetricReader())
         start_http_server(settings.metrics_port, addr=settings.host.address)
     run_daemon(
-        lambda: make(settings),
+        lambda: create_application(settings),
         name=f'{settings.host.name}/{role}',
         logs=settings.logs,
     )
 
 
 def run_daemon(
-    make: Callable[[], Application],
+    create_application: Callable[[], Application],
     *,
     name: str,
     logs: LogSettings,
 ) -> None:
-    """Run a daemon until SIGTERM."""
+    """Run a daemon until SIGTERM.
+
+    :param create_application: is called in the event loop.
+    :param name: the name of the process in the log.
+    """
     configure_logs(style=logs.style, level=logs.level, process=name)
     try:
-        uvloop.run(_run(make))
+        uvloop.run(_run_application(create_application))
     except CurranthillError as error:
         logger.bind(step=error.step, peer=error.peer).error(error.message)
-        raise typer.Exit(FAILED) from error
+        raise typer.Exit(EXIT_FAILURE) from error
 
 
-async def _run(make: Callable[[], Application]) -> None:
-    await make().run()
+async def _run_application(
+    create_application: Callable[[], Application],
+) -> None:
+    await create_application().run()
 
 
 __all__ = (
-    'DONE',
     'EPILOG',
-    'FAILED',
-    'WRONG_USE',
+    'EXIT_FAILURE',
+    'EXIT_SUCCESS',
+    'EXIT_USAGE_ERROR',
     'CheckOnly',
     'SettingsPath',
     'Version',
     'fail',
+    'read_settings_or_exit',
     'run_daemon',
     'run_from_file',
-    'settings_or_exit',
 )
--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -1,4 +1,4 @@
-"""The demo: both example deployments, embedded, in one process."""
+"""``curranthill demo``: deployments that run in this process."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 from curranthill.application import Application
 from curranthill.clock import SystemClock
-from curranthill.commands.standin import sites_of
+from curranthill.commands.standin import site_entries
 from curranthill.configuration import (
     ConfigurationDocument,
     RevisionStore,
@@ -34,12 +34,18 @@
 from curranthill.standin import StandinServer
 
 _HOST: Final = '127.0.0.1'
-_READY_S: Final = 20.0
-_JOB_S: Final = 30.0
+_READY_TIMEOUT_S: Final = 20.0
+_JOB_TIMEOUT_S: Final = 30.0
 
 
 class DemoRow(NamedTuple):
-    """What happened to one request of the demo."""
+    """The outcome of one request of the demo.
+
+    :param data_centre: where its job ran; of a quick request, its worker.
+    :param state: the state of the job, ``answered`` for a quick request, or the
+        HTTP status of an error; ``wrong result`` if it is that of another job.
+    :param completion_s: from the request to its result.
+    """
 
     workspace: str
     kind: str
@@ -50,7 +56,12 @@
 
 
 class DemoReport(NamedTuple):
-    """One deployment's demo."""
+    """The outcome of the demo of one deployment.
+
+    :param rows: one of each request.
+    :param fragmentation: the share of free slots that gangs cannot use, by
+        gang size, 1 s after the requests were sent.
+    """
 
     deployment: str
     rows: tuple[DemoRow, ...]
@@ -58,26 +69,26 @@
 
 
 class Deployment:
-    """One deployment embedded in this process.
+    """A deployment whose daemons and stand-ins run in this process.
 
     :param folder: its configuration folder.
     """
 
     def __init__(self, *, folder: Path) -> None:
-        """Read the folder; nothing runs yet."""
+        """Initialize from the folder, without starting anything."""
         self.name = folder.parent.name
         self.contents = read_folder(folder).contents
         self.document: ConfigurationDocument = checked(merge(self.contents))
         self.standin = StandinServer(
             clock=SystemClock(),
-            sites=sites_of(self.document),
+            sites=site_entries(self.document),
         )
         self.schedulers: list[SchedulerDaemon] = []
         self.gateways: list[GatewayDaemon] = []
         self._apps: list[Application] = []
 
     async def start(self) -> None:
-        """Start the stand-ins, apply the folder, start every daemon."""
+        """Start the stand-ins and all daemons, then apply the folder."""
         await self.standin.start(_HOST)
         url = f'http://{_HOST}:{self.standin.port}'
         platform = PlatformSettings(url=url)
@@ -113,13 +124,13 @@
         await self._wait_ready()
 
     async def stop(self) -> None:
-        """Stop every daemon, then the stand-ins."""
+        """Stop all daemons, then the stand-ins."""
         for app in reversed(self._apps):
             await app.stop()
         await self.standin.stop()
 
     def url(self, number: int) -> str:
-        """Return the callers' URL of one gateway, in turns."""
+        """Return the callers' URL of a gateway, chosen by round-robin."""
         gateway = self.gateways[number % len(self.gateways)]
         assert gateway.server is not None  # noqa: S101
         return f'http://{_HOST}:{gateway.server.port}'
@@ -136,41 +147,44 @@
         await store.change(self.contents, 'demo')
 
     async def _wait_ready(self) -> None:
-        """Wait until each data centre has a leader and the revision."""
-        until_s = time.monotonic() + _READY_S
-        while time.monotonic() < until_s:
-            led = all(
+        """Wait until each data centre has a leader and the revision.
+
+        After the timeout it returns without an error all the same.
+        """
+        deadline_s = time.monotonic() + _READY_TIMEOUT_S
+        while time.monotonic() < deadline_s:
+            have_leaders = all(
                 scheduler.leader and scheduler.leader.term
                 for scheduler in self.schedulers
             )
-            informed = all(
+            have_revision = all(
                 gateway.node.configuration.revision
                 and gateway.node.view.alive('scheduler')
                 for gateway in self.gateways
             )
-            if led and informed:
+            if have_leaders and have_revision:
                 return
             await asyncio.sleep(0.1)
 
 
 async def run_demo(folders: list[Path]) -> list[DemoReport]:
-    """Run the demo of each deployment and return what happened."""
+    """Run the demo of each deployment and return the outcomes."""
     os.environ.setdefault(KEY_VARIABLE, 'demo-key')
     reports: list[DemoReport] = []
     for folder in folders:
         deployment = Deployment(folder=folder)
         await deployment.start()
         try:
-            reports.append(await _exercise(deployment))
+            reports.append(await _run_requests(deployment))
         finally:
             await deployment.stop()
     return reports
 
 
-async def _exercise(deployment: Deployment) -> DemoReport:
-    """Ask for each kind once for each workspace, all at the same time."""
+async def _run_requests(deployment: Deployment) -> DemoReport:
+    """Request each kind once for each workspace, all concurrently."""
     document = deployment.document
-    asked = [
+    requests = [
         (number, workspace, kind_name)
         for number, (workspace, kind_name) in enumerate(
             (workspace, kind_name)
@@ -179,23 +193,23 @@
         )
     ]
     async with aiohttp.ClientSession() as session:
-        work = asyncio.gather(
+        pending_rows = asyncio.gather(
             *(
-                _ask(session, deployment, number, workspace, kind_name)
-                for number, workspace, kind_name in asked
+                _send_request(session, deployment, number, workspace, kind_name)
+                for number, workspace, kind_name in requests
             ),
         )
         await asyncio.sleep(1)
-        seen = deployment.standin.free_by_rack()
-        rows = await work
+        free_slots = deployment.standin.free_by_rack()
+        rows = await pending_rows
     return DemoReport(
         deployment=deployment.name,
         rows=tuple(rows),
-        fragmentation=fragmentation(seen),
+        fragmentation=fragmentation(free_slots),
     )
 
 
-async def _ask(
+async def _send_request(
     session: aiohttp.ClientSession,
     deployment: Deployment,
     number: int,
@@ -211,19 +225,19 @@
         'Deadline-S': '30',
     }
     run_s = 0.05 if kind.lane == 'quick' else 1.5
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     async with session.post(
         f'{url}/v1/workspaces/{workspace}/kinds/{kind_name}/requests',
         headers=headers,
         json={'run_s': run_s, 'of': kind_name},
-    ) as reply:
-        answer: dict[str, Any] = json.loads(await reply.read())
-        status = reply.status
+    ) as response:
+        body: dict[str, Any] = json.loads(await response.read())
+        status = response.status
     state, place = str(status), ''
     if status == 202:  # noqa: WPS432
-        state, place = await _follow(session, url, headers, answer['id'])
+        state, place = await _wait_for_result(session, url, headers, body['id'])
     elif status == 200:  # noqa: WPS432
-        state, place = 'answered', str(answer['worker'])
+        state, place = 'answered', str(body['worker'])
     shape = document.shapes.get(kind.shape)
     return DemoRow(
         workspace=workspace,
@@ -231,28 +245,28 @@
         accelerators=shape.accelerators if shape else 1,
         data_centre=place,
         state=state,
-        completion_s=time.monotonic() - begun_s,
+        completion_s=time.monotonic() - started_s,
     )
 
 
-async def _follow(
+async def _wait_for_result(
     session: aiohttp.ClientSession,
     url: str,
     headers: dict[str, str],
     job_id: str,
 ) -> tuple[str, str]:
-    """Wait for a job and fetch its result; return its state and place."""
+    """Wait for a job and its result; return its state and data centre."""
     async with session.get(
-        f'{url}/v1/jobs/{job_id}?wait_s={_JOB_S}',
+        f'{url}/v1/jobs/{job_id}?wait_s={_JOB_TIMEOUT_S}',
         headers=headers,
-    ) as reply:
-        job: dict[str, Any] = await reply.json()
+    ) as response:
+        job: dict[str, Any] = await response.json()
     if job.get('state') == 'finished':
         async with session.get(
             f'{url}/v1/jobs/{job_id}/result',
             headers=headers,
-        ) as reply:
-            result: dict[str, Any] = await reply.json()
+        ) as response:
+            result: dict[str, Any] = await response.json()
         if result['job'] != job_id:
             return 'wrong result', job['data_centre']
     return str(job.get('state', job)), str(job.get('data_centre', ''))
--- a/src/curranthill/commands/gateway.py
+++ b/src/curranthill/commands/gateway.py
@@ -26,14 +26,14 @@
     run_from_file(
         settings,
         GatewaySettings,
-        lambda record: GatewayDaemon(settings=record).app,
+        lambda validated: GatewayDaemon(settings=validated).app,
         role='gateway',
         check_only=check_settings,
     )
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
--- a/src/curranthill/commands/host.py
+++ b/src/curranthill/commands/host.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from curranthill.commands.options import EPILOG, WRONG_USE, Version, fail
+from curranthill.commands.options import EPILOG, EXIT_USAGE_ERROR, Version, fail
 from curranthill.errors import SettingsError
 from curranthill.placement import mechanisms, validate_mechanisms
 from curranthill.platform import PATH_VARIABLE, read_platform_settings
@@ -19,35 +19,39 @@
 def run(
     settings: Annotated[
         Path | None,
-        typer.Option(help=f"The platform's settings; else {PATH_VARIABLE}."),
+        typer.Option(
+            help=f"The platform's settings file; default: ${PATH_VARIABLE}.",
+        ),
     ] = None,
     *,
     check_settings: Annotated[
         bool,
-        typer.Option('--check-settings', help='Check the settings and end.'),
+        typer.Option(
+            '--check-settings', help='Validate the settings and exit.'
+        ),
     ] = False,
     without: Annotated[
         list[str] | None,
         typer.Option(
-            help=f'Switch a mechanism off: {", ".join(mechanisms)}.',
+            help=f'Disable a mechanism: {", ".join(mechanisms)}.',
         ),
     ] = None,
     version: Version = False,
 ) -> None:
     """Run an entry host until SIGTERM, then stop gracefully."""
-    read = partial(read_platform_settings, settings or settings_path())
+    read_settings = partial(read_platform_settings, settings or settings_path())
     try:
-        read()
-        switched_off = validate_mechanisms(without or ())
+        read_settings()
+        disabled = validate_mechanisms(without or ())
     except SettingsError as error:
-        fail(error.message, WRONG_USE)
+        fail(error.message, EXIT_USAGE_ERROR)
     if check_settings:
         return
-    run_host(read, disabled=switched_off)
+    run_host(read_settings, disabled=disabled)
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -9,8 +9,13 @@
 
 from curranthill.clock import SystemClock
 from curranthill.commands.configuration import AsJson, OperatorPath
-from curranthill.commands.daemons import EPILOG, FAILED, fail, settings_or_exit
-from curranthill.commands.tables import show_table
+from curranthill.commands.daemons import (
+    EPILOG,
+    EXIT_FAILURE,
+    fail,
+    read_settings_or_exit,
+)
+from curranthill.commands.tables import print_table
 from curranthill.errors import CurranthillError, PeerError
 from curranthill.jobs import JobStore, birth_of
 from curranthill.protocol import Channels, inner_pb2
@@ -19,13 +24,14 @@
 from curranthill.storage import Platform, platforms
 
 CALL_TIMEOUT_S = 2.0
+#: Statuses of a member, by their numbers in the inner protocol.
 _STATUSES = ('alive', 'suspect', 'dead', 'left')
 
 Result = TypeVar('Result')
 
 
-class Tools(NamedTuple):
-    """What the operators' commands work with."""
+class OperatorContext(NamedTuple):
+    """The settings and clients of an operator's command."""
 
     settings: OperatorSettings
     platform: Platform
@@ -33,15 +39,15 @@
 
 
 def register(app: typer.Typer) -> None:
-    """Add the commands of this module to the operators' command."""
+    """Add the commands of this module to an application."""
     for command in (status, jobs, explain, drain):
         app.command(epilog=EPILOG)(command)
 
 
 def status(settings: OperatorPath, *, as_json: AsJson = False) -> None:
-    """Show each process: role, place, revision in force, leadership."""
-    members = _run(settings, _members)
-    show_table(
+    """Show all processes with their status, revision and leadership."""
+    members = _run_with_context(settings, _read_members)
+    print_table(
         ('name', 'data_centre', 'status', 'revision', 'leads_epoch', 'address'),
         [
             (
@@ -59,15 +65,15 @@
 
 
 def jobs(
-    data_centre: Annotated[str, typer.Argument(help='Whose open jobs.')],
+    data_centre: Annotated[str, typer.Argument(help='The data centre.')],
     settings: OperatorPath,
     *,
     as_json: AsJson = False,
 ) -> None:
     """List the open jobs of a data centre."""
 
-    async def listed(tools: Tools) -> list[Any]:  # noqa: WPS430
-        store = JobStore(table=tools.platform.table, clock=SystemClock())
+    async def read_rows(context: OperatorContext) -> list[Any]:  # noqa: WPS430
+        store = JobStore(table=context.platform.table, clock=SystemClock())
         return [
             (
                 stored.job.job_id,
@@ -80,9 +86,9 @@
             for stored in await store.scan_open(data_centre)
         ]
 
-    show_table(
+    print_table(
         ('job', 'workspace', 'kind', 'state', 'accelerators', 'preemptions'),
-        _run(settings, listed),
+        _run_with_context(settings, read_rows),
         as_json=as_json,
     )
 
@@ -91,14 +97,14 @@
     job: Annotated[str, typer.Argument(help='The id of the job.')],
     settings: OperatorPath,
 ) -> None:
-    """Say where a job stands: why it waits and what would let it start."""
+    """Show a job's state: why it waits and what would let it start."""
 
-    async def ask(tools: Tools) -> list[str]:  # noqa: WPS430
-        store = JobStore(table=tools.platform.table, clock=SystemClock())
+    async def read_lines(context: OperatorContext) -> list[str]:  # noqa: WPS430
+        store = JobStore(table=context.platform.table, clock=SystemClock())
         stored = await store.load(job)
         home = stored.job.home if stored else birth_of(job)
-        scheduler = await _active(tools, home)
-        reply = await tools.channels.call(
+        scheduler = await _find_leader(context, home)
+        reply = await context.channels.call(
             scheduler.address,
             call_explain,
             inner_pb2.ExplainRequest(job_id=job),
@@ -109,23 +115,25 @@
             lines = [f'{job} is {stored.job.state}. {stored.job.reason}']
         return lines
 
-    lines = _run(settings, ask)
+    lines = _run_with_context(settings, read_lines)
     if not lines:
-        fail('There is no such job.', FAILED)
+        fail('There is no such job.', EXIT_FAILURE)
     for line in lines:
         typer.echo(line)
 
 
 def drain(
     worker: Annotated[str, typer.Argument(help='The name of the worker.')],
-    data_centre: Annotated[str, typer.Argument(help='Where it is.')],
+    data_centre: Annotated[
+        str, typer.Argument(help="The worker's data centre.")
+    ],
     settings: OperatorPath,
 ) -> None:
-    """Place no new work on a worker; what runs there ends by itself."""
+    """Place no new work on a worker; what runs there continues to its end."""
 
-    async def order(tools: Tools) -> bool:  # noqa: WPS430
-        scheduler = await _active(tools, data_centre)
-        reply = await tools.channels.call(
+    async def request_drain(context: OperatorContext) -> bool:  # noqa: WPS430
+        scheduler = await _find_leader(context, data_centre)
+        reply = await context.channels.call(
             scheduler.address,
             call_drain,
             inner_pb2.DrainRequest(host=worker),
@@ -133,15 +141,15 @@
         )
         return bool(reply.accepted)
 
-    if not _run(settings, order):
-        fail(f'{data_centre} has no worker named {worker}.', FAILED)
+    if not _run_with_context(settings, request_drain):
+        fail(f'{data_centre} has no worker named {worker}.', EXIT_FAILURE)
     typer.echo(f'{worker} takes no new work.')
 
 
-async def _members(tools: Tools) -> list[inner_pb2.Member]:
-    for address in tools.settings.entry_hosts:
+async def _read_members(context: OperatorContext) -> list[inner_pb2.Member]:
+    for address in context.settings.entry_hosts:
         try:
-            reply = await tools.channels.call(
+            reply = await context.channels.call(
                 address,
                 call_status,
                 inner_pb2.StatusRequest(),
@@ -151,31 +159,35 @@
             continue
         return list(reply.members)
     raise PeerError(
-        'None of the entry hosts in the settings answers.',
+        'None of the entry hosts in the settings responds.',
         step='status',
-        peer=', '.join(tools.settings.entry_hosts),
+        peer=', '.join(context.settings.entry_hosts),
     )
 
 
-async def _active(tools: Tools, data_centre: str) -> inner_pb2.Member:
+async def _find_leader(
+    context: OperatorContext, data_centre: str
+) -> inner_pb2.Member:
     leaders = [
         member
-        for member in await _members(tools)
+        for member in await _read_members(context)
         if member.data_centre == data_centre and member.leading_epoch
     ]
     if not leaders:
         raise PeerError(
-            f'No active scheduler of {data_centre} is known.',
+            f'No leading scheduler of {data_centre} is known.',
             step='find scheduler',
         )
     return max(leaders, key=_leading_epoch)
 
 
-def _run(path: Path, work: Callable[[Tools], Awaitable[Result]]) -> Result:
-    settings = settings_or_exit(OperatorSettings, path)
+def _run_with_context(
+    path: Path, operation: Callable[[OperatorContext], Awaitable[Result]]
+) -> Result:
+    settings = read_settings_or_exit(OperatorSettings, path)
 
     async def run() -> Result:  # noqa: WPS430
-        tools = Tools(
+        context = OperatorContext(
             settings=settings,
             platform=platforms.get(settings.platform.client)(
                 settings.platform.url,
@@ -183,10 +195,10 @@
             channels=Channels(key=shared_key(settings.key_file)),
         )
         try:
-            return await work(tools)
+            return await operation(context)
         finally:
-            await tools.channels.close()
-            await tools.platform.close()
+            await context.channels.close()
+            await context.platform.close()
 
     try:
         return asyncio.run(run())
--- a/src/curranthill/commands/load.py
+++ b/src/curranthill/commands/load.py
@@ -9,10 +9,10 @@
 
 from curranthill.commands.daemons import (
     EPILOG,
-    WRONG_USE,
+    EXIT_USAGE_ERROR,
     Version,
     fail,
-    settings_or_exit,
+    read_settings_or_exit,
 )
 from curranthill.load.report import plot, summary, write_report
 from curranthill.load.runner import LoadRunner
@@ -25,42 +25,42 @@
 def run(  # noqa: WPS211
     workload: Annotated[
         Path,
-        typer.Argument(help='The workload, JSON with comments.'),
+        typer.Argument(help='The workload file, JSON with comments.'),
     ],
     *,
     gateway: Annotated[
         list[str],
-        typer.Option(help='Base URL of a gateway; give it once for each.'),
+        typer.Option(help='Base URL of a gateway; may be repeated.'),
     ],
     standin: Annotated[str, typer.Option(help='Base URL of the stand-in.')],
     gangs: Annotated[
         str,
-        typer.Option(help='Kinds that count as gangs, by commas.'),
+        typer.Option(help='Kinds that count as gangs, separated by commas.'),
     ] = '',
-    seed: Annotated[int, typer.Option(help='Which arrivals to draw.')] = 1,
+    seed: Annotated[int, typer.Option(help='Seed of the random arrivals.')] = 1,
     token_prefix: Annotated[
         str,
-        typer.Option(help='A token is this and the workspace.'),
+        typer.Option(help='Prefix of each token; its workspace follows.'),
     ] = 'demo-',
     out: Annotated[Path, typer.Option(help='Folder of the report.')] = Path(
         'load-report',
     ),
-    draw: Annotated[bool, typer.Option(help='Draw a plot, too.')] = False,
+    draw: Annotated[bool, typer.Option(help='Also draw a plot.')] = False,
     version: Version = False,
 ) -> None:
-    """Drive a workload against running gateways and report both measures."""
-    record = settings_or_exit(Workload, workload)
-    if not record.streams:
-        fail('The workload has no streams.', WRONG_USE)
+    """Run a workload against gateways and report the system's two measures."""
+    definition = read_settings_or_exit(Workload, workload)
+    if not definition.streams:
+        fail('The workload has no streams.', EXIT_USAGE_ERROR)
     runner = LoadRunner(
         gateways=gateway,
         standin=standin,
         tokens={
             stream.workspace: f'{token_prefix}{stream.workspace}'
-            for stream in record.streams
+            for stream in definition.streams
         },
     )
-    result = asyncio.run(runner.run(record, seed))
+    result = asyncio.run(runner.run(definition, seed))
     measures = summary(result, frozenset(gangs.split(',')))
     write_report(out, f'{workload.stem}, seed {seed}', measures)
     if draw:
@@ -69,7 +69,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
--- a/src/curranthill/commands/losses.py
+++ b/src/curranthill/commands/losses.py
@@ -7,8 +7,8 @@
 
 import typer
 
-from curranthill.commands.options import FAILED, fail
-from curranthill.commands.tables import show_table
+from curranthill.commands.options import EXIT_FAILURE, fail
+from curranthill.commands.tables import print_table
 from curranthill.commands.timelines import USEFUL, JobTimeline, Timelines
 from curranthill.commands.trace import LogPaths, read_events
 from curranthill.registry import Registry
@@ -54,13 +54,13 @@
     """Show on what jobs spent their time, and how much work was lost."""
     timelines = read_timelines(logs)
     if not timelines.jobs:
-        fail('These logs contain no accepted job.', FAILED)
+        fail('These logs contain no accepted job.', EXIT_FAILURE)
     groups: dict[str, list[JobTimeline]] = defaultdict(list)
     grouping = groupings.get(by)
     for job in timelines.finished():
         groups[grouping(job)].append(job)
     causes = _causes(timelines.finished())
-    show_table(
+    print_table(
         (by, 'jobs', 'late', 'mean late s', *causes, 'lost core-s'),
         [_row(name, groups[name], causes) for name in sorted(groups)],
         as_json=as_json,
--- a/src/curranthill/commands/operator.py
+++ b/src/curranthill/commands/operator.py
@@ -7,10 +7,10 @@
 import typer
 
 from curranthill.commands import configuration, inspect
-from curranthill.commands.daemons import EPILOG, FAILED, Version
+from curranthill.commands.daemons import EPILOG, EXIT_FAILURE, Version
 from curranthill.commands.demo import DemoReport, run_demo
 from curranthill.commands.losses import losses
-from curranthill.commands.tables import show_table
+from curranthill.commands.tables import print_table
 from curranthill.commands.trace import trace
 from curranthill.load.measures import GANG_SIZES
 from curranthill.telemetry import configure_logs
@@ -38,33 +38,33 @@
 def demo(
     folders: Annotated[
         list[Path] | None,
-        typer.Argument(help='Configuration folders; both examples if none.'),
+        typer.Argument(help='Configuration folders; default: both examples.'),
     ] = None,
     *,
     as_json: AsJson = False,
 ) -> None:
-    """Run example deployments in one process, with stand-ins."""
+    """Run example deployments in one process, with simulated workers."""
     configure_logs(style='readable', level='ERROR', process='demo')
-    chosen = folders or [
+    selected = folders or [
         Path('examples') / name / 'configuration'
         for name in ('tenggara', 'kalvola')
     ]
-    reports = asyncio.run(run_demo(chosen))
-    failed = [_show(report, as_json=as_json) for report in reports]
+    reports = asyncio.run(run_demo(selected))
+    failed = [_print_report(report, as_json=as_json) for report in reports]
     if any(failed):
-        raise typer.Exit(FAILED)
+        raise typer.Exit(EXIT_FAILURE)
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
-def _show(report: DemoReport, *, as_json: bool) -> int:
-    """Print one deployment's demo; return how many requests failed."""
+def _print_report(report: DemoReport, *, as_json: bool) -> int:
+    """Print the report of a deployment; return how many requests failed."""
     if not as_json:
         typer.echo(f'\n{report.deployment}')
-    show_table(
+    print_table(
         (
             'workspace',
             'kind',
@@ -80,7 +80,7 @@
         shares = ', '.join(
             f'{size}: {report.fragmentation[size]:.2f}' for size in GANG_SIZES
         )
-        typer.echo(f'Fragmentation while it ran, by gang size: {shares}')
+        typer.echo(f'Fragmentation during the run, by gang size: {shares}')
     return sum(row.state not in {'finished', 'answered'} for row in report.rows)
 
 
--- a/src/curranthill/commands/scheduler.py
+++ b/src/curranthill/commands/scheduler.py
@@ -26,14 +26,14 @@
     run_from_file(
         settings,
         SchedulerSettings,
-        lambda record: SchedulerDaemon(settings=record).app,
+        lambda validated: SchedulerDaemon(settings=validated).app,
         role='scheduler',
         check_only=check_settings,
     )
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -15,12 +15,12 @@
 
 app = typer.Typer(add_completion=True, rich_markup_mode=None)
 
-#: Connections of a worker of which no service says otherwise.
-_CONNECTIONS = 64
+#: The connection limit of workers if no service sets one.
+_DEFAULT_CONNECTIONS = 64
 
 
 class StandinOptions(NamedTuple):
-    """What the stand-in stands in for and where it listens."""
+    """The workers, the address and the rate limits of a stand-in."""
 
     sites: tuple[SiteEntry, ...]
     host: str
@@ -29,11 +29,14 @@
     reads_per_s: float
 
 
-def sites_of(document: ConfigurationDocument) -> tuple[SiteEntry, ...]:
-    """Return the workers that a configuration's data centres have."""
+def site_entries(document: ConfigurationDocument) -> tuple[SiteEntry, ...]:
+    """Return the workers of all data centres of a configuration.
+
+    Each allows as many connections as the service with the fewest.
+    """
     connections = min(
         (service.connections for service in document.services.values()),
-        default=_CONNECTIONS,
+        default=_DEFAULT_CONNECTIONS,
     )
     sites: list[SiteEntry] = []
     for name, data_centre in document.data_centres.items():
@@ -56,7 +59,7 @@
     folder: Annotated[
         Path,
         typer.Argument(
-            help='The configuration folder whose site to stand for.'
+            help='The configuration folder whose workers to simulate.'
         ),
     ],
     *,
@@ -66,31 +69,31 @@
     reads_per_s: float = 2000,
     version: Version = False,
 ) -> None:
-    """Stand in for the platform and the workers of a configuration folder.
+    """Simulate the platform and the workers of a configuration folder.
 
-    For tests, demos and load only: nothing is kept.
+    For tests, demos and load tests only: all state is lost at its end.
     """
     document = checked(merge(read_folder(folder).contents))
     options = StandinOptions(
-        sites=sites_of(document),
+        sites=site_entries(document),
         host=host,
         port=port,
         writes_per_s=writes_per_s,
         reads_per_s=reads_per_s,
     )
     run_daemon(
-        lambda: _application(options),
+        lambda: _create_application(options),
         name='standin',
         logs=LogSettings(style='readable'),
     )
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
-def _application(options: StandinOptions) -> Application:
+def _create_application(options: StandinOptions) -> Application:
     application = Application(name='standin')
     server = StandinServer(
         clock=SystemClock(),
@@ -107,4 +110,4 @@
     return application
 
 
-__all__ = ('app', 'main', 'sites_of')
+__all__ = ('app', 'main', 'site_entries')
--- a/src/curranthill/commands/tables.py
+++ b/src/curranthill/commands/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people, or JSON for programs."""
+"""Prints rows as a table, or as JSON for other programs."""
 
 import json
 from collections.abc import Sequence
@@ -7,33 +7,33 @@
 import typer
 
 
-def show_table(
+def print_table(
     columns: Sequence[str],
     rows: Sequence[Sequence[Any]],
     *,
     as_json: bool,
 ) -> None:
-    """Print rows under their columns, or as a JSON array of objects."""
+    """Print rows as a table with a header, or as a JSON array of objects."""
     if as_json:
         records = [dict(zip(columns, row, strict=True)) for row in rows]
         typer.echo(json.dumps(records, indent=2))
         return
-    texts = [[_text(value) for value in row] for row in rows]
+    texts = [[_format_value(value) for value in row] for row in rows]
     widths = [
         max(len(column), *(len(row[index]) for row in texts), 0)
         if texts
         else len(column)
         for index, column in enumerate(columns)
     ]
-    for line in (columns, *texts):
+    for cells in (columns, *texts):
         padded = (
-            text.ljust(width) for text, width in zip(line, widths, strict=True)
+            text.ljust(width) for text, width in zip(cells, widths, strict=True)
         )
         typer.echo('  '.join(padded).rstrip())
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return f'{value:.3f}' if isinstance(value, float) else str(value)
 
 
-__all__ = ('show_table',)
+__all__ = ('print_table',)
--- a/src/curranthill/commands/trace.py
+++ b/src/curranthill/commands/trace.py
@@ -8,7 +8,7 @@
 import typer
 
 from curranthill.commands.formatters import LogLine, event_formatters
-from curranthill.commands.options import FAILED, fail
+from curranthill.commands.options import EXIT_FAILURE, fail
 
 LogPaths = Annotated[
     list[Path],
@@ -34,7 +34,7 @@
     """Print the events of a job on all hosts, in chronological order."""
     lines = sorted(read_events(logs, job_id), key=_logged_at_s)
     if not lines:
-        fail(f'These logs contain no event of {job_id}.', FAILED)
+        fail(f'These logs contain no event of {job_id}.', EXIT_FAILURE)
     lines.extend(_unused_worker_events(logs, lines, job_id))
     lines.sort(key=_logged_at_s)
     first_s = lines[0]['t_s']
