--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -12,7 +12,7 @@
 from curranthill.commands.daemons import EPILOG, FAILED, fail, settings_or_exit
 from curranthill.commands.tables import show_table
 from curranthill.errors import CurranthillError, PeerError
-from curranthill.jobs import JobStore, birth_of
+from curranthill.jobs import JobStore, accepting_data_centre
 from curranthill.protocol import Channels, inner_pb2
 from curranthill.protocol.calls import call_drain, call_explain, call_status
 from curranthill.settings import OperatorSettings, shared_key
@@ -96,7 +96,7 @@
     async def ask(tools: Tools) -> list[str]:  # noqa: WPS430
         store = JobStore(table=tools.platform.table, clock=SystemClock())
         stored = await store.load(job)
-        home = stored.job.home if stored else birth_of(job)
+        home = stored.job.home if stored else accepting_data_centre(job)
         scheduler = await _active(tools, home)
         reply = await tools.channels.call(
             scheduler.address,
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -34,7 +34,7 @@
     Job,
     JobStore,
     KeyRecord,
-    Stored,
+    StoredJob,
     new_job_id,
 )
 from curranthill.jobs import FAILED as JOB_FAILED
@@ -103,7 +103,7 @@
         self._notifier.notify(job.home, job.job_id)
         return stored.job
 
-    async def find(self, workspace: str, job_id: str) -> Stored:
+    async def find(self, workspace: str, job_id: str) -> StoredJob:
         """Return a job of a workspace.
 
         :raises RefusedError: if there is none; another workspace's job is
--- a/src/curranthill/jobs/__init__.py
+++ b/src/curranthill/jobs/__init__.py
@@ -1,28 +1,28 @@
 """Jobs: their record, their life cycle and their rows in the table."""
 
-from curranthill.jobs.lifecycle import ForbiddenChangeError, next_state
+from curranthill.jobs.lifecycle import InvalidTransitionError, next_state
 from curranthill.jobs.records import (
     ACCEPTED,
     CANCELLED,
     ENDED,
     FAILED,
     FINISHED,
-    MARKED,
     PREEMPTED,
     RESERVED,
     RUNNING,
+    START_RECORDED,
     UNKNOWN,
     Job,
     JobState,
     Member,
-    job_document,
-    job_from,
+    job_from_document,
+    job_to_document,
 )
 from curranthill.jobs.store import (
     JobStore,
     KeyRecord,
-    Stored,
-    birth_of,
+    StoredJob,
+    accepting_data_centre,
     new_job_id,
 )
 
@@ -32,21 +32,21 @@
     'ENDED',
     'FAILED',
     'FINISHED',
-    'MARKED',
     'PREEMPTED',
     'RESERVED',
     'RUNNING',
+    'START_RECORDED',
     'UNKNOWN',
-    'ForbiddenChangeError',
+    'InvalidTransitionError',
     'Job',
     'JobState',
     'JobStore',
     'KeyRecord',
     'Member',
-    'Stored',
-    'birth_of',
-    'job_document',
-    'job_from',
+    'StoredJob',
+    'accepting_data_centre',
+    'job_from_document',
+    'job_to_document',
     'new_job_id',
     'next_state',
 )
--- a/src/curranthill/jobs/lifecycle.py
+++ b/src/curranthill/jobs/lifecycle.py
@@ -33,7 +33,7 @@
 )
 
 
-class ForbiddenChangeError(CurranthillError):
+class InvalidTransitionError(CurranthillError):
     """A job was asked to make a change that its state does not allow."""
 
 
@@ -41,15 +41,15 @@
 def next_state(state: JobState, change: str) -> JobState:
     """Return the state after a change.
 
-    :raises ForbiddenChangeError: if the state does not allow the change.
+    :raises InvalidTransitionError: if the state does not allow the change.
     """
     found = _machine.get_transitions(trigger=change, source=state)
     if not found:
-        raise ForbiddenChangeError(
+        raise InvalidTransitionError(
             f'A job that is {state} cannot {change}.',
             step=change,
         )
     return cast(JobState, found[0].dest)
 
 
-__all__ = ('ForbiddenChangeError', 'next_state')
+__all__ = ('InvalidTransitionError', 'next_state')
--- a/src/curranthill/jobs/records.py
+++ b/src/curranthill/jobs/records.py
@@ -20,7 +20,7 @@
 
 ACCEPTED: Final = 'accepted'
 RESERVED: Final = 'reserved'
-MARKED: Final = 'marked'
+START_RECORDED: Final = 'marked'
 RUNNING: Final = 'running'
 FINISHED: Final = 'finished'
 FAILED: Final = 'failed'
@@ -98,7 +98,7 @@
         return f'results/{self.job_id}/{self.attempt}'
 
 
-def job_document(job: Job) -> dict[str, Any]:
+def job_to_document(job: Job) -> dict[str, Any]:
     """Return a job as the table keeps it."""
     document = job._asdict()
     document['members'] = [member._asdict() for member in job.members]
@@ -106,7 +106,7 @@
     return document
 
 
-def job_from(document: dict[str, Any]) -> Job:
+def job_from_document(document: dict[str, Any]) -> Job:
     """Return a job from its row.
 
     Fields that a newer version added are passed over and those that an older
@@ -126,14 +126,14 @@
     'ENDED',
     'FAILED',
     'FINISHED',
-    'MARKED',
     'PREEMPTED',
     'RESERVED',
     'RUNNING',
+    'START_RECORDED',
     'UNKNOWN',
     'Job',
     'JobState',
     'Member',
-    'job_document',
-    'job_from',
+    'job_from_document',
+    'job_to_document',
 )
--- a/src/curranthill/jobs/store.py
+++ b/src/curranthill/jobs/store.py
@@ -12,7 +12,12 @@
 from curranthill.clock import Clock
 from curranthill.errors import ConflictError
 from curranthill.jobs.lifecycle import next_state
-from curranthill.jobs.records import ENDED, Job, job_document, job_from
+from curranthill.jobs.records import (
+    ENDED,
+    Job,
+    job_from_document,
+    job_to_document,
+)
 from curranthill.storage import (
     ABSENT,
     Check,
@@ -29,7 +34,7 @@
 EXPIRY_BUCKET_S: Final = 3600
 
 
-class Stored(NamedTuple):
+class StoredJob(NamedTuple):
     """A job with the key and version of its row."""
 
     job: Job
@@ -71,26 +76,26 @@
             budget=budget,
         )
 
-    async def accept(self, job: Job, key: KeyRecord | None) -> Stored:
+    async def accept(self, job: Job, key: KeyRecord | None) -> StoredJob:
         """Keep a new job, with its idempotency key if it has one.
 
         :raises ConflictError: if the key is taken.
         """
         row_key = open_key(job.home, job.job_id)
-        writes = [Write(row_key, ABSENT, job_document(job))]
+        writes = [Write(row_key, ABSENT, job_to_document(job))]
         if key is not None:
             writes.append(Write(job.key_row, ABSENT, key._asdict()))
         versions = await self._committer.commit(writes)
-        return Stored(job, row_key, versions[row_key])
+        return StoredJob(job, row_key, versions[row_key])
 
     async def key_record(self, key_row: str) -> KeyRecord | None:
         """Return what an idempotency key stands for, if it is taken."""
         row = await self._table.read(key_row)
         return KeyRecord(**row.document) if row else None
 
-    async def load(self, job_id: str) -> Stored | None:
+    async def load(self, job_id: str) -> StoredJob | None:
         """Return a job wherever it is, or nothing."""
-        birth = birth_of(job_id)
+        birth = accepting_data_centre(job_id)
         found = await self._stored(open_key(birth, job_id))
         if found is None:
             found = await self._stored(ended_key(job_id))
@@ -104,10 +109,10 @@
             found = await self._stored(ended_key(job_id))
         return found
 
-    async def scan_open(self, home: str) -> list[Stored]:
+    async def scan_open(self, home: str) -> list[StoredJob]:
         """Return all open jobs of a data centre, page by page."""
         prefix = f'open/{home}/'
-        found: list[Stored] = []
+        found: list[StoredJob] = []
         after = ''
         while True:
             page = await self._table.scan(prefix, after, PAGE_ROWS)
@@ -118,10 +123,10 @@
 
     async def change(
         self,
-        stored: Stored,
+        stored: StoredJob,
         job: Job,
         checks: tuple[Check, ...] = (),
-    ) -> Stored:
+    ) -> StoredJob:
         """Write an open job's new record if its row is still ``stored``.
 
         :param checks: other rows that must not have changed.
@@ -129,11 +134,11 @@
         """
         if job.state in ENDED:
             return await self._end(stored, job, checks)
-        write = Write(stored.key, stored.version, job_document(job))
+        write = Write(stored.key, stored.version, job_to_document(job))
         versions = await self._committer.commit((write,), checks)
-        return Stored(job, stored.key, versions[stored.key])
+        return StoredJob(job, stored.key, versions[stored.key])
 
-    async def move(self, stored: Stored, home: str) -> Stored:
+    async def move(self, stored: StoredJob, home: str) -> StoredJob:
         """Give an open job another home; its old home can no longer mark it.
 
         :raises ConflictError: if another writer was first.
@@ -143,7 +148,7 @@
         forward = await self._table.read(moved_key(job.job_id))
         writes = (
             Write(stored.key, stored.version, None),
-            Write(row_key, ABSENT, job_document(job)),
+            Write(row_key, ABSENT, job_to_document(job)),
             Write(
                 moved_key(job.job_id),
                 forward.version if forward else ABSENT,
@@ -151,9 +156,9 @@
             ),
         )
         versions = await self._committer.commit(writes)
-        return Stored(job, row_key, versions[row_key])
+        return StoredJob(job, row_key, versions[row_key])
 
-    async def request_cancel(self, job_id: str) -> Stored | None:
+    async def request_cancel(self, job_id: str) -> StoredJob | None:
         """Cancel a job that has no start mark, else ask for its stop.
 
         Returns the job as it is then; an ended job is left as it ended.
@@ -197,17 +202,17 @@
 
     async def _end(
         self,
-        stored: Stored,
+        stored: StoredJob,
         job: Job,
         checks: tuple[Check, ...],
-    ) -> Stored:
+    ) -> StoredJob:
         expires_at_s = job.ended_at_s + self._retention_s
         bucket = int(expires_at_s // EXPIRY_BUCKET_S)
         expiry_key = f'expiry/{bucket:010d}/{job.job_id}'
         final_key = ended_key(job.job_id)
         versions = await self._committer.commit(
             (
-                Write(final_key, ABSENT, job_document(job)),
+                Write(final_key, ABSENT, job_to_document(job)),
                 Write(
                     expiry_key,
                     ABSENT,
@@ -217,7 +222,7 @@
             ),
             checks,
         )
-        return Stored(job, final_key, versions[final_key])
+        return StoredJob(job, final_key, versions[final_key])
 
     async def _delete(self, expiry: Row) -> None:
         job_id = expiry.document['job_id']
@@ -231,7 +236,7 @@
                 writes.append(Write(key.key, key.version, None))
         await self._committer.commit(writes)
 
-    async def _stored(self, key: str) -> Stored | None:
+    async def _stored(self, key: str) -> StoredJob | None:
         row = await self._table.read(key)
         return _stored(row) if row else None
 
@@ -241,7 +246,7 @@
     return f'{data_centre}-{uuid.uuid4().hex}'
 
 
-def birth_of(job_id: str) -> str:
+def accepting_data_centre(job_id: str) -> str:
     """Return the data centre that accepted a job."""
     return job_id.rpartition('-')[0]
 
@@ -261,15 +266,15 @@
     return f'moved/{job_id}'
 
 
-def _stored(row: Row) -> Stored:
-    return Stored(job_from(row.document), row.key, row.version)
+def _stored(row: Row) -> StoredJob:
+    return StoredJob(job_from_document(row.document), row.key, row.version)
 
 
 __all__ = (
     'JobStore',
     'KeyRecord',
-    'Stored',
-    'birth_of',
+    'StoredJob',
+    'accepting_data_centre',
     'ended_key',
     'moved_key',
     'new_job_id',
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -22,10 +22,10 @@
 )
 from curranthill.jobs import (
     ACCEPTED,
-    MARKED,
+    START_RECORDED,
     Job,
     Member,
-    Stored,
+    StoredJob,
     next_state,
 )
 from curranthill.scheduler.context import Context
@@ -61,7 +61,7 @@
     """
 
     end: End
-    stored: Stored
+    stored: StoredJob
     reason: str = ''
     failed_on: str = ''
 
@@ -80,7 +80,7 @@
         self,
         *,
         context: Context,
-        stored: Stored,
+        stored: StoredJob,
         members: Iterable[Member],
         attempt: int,
         watches: dict[str, WorkerWatch],
@@ -235,7 +235,7 @@
 
     async def _marked_after_all(self) -> bool:
         """Look whether the row holds this attempt's own mark."""
-        found: Stored | None = None
+        found: StoredJob | None = None
         while found is None:
             await self._members.own_lease('mark')
             try:
@@ -247,7 +247,7 @@
                 return False
         self.stored = found
         return (
-            found.job.state == MARKED
+            found.job.state == START_RECORDED
             and found.job.attempt == self.attempt_id.attempt
         )
 
--- a/src/curranthill/scheduler/loader.py
+++ b/src/curranthill/scheduler/loader.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from curranthill.errors import StorageError
-from curranthill.jobs import JobStore, Stored
+from curranthill.jobs import JobStore, StoredJob
 
 #: Rows read at the same time when many jobs have changed.
 PARALLEL_READS: Final = 16
@@ -28,7 +28,7 @@
         *,
         store: JobStore,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
-        take: Callable[[Stored], None],
+        take: Callable[[StoredJob], None],
     ) -> None:
         """Start with no news."""
         self._store = store
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from curranthill.clock import Clock
-from curranthill.jobs import birth_of
+from curranthill.jobs import accepting_data_centre
 from curranthill.scheduler.board import Board, Waiting
 
 #: How long a job waits here before another place is considered, in seconds.
@@ -104,7 +104,7 @@
         entitled = self._board.plan.free_unit(job.workspace, job.shape)
         may_borrow = self._board.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
-        moved = birth_of(job.job_id) != job.home
+        moved = accepting_data_centre(job.job_id) != job.home
         patience_s = MOVED_PATIENCE_S if moved else PATIENCE_S
         return entitled is not None or not may_borrow or waited_s < patience_s
 
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from curranthill.errors import FencedError, WorkerError
-from curranthill.jobs import ACCEPTED, Stored
+from curranthill.jobs import ACCEPTED, StoredJob
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.term import Term
 from curranthill.storage import HostEntry
@@ -82,7 +82,7 @@
     return Held(leases=leases, silent=frozenset(silent))
 
 
-def member_states(stored: Stored, held: Held) -> dict[str, str]:
+def member_states(stored: StoredJob, held: Held) -> dict[str, str]:
     """Return the state of each member as far as its worker said.
 
     A member on a silent worker counts as running: its watch finds out, and
@@ -100,7 +100,11 @@
     return states
 
 
-def _adopt(term: Term, stored_jobs: list[Stored], held: Held) -> set[AttemptId]:
+def _adopt(
+    term: Term,
+    stored_jobs: list[StoredJob],
+    held: Held,
+) -> set[AttemptId]:
     """Queue what waits and go on with what was marked; return the latter."""
     resumed: set[AttemptId] = set()
     for stored in stored_jobs:
--- a/src/curranthill/scheduler/settle.py
+++ b/src/curranthill/scheduler/settle.py
@@ -11,7 +11,7 @@
     StorageError,
     WorkerError,
 )
-from curranthill.jobs import ACCEPTED, ENDED, Job, Stored, next_state
+from curranthill.jobs import ACCEPTED, ENDED, Job, StoredJob, next_state
 from curranthill.scheduler.context import Context
 from curranthill.workers import AttemptId, Worker
 
@@ -46,7 +46,7 @@
         self,
         *,
         context: Context,
-        stored: Stored,
+        stored: StoredJob,
         attempt_id: AttemptId,
     ) -> None:
         """Keep the row."""
@@ -82,7 +82,7 @@
                 continue
             return len(body)
 
-    async def finish(self, result_bytes: int) -> Stored:
+    async def finish(self, result_bytes: int) -> StoredJob:
         """Write that the job finished."""
         job = self._stored.job
         return await self._write(
@@ -101,7 +101,7 @@
         failed_on: str,
         checkpoint: str,
         started: bool,
-    ) -> Stored:
+    ) -> StoredJob:
         """Write what becomes of a job whose attempt did not finish."""
         job = self._stored.job
         if end == 'failed':
@@ -165,7 +165,7 @@
                 await self._context.clock.sleep(back_off.next_s())
         return None
 
-    async def _write(self, job: Job) -> Stored:
+    async def _write(self, job: Job) -> StoredJob:
         """Write the row until it is written or somebody else decided."""
         back_off = BackOff()
         while True:
@@ -187,7 +187,7 @@
                 await self._context.clock.sleep(back_off.next_s())
             self._stay_leader()
 
-    async def _reload(self, back_off: BackOff) -> Stored | None:
+    async def _reload(self, back_off: BackOff) -> StoredJob | None:
         while True:
             try:
                 return await self._context.store.load(self._attempt_id.job)
@@ -195,7 +195,7 @@
                 await self._context.clock.sleep(back_off.next_s())
                 self._stay_leader()
 
-    def _is_own(self, found: Stored) -> bool:
+    def _is_own(self, found: StoredJob) -> bool:
         """Return whether the row still stands at this attempt's mark."""
         return (
             found.job.state not in ENDED
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -13,7 +13,7 @@
 
 from curranthill.configuration import ConfigurationHolder
 from curranthill.errors import StorageError, WorkerError
-from curranthill.jobs import ACCEPTED, ENDED, Job, Member, Stored
+from curranthill.jobs import ACCEPTED, ENDED, Job, Member, StoredJob
 from curranthill.scheduler.board import Board, Decision, Waiting
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.gang import Gang, GangEnd, next_attempt
@@ -86,7 +86,7 @@
         self._directory = directory
         self._configuration = configuration
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._known: dict[str, Stored] = {}
+        self._known: dict[str, StoredJob] = {}
         self._last_attempt: dict[str, int] = {}
         self._loader = RowLoader(
             store=context.store,
@@ -127,7 +127,7 @@
         self.board.plan.configure(document, self._data_centre)
         self._wake.set()
 
-    def submit(self, stored: Stored) -> None:
+    def submit(self, stored: StoredJob) -> None:
         """Let an accepted job wait for its place."""
         job = stored.job
         if job.job_id in self.gangs or job.job_id in self.board.queue:
@@ -147,7 +147,7 @@
         for stored in await self._context.store.scan_open(self._data_centre):
             self._take_row(stored)
 
-    def resume(self, stored: Stored, states: dict[str, str]) -> None:
+    def resume(self, stored: StoredJob, states: dict[str, str]) -> None:
         """Go on with an attempt that an earlier leader had marked."""
         job = stored.job
         self.board.adopt(job, self._context.clock.monotonic_s())
@@ -181,7 +181,7 @@
         gang.on_news(news)
         return True
 
-    def _take_row(self, stored: Stored) -> None:
+    def _take_row(self, stored: StoredJob) -> None:
         job = stored.job
         gang = self.gangs.get(job.job_id)
         if gang is not None:
@@ -300,7 +300,7 @@
 
     def _gang(
         self,
-        stored: Stored,
+        stored: StoredJob,
         members: Iterable[Member],
         attempt: int,
         waits: Iterable[asyncio.Event] = (),
@@ -344,7 +344,7 @@
         else:
             self.submit(end.stored)
 
-    async def _submit_later(self, stored: Stored) -> None:
+    async def _submit_later(self, stored: StoredJob) -> None:
         """Let a job wait again after a moment, its row read afresh."""
         job_id = stored.job.job_id
         while job_id not in self.board.queue and job_id not in self.gangs:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -14,7 +14,7 @@
     canonical_json,
     digest_of,
 )
-from curranthill.jobs import Job, JobStore, Stored
+from curranthill.jobs import Job, JobStore, StoredJob
 from curranthill.membership import Member, View
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.election import Election
@@ -95,7 +95,7 @@
         await scheduler.start()
         return scheduler
 
-    async def accept(self, **fields: Any) -> Stored:
+    async def accept(self, **fields: Any) -> StoredJob:
         """Accept a job as a gateway would."""
         return await self.store.accept(make_job(**fields), None)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from curranthill.errors import ConflictError, FencedError, NotSentError
-from curranthill.jobs import ENDED, KeyRecord, birth_of, new_job_id
+from curranthill.jobs import ENDED, KeyRecord, accepting_data_centre, new_job_id
 from curranthill.standin import FaultSettings
 from curranthill.storage import Transaction, WriteBudget
 from curranthill.workers import AttemptId, LeaseRequest, Task, Token
@@ -412,7 +412,7 @@
     @given(st.sampled_from(['shah-alam', 'a', 'a-b-c']))
     def test_a_job_id_says_where_it_was_accepted(self, place: str) -> None:
         """Data centre names may hold dashes."""
-        self.assertEqual(birth_of(new_job_id(place)), place)
+        self.assertEqual(accepting_data_centre(new_job_id(place)), place)
 
 
 class CancellationTest(unittest.TestCase):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -3,7 +3,7 @@
 import unittest
 from pathlib import Path
 
-from curranthill.jobs import job_document, job_from
+from curranthill.jobs import job_from_document, job_to_document
 from curranthill.settings import reference
 from curranthill.workers.records import lease_from
 from tests.support import make_job, members_on
@@ -17,14 +17,17 @@
     def test_a_row_with_unknown_fields_is_read(self) -> None:
         """A newer version has added a field."""
         job = make_job(members=members_on(('w', 2)), failed_on=('w',))
-        self.assertEqual(job_from(job_document(job) | {'newer': 1}), job)
+        self.assertEqual(
+            job_from_document(job_to_document(job) | {'newer': 1}),
+            job,
+        )
 
     def test_a_row_without_newer_fields_takes_defaults(self) -> None:
         """An older version did not write them."""
-        older = job_document(make_job())
+        older = job_to_document(make_job())
         for name in ('checkpoint', 'preemptions', 'failed_on', 'members'):
             older.pop(name)
-        self.assertEqual(job_from(older), make_job())
+        self.assertEqual(job_from_document(older), make_job())
 
     def test_a_lease_report_may_have_more_fields(self) -> None:
         """Workers are upgraded by others than us."""
