--- a/src/curranthill/platform/advisor.py
+++ b/src/curranthill/platform/advisor.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from curranthill.dispatch import Advice, AdvisorError
-from curranthill.platform.calls import (
-    Caller,
-    CallNotSentError,
-    CallUnansweredError,
-)
 from curranthill.platform.decoding import Measure, decode_fields
+from curranthill.platform.http_client import (
+    HttpClient,
+    RequestNotSentError,
+    ResponseLostError,
+)
 from curranthill.storage.rows import MalformedRecordError
 
 #: The longest wait for an answer, in seconds: a few questions of other hosts
@@ -30,21 +30,21 @@
 class PlatformAdvisor:
     """Asks over HTTP."""
 
-    def __init__(self, *, caller: Caller, address: str) -> None:
+    def __init__(self, *, client: HttpClient, address: str) -> None:
         """Keep the address."""
-        self._caller = caller
+        self._client = client
         self._address = address
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
         """Return tickets for those of the workers that may run a step."""
         try:
-            answer = await self._caller.call(
+            answer = await self._client.call(
                 'POST',
                 f'http://{self._address}/curranthill/advise',
                 timeout_s=ADVICE_TIMEOUT_S,
                 fields={'step': step_name, 'workers': list(workers)},
             )
-        except (CallNotSentError, CallUnansweredError) as error:
+        except (RequestNotSentError, ResponseLostError) as error:
             raise self._error(str(error)) from error
         if answer.status != _OK:
             raise self._error(f'status {answer.status}')
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -21,13 +21,13 @@
 from curranthill.errors import SettingsError
 from curranthill.placement import ALL_ON
 from curranthill.platform.advisor import PlatformAdvisor
-from curranthill.platform.calls import Caller
 from curranthill.platform.configuration import (
     TABLE,
     decode_closure,
     decode_revision,
 )
 from curranthill.platform.front import Front
+from curranthill.platform.http_client import HttpClient
 from curranthill.platform.relay import StoreProbe, StoreRelay
 from curranthill.platform.settings import Address, PlatformSettings
 from curranthill.platform.store import PlatformStore
@@ -102,19 +102,19 @@
         settings = self._settings
         clock = self.app.clock
         provide(PrometheusMetricReader())
-        self._caller = Caller()
+        self._client = HttpClient()
         self._paths = StorePaths(
             direct=settings.store_address,
             peers=self._peer_addresses,
         )
         self._store = PlatformStore(
-            caller=self._caller,
+            client=self._client,
             paths=self._paths,
             clock=clock,
         )
         # First: a call that fails asks who the peers are.
         await self._start_relay()
-        self._connector = PlatformConnector(caller=self._caller)
+        self._connector = PlatformConnector(client=self._client)
         self._closures = Closures(
             clock=clock,
             decode=decode_closure,
@@ -170,7 +170,7 @@
     async def _start_relay(self) -> None:
         """Pass peers' calls on, and learn who passes on this host's."""
         clock = self.app.clock
-        relay = StoreRelay(caller=self._caller, paths=self._paths)
+        relay = StoreRelay(client=self._client, paths=self._paths)
         self._relay = await _serve(relay.handle, self._settings.relay)
         self._peers = PeerList(
             store=self._store,
@@ -179,7 +179,7 @@
             address=_bound_address(self._relay),
         )
         probe = StoreProbe(
-            caller=self._caller,
+            client=self._client,
             paths=self._paths,
             clock=clock,
             absence=self._store.absence,
@@ -205,7 +205,7 @@
             self._metrics.cleanup(),
             self._relay.cleanup(),
         )
-        await self._caller.close()
+        await self._client.close()
         events.log('stopped')
 
     async def _hand_over(self, patience_s: float) -> None:
@@ -233,7 +233,7 @@
             revision=self._revisions,
             closures=self._closures,
             advisor=PlatformAdvisor(
-                caller=self._caller,
+                client=self._client,
                 address=self._settings.advisor_address,
             ),
             without=self._without,
--- a/src/curranthill/platform/calls.py
+++ b/src/curranthill/platform/http_client.py
@@ -24,35 +24,35 @@
 
 #: The most bytes of an answer that are handed on at once: whoever passes them
 #: on over a slow link shows progress within a stall.
-PART_BYTES: Final = 32_768
+CHUNK_BYTES: Final = 32_768
 
-#: Only connecting is bounded by the library; see :meth:`Caller.open`.
+#: Only connecting is bounded by the library; see :meth:`HttpClient.open`.
 _TIMEOUT: Final = aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S)
 
 
-class CallNotSentError(Exception):
+class RequestNotSentError(Exception):
     """No connection was made, so nothing was asked."""
 
 
-class CallUnansweredError(Exception):
+class ResponseLostError(Exception):
     """The call was sent, and no whole answer came."""
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A whole answer.
 
-    :param began_after_s: how long its first byte was waited for, in seconds.
+    :param first_byte_s: how long its first byte was waited for, in seconds.
     """
 
     status: int
     body: bytes
-    began_after_s: float
+    first_byte_s: float
 
 
-class ArrivingAnswer:
+class StreamingResponse:
     """An answer that has begun.
 
-    :param began_after_s: how long its first byte was waited for, in seconds.
+    :param first_byte_s: how long its first byte was waited for, in seconds.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
         *,
         response: aiohttp.ClientResponse,
         limit: asyncio.Timeout,
-        began_after_s: float,
+        first_byte_s: float,
     ) -> None:
         """Take the limit over, which ended the wait so far."""
         self.status = response.status
         self.length_bytes = response.content_length
-        self.began_after_s = began_after_s
+        self.first_byte_s = first_byte_s
         self._response = response
         self._limit = limit
         self._received_bytes = 0
@@ -78,7 +78,7 @@
         began_s = uptime_s()
         try:
             self._expect_part()
-            async for part in self._response.content.iter_chunked(PART_BYTES):
+            async for part in self._response.content.iter_chunked(CHUNK_BYTES):
                 self._received_bytes += len(part)
                 self._limit.reschedule(None)
                 yield part
@@ -87,10 +87,10 @@
             self._tell_of_cut(uptime_s() - began_s, error)
             raise
 
-    async def read(self) -> Answer:
+    async def read(self) -> HttpResponse:
         """Return the whole answer."""
         parts = [part async for part in self.parts()]
-        return Answer(self.status, b''.join(parts), self.began_after_s)
+        return HttpResponse(self.status, b''.join(parts), self.first_byte_s)
 
     def _expect_part(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -109,19 +109,19 @@
         )
 
 
-class Caller:
+class HttpClient:
     """Makes calls over connections that it keeps."""
 
     def __init__(self) -> None:
         """Open no connection yet."""
         self._pools = ConnectionPools()
 
-    async def call(self, method: str, url: str, **options: Any) -> Answer:
+    async def call(self, method: str, url: str, **options: Any) -> HttpResponse:
         """Make one call and return its whole answer.
 
         :param options: those of :meth:`open`.
-        :raises CallNotSentError: if nothing was asked.
-        :raises CallUnansweredError: if the effect is unknown.
+        :raises RequestNotSentError: if nothing was asked.
+        :raises ResponseLostError: if the effect is unknown.
         """
         async with self.open(method, url, **options) as answer:
             return await answer.read()
@@ -136,12 +136,12 @@
         fields: dict[str, Any] | msgspec.Raw | None = None,
         params: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
-    ) -> AsyncIterator[ArrivingAnswer]:
+    ) -> AsyncIterator[StreamingResponse]:
         """Make one call; enter once its answer has begun.
 
         :param timeout_s: until the answer must have begun, in seconds.
-        :raises CallNotSentError: if nothing was asked.
-        :raises CallUnansweredError: if the effect is unknown.
+        :raises RequestNotSentError: if nothing was asked.
+        :raises ResponseLostError: if the effect is unknown.
         """
         sent_headers = dict(headers or {})
         body = None
@@ -162,18 +162,18 @@
                     timeout=_TIMEOUT,
                 ) as response,
             ):
-                yield ArrivingAnswer(
+                yield StreamingResponse(
                     response=response,
                     limit=limit,
-                    began_after_s=uptime_s() - sent_s,
+                    first_byte_s=uptime_s() - sent_s,
                 )
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            raise CallNotSentError(repr(error)) from error
+            raise RequestNotSentError(repr(error)) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise CallUnansweredError(repr(error)) from error
+            raise ResponseLostError(repr(error)) from error
 
     async def close(self) -> None:
         """Close all connections."""
@@ -181,9 +181,9 @@
 
 
 __all__ = (
-    'Answer',
-    'ArrivingAnswer',
-    'CallNotSentError',
-    'CallUnansweredError',
-    'Caller',
+    'HttpClient',
+    'HttpResponse',
+    'RequestNotSentError',
+    'ResponseLostError',
+    'StreamingResponse',
 )
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -9,10 +9,10 @@
 
 from curranthill.clock import Clock
 from curranthill.errors import NotSentError, StorageError
-from curranthill.platform.calls import (
+from curranthill.platform.http_client import (
     STALL_TIMEOUT_S,
-    ArrivingAnswer,
-    Caller,
+    HttpClient,
+    StreamingResponse,
 )
 from curranthill.platform.store import (
     PATH_PREFIX,
@@ -53,9 +53,9 @@
         the straight one, so that no call goes round.
     """
 
-    def __init__(self, *, caller: Caller, paths: StorePaths) -> None:
+    def __init__(self, *, client: HttpClient, paths: StorePaths) -> None:
         """Share the connections to the store."""
-        self._caller = caller
+        self._client = client
         self._paths = paths
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -68,7 +68,7 @@
         response = web.StreamResponse()
         try:
             async with open_store_call(
-                self._caller,
+                self._client,
                 direct,
                 request.method,
                 request.path.removeprefix(PATH_PREFIX),
@@ -90,7 +90,7 @@
 
 
 async def _pass_back(
-    answer: ArrivingAnswer,
+    answer: StreamingResponse,
     request: web.BaseRequest,
     response: web.StreamResponse,
 ) -> None:
@@ -136,13 +136,13 @@
     def __init__(
         self,
         *,
-        caller: Caller,
+        client: HttpClient,
         paths: StorePaths,
         clock: Clock,
         absence: StoreAbsence,
     ) -> None:
         """Share the connections to the store."""
-        self._caller = caller
+        self._client = client
         self._paths = paths
         self._clock = clock
         self._absence = absence
@@ -171,7 +171,7 @@
         direct = self._paths.direct
         try:
             async with open_store_call(
-                self._caller,
+                self._client,
                 direct,
                 'GET',
                 'rows-get',
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -16,14 +16,14 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.platform.calls import (
-    Answer,
-    ArrivingAnswer,
-    Caller,
-    CallNotSentError,
-    CallUnansweredError,
-)
 from curranthill.platform.decoding import Count, decode_fields
+from curranthill.platform.http_client import (
+    HttpClient,
+    HttpResponse,
+    RequestNotSentError,
+    ResponseLostError,
+    StreamingResponse,
+)
 from curranthill.platform.scan import TablePage, TableScan
 from curranthill.storage.absence import StoreAbsence
 from curranthill.storage.paths import StorePaths
@@ -105,12 +105,12 @@
     def __init__(
         self,
         *,
-        caller: Caller,
+        client: HttpClient,
         paths: StorePaths,
         clock: Clock,
     ) -> None:
         """Keep the paths."""
-        self._caller = caller
+        self._client = client
         self._paths = paths
         self.absence = StoreAbsence(clock=clock)
         self._commit_timeout = ReplyTimeout()
@@ -235,7 +235,7 @@
         method: str,
         path: str,
         **options: Any,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Make a call whose timeout follows the replies before it.
 
         What counts is when they began: how long they were is no sign of how
@@ -251,10 +251,15 @@
         except ReplyLostError:
             timeout.lost()
             raise
-        timeout.replied(answer.began_after_s)
+        timeout.replied(answer.first_byte_s)
         return answer
 
-    async def _call(self, method: str, path: str, **options: Any) -> Answer:
+    async def _call(
+        self,
+        method: str,
+        path: str,
+        **options: Any,
+    ) -> HttpResponse:
         address = self._paths.address
         begun = asyncio.Event()
         call = asyncio.ensure_future(
@@ -279,21 +284,21 @@
         begun: asyncio.Event,
         *call: str,
         **options: Any,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Make a call and return its whole answer.
 
         :param begun: is set once it has begun.
         """
-        async with open_store_call(self._caller, *call, **options) as answer:
+        async with open_store_call(self._client, *call, **options) as answer:
             begun.set()
             return await answer.read()
 
     async def _answer_or_return(
         self,
-        call: asyncio.Future[Answer],
+        call: asyncio.Future[HttpResponse],
         begun: asyncio.Event,
         path: str,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Return the answer, unless the store was away and is back.
 
         What was asked while it was away is not answered any more. An answer
@@ -315,7 +320,7 @@
             peer=self._paths.address,
         )
 
-    def _expect_ok(self, answer: Answer, step: str) -> None:
+    def _expect_ok(self, answer: HttpResponse, step: str) -> None:
         """Raise the error of any other status: nothing was done."""
         if answer.status == _OK:
             return
@@ -325,7 +330,7 @@
             peer=self._paths.address,
         )
 
-    def _fields(self, answer: Answer, step: str) -> RowsFields:
+    def _fields(self, answer: HttpResponse, step: str) -> RowsFields:
         try:
             return decode_fields(answer.body, RowsFields, step=step)
         except MalformedRecordError as error:
@@ -338,12 +343,12 @@
 
 @asynccontextmanager
 async def open_store_call(
-    caller: Caller,
+    client: HttpClient,
     address: str,
     method: str,
     path: str,
     **options: Any,
-) -> AsyncIterator[ArrivingAnswer]:
+) -> AsyncIterator[StreamingResponse]:
     """Make one call of the store; enter once its answer has begun.
 
     :param address: the store's own, or a peer's that passes calls on.
@@ -352,19 +357,19 @@
     """
     url = f'http://{address}{PATH_PREFIX}{path}'
     try:
-        async with caller.open(method, url, **options) as answer:
+        async with client.open(method, url, **options) as answer:
             if answer.status in _NO_OUTCOME:
                 # A connection is kept only if its answer was read.
                 await answer.read()
                 raise _error_of(answer.status, path, address)
             yield answer
-    except CallNotSentError as error:
+    except RequestNotSentError as error:
         raise NotSentError(
             f'The store cannot be reached: {error}.',
             step=path,
             peer=address,
         ) from error
-    except CallUnansweredError as error:
+    except ResponseLostError as error:
         raise ReplyLostError(
             f'The store did not answer: {error}.',
             step=path,
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -19,12 +19,6 @@
     WorkerUnreachableError,
 )
 from curranthill.placement import WorkerEntry
-from curranthill.platform.calls import (
-    Answer,
-    Caller,
-    CallNotSentError,
-    CallUnansweredError,
-)
 from curranthill.platform.decoding import (
     Count,
     Fields,
@@ -33,6 +27,12 @@
     SocketAddress,
     decode_fields,
 )
+from curranthill.platform.http_client import (
+    HttpClient,
+    HttpResponse,
+    RequestNotSentError,
+    ResponseLostError,
+)
 from curranthill.storage.rows import MalformedRecordError, StoredRow
 from curranthill.tasks import Resources, TaskKey
 from curranthill.telemetry import metrics
@@ -157,14 +157,14 @@
 class PlatformConnector:
     """Makes clients of the platform's workers."""
 
-    def __init__(self, *, caller: Caller) -> None:
+    def __init__(self, *, client: HttpClient) -> None:
         """Share the connections."""
-        self._caller = caller
+        self._client = client
 
     def connect(self, entry: WorkerEntry) -> 'PlatformWorker':
         """Return a client of a worker."""
         return PlatformWorker(
-            caller=self._caller,
+            client=self._client,
             address=entry.address,
             worker_id=entry.worker_id,
         )
@@ -176,12 +176,12 @@
     def __init__(
         self,
         *,
-        caller: Caller,
+        client: HttpClient,
         address: str,
         worker_id: str,
     ) -> None:
         """Name the worker that every call is meant for."""
-        self._caller = caller
+        self._client = client
         self._address = address
         self._headers = {'Target-Instance': worker_id}
 
@@ -242,7 +242,12 @@
         answer = await self._call(path, fields, ORDER_TIMEOUT_S)
         return self._read(answer, ClockFields, path).clock_ms / 1000
 
-    def _read(self, answer: Answer, kind: type[Fields], path: str) -> Fields:
+    def _read(
+        self,
+        answer: HttpResponse,
+        kind: type[Fields],
+        path: str,
+    ) -> Fields:
         """Return an answer's fields; one that can't be read tells nothing."""
         try:
             return decode_fields(
@@ -272,22 +277,22 @@
         path: str,
         fields: dict[str, Any],
         timeout_s: float,
-    ) -> Answer:
+    ) -> HttpResponse:
         try:
-            answer = await self._caller.call(
+            answer = await self._client.call(
                 'POST',
                 f'http://{self._address}/curranthill/{path}',
                 timeout_s=timeout_s,
                 fields=fields,
                 headers=self._headers,
             )
-        except CallNotSentError as error:
+        except RequestNotSentError as error:
             raise WorkerUnreachableError(
                 f'The worker cannot be reached: {error}.',
                 step=path,
                 peer=self._address,
             ) from error
-        except CallUnansweredError as error:
+        except ResponseLostError as error:
             raise WorkerReplyLostError(
                 f'The worker did not answer: {error}.',
                 step=path,
@@ -297,7 +302,7 @@
             return answer
         raise self._error_of(answer, path)
 
-    def _error_of(self, answer: Answer, path: str) -> Exception:
+    def _error_of(self, answer: HttpResponse, path: str) -> Exception:
         if answer.status == _OTHER_WORKER:
             return WorkerGoneError(
                 'Another worker answered.',
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -16,8 +16,8 @@
 from curranthill.errors import StorageError, WorkerError
 from curranthill.placement import WorkerEntry
 from curranthill.platform.advisor import PlatformAdvisor
-from curranthill.platform.calls import Answer
 from curranthill.platform.configuration import decode_revision
+from curranthill.platform.http_client import HttpResponse
 from curranthill.platform.store import PlatformStore
 from curranthill.platform.workers import PlatformWorker, RegisteredWorkers
 from curranthill.storage.paths import StorePaths
@@ -179,9 +179,9 @@
     def __init__(self, body: bytes, status: int = 200) -> None:
         """Keep the answer."""
         self.status = status
-        self._answer = Answer(status, body, 0.0)
+        self._answer = HttpResponse(status, body, 0.0)
 
-    async def call(self, method: str, url: str, **options: Any) -> Answer:
+    async def call(self, method: str, url: str, **options: Any) -> HttpResponse:
         """Return the answer."""
         return self._answer
 
@@ -195,7 +195,7 @@
         """Enter at the beginning of the answer, which this object is too."""
         yield self
 
-    async def read(self) -> Answer:
+    async def read(self) -> HttpResponse:
         """Return the answer."""
         return self._answer
 
@@ -241,18 +241,18 @@
         """Of workers, of the store and of the advisor."""
 
         async def case() -> None:
-            caller: Any = FixedAnswer(body, status)
+            client: Any = FixedAnswer(body, status)
             worker = PlatformWorker(
-                caller=caller,
+                client=client,
                 address='10.0.0.1:80',
                 worker_id='i-1',
             )
             store = PlatformStore(
-                caller=caller,
+                client=client,
                 paths=StorePaths(direct='10.0.0.2:80', peers=tuple),
                 clock=ManualClock(),
             )
-            advisor = PlatformAdvisor(caller=caller, address='10.0.0.3:80')
+            advisor = PlatformAdvisor(client=client, address='10.0.0.3:80')
             calls = (
                 (worker.start(ORDER), WorkerError),
                 (worker.stop(FIRST, 1, 1), WorkerError),
@@ -286,9 +286,9 @@
         body = json.dumps({'rows': rows, 'schema_ver': 6}).encode()
 
         async def case() -> None:
-            caller: Any = FixedAnswer(body)
+            client: Any = FixedAnswer(body)
             store = PlatformStore(
-                caller=caller,
+                client=client,
                 paths=StorePaths(direct='10.0.0.2:80', peers=tuple),
                 clock=ManualClock(),
             )
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -13,7 +13,7 @@
 from curranthill.entry import PeerList
 from curranthill.errors import NotSentError, ReplyLostError
 from curranthill.platform import HostDaemon, read_platform_settings
-from curranthill.platform.calls import Caller, CallNotSentError
+from curranthill.platform.http_client import HttpClient, RequestNotSentError
 from curranthill.platform.relay import StoreProbe, StoreRelay
 from curranthill.platform.store import PlatformStore
 from curranthill.storage.paths import PEERS_IN_TURN, StorePaths
@@ -109,12 +109,12 @@
         runner, direct = await serve(self.own.handle)
         bench.closers.append(runner.cleanup)
         self.peer_paths = StorePaths(direct=bench.store_address, peers=tuple)
-        relay = StoreRelay(caller=bench.caller, paths=self.peer_paths)
+        relay = StoreRelay(client=bench.client, paths=self.peer_paths)
         runner, peer = await serve(relay.handle)
         bench.closers.append(runner.cleanup)
         self.paths = StorePaths(direct=direct, peers=lambda: (peer,))
         self.store = PlatformStore(
-            caller=bench.caller,
+            client=bench.client,
             paths=self.paths,
             clock=bench.clock,
         )
@@ -210,7 +210,7 @@
             hosts.own.refuse_with = 503
             hosts.paths.failed(hosts.paths.direct)
             probe = StoreProbe(
-                caller=bench.caller,
+                client=bench.client,
                 paths=hosts.paths,
                 clock=bench.clock,
                 absence=hosts.store.absence,
@@ -411,7 +411,7 @@
             bench.rows.apply((), (RowPut('op', 'config', content),), ())
             host = make_host(bench, 'front-1', bench.store_address)
             bench.closers.append(host.app.stop)
-            with patch.object(Caller, 'open', side_effect=not_sent):
+            with patch.object(HttpClient, 'open', side_effect=not_sent):
                 await host.app.start()
             await until(lambda: bool(host.is_ready))
 
@@ -420,4 +420,4 @@
 
 def not_sent(*args: Any, **options: Any) -> None:
     """Fail as a call to a closed port does."""
-    raise CallNotSentError('nobody listens')
+    raise RequestNotSentError('nobody listens')
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -28,12 +28,12 @@
 )
 from curranthill.placement import WorkerEntry
 from curranthill.platform import HostDaemon, read_platform_settings
-from curranthill.platform.calls import Caller
 from curranthill.platform.configuration import (
     StepFields,
     decode_revision,
     step_from,
 )
+from curranthill.platform.http_client import HttpClient
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
 from curranthill.platform.workers import PlatformConnector, RegisteredWorkers
 from curranthill.standin.rows import RowModel
@@ -120,10 +120,10 @@
         runner, address = await serve(WorkerServer(model=self.worker).handle)
         self.closers.append(runner.cleanup)
         self.entry = entry._replace(address=address)
-        self.caller = Caller()
-        self.closers.append(self.caller.close)
+        self.client = HttpClient()
+        self.closers.append(self.client.close)
         self.store = PlatformStore(
-            caller=self.caller,
+            client=self.client,
             paths=StorePaths(direct=self.store_address, peers=tuple),
             clock=self.clock,
         )
@@ -232,7 +232,7 @@
                 with self.assertRaises(NotSentError):
                     await bench.store.commit(puts=(RowPut('t', 'k', b''),))
             nobody = PlatformStore(
-                caller=bench.caller,
+                client=bench.client,
                 paths=StorePaths(direct='127.0.0.1:1', peers=tuple),
                 clock=bench.clock,
             )
@@ -287,7 +287,7 @@
         """The names of the wire are decoded both ways."""
 
         async def case(bench: Bench) -> None:
-            worker = PlatformConnector(caller=bench.caller).connect(bench.entry)
+            worker = PlatformConnector(client=bench.client).connect(bench.entry)
             until_s = round(bench.clock.monotonic_s() + 6, 3)
             order = StartOrder(TASK, 2, 'text', until_s, token=7)
             await worker.start(order)
@@ -305,7 +305,7 @@
         """A lower token."""
 
         async def case(bench: Bench) -> None:
-            worker = PlatformConnector(caller=bench.caller).connect(bench.entry)
+            worker = PlatformConnector(client=bench.client).connect(bench.entry)
             until_s = bench.clock.monotonic_s() + 6
             await worker.renew(LeaseOrder(9, 0, until_s, 0.0))
             with self.assertRaises(RejectedError) as caught:
@@ -320,7 +320,7 @@
         """Three ways not to be answered."""
 
         async def case(bench: Bench) -> None:
-            connector = PlatformConnector(caller=bench.caller)
+            connector = PlatformConnector(client=bench.client)
             other = connector.connect(bench.entry._replace(worker_id='i-0'))
             with self.assertRaises(WorkerGoneError):
                 await other.stop(TASK, 1, 8)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -19,12 +19,12 @@
 from curranthill.entry import Closures, RevisionFollower
 from curranthill.errors import ReplyLostError
 from curranthill.placement import ActiveJob
-from curranthill.platform.calls import STALL_TIMEOUT_S
 from curranthill.platform.configuration import (
     TABLE,
     decode_closure,
     decode_revision,
 )
+from curranthill.platform.http_client import STALL_TIMEOUT_S
 from curranthill.platform.relay import StoreRelay
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
 from curranthill.storage.absence import AWAY_S
@@ -111,7 +111,7 @@
         self._bench.closers.append(self.link.close)
         clock = self._bench.clock
         self.store = PlatformStore(
-            caller=self._bench.caller,
+            client=self._bench.client,
             paths=StorePaths(direct=self.link.address, peers=tuple),
             clock=clock,
         )
@@ -259,7 +259,7 @@
         async def case(bench: Bench) -> None:
             link, address = await start_peer(bench)
             store = PlatformStore(
-                caller=bench.caller,
+                client=bench.client,
                 paths=StorePaths(direct=address, peers=tuple),
                 clock=bench.clock,
             )
@@ -295,7 +295,7 @@
     await link.open()
     bench.closers.append(link.close)
     paths = StorePaths(direct=link.address, peers=tuple)
-    relay = StoreRelay(caller=bench.caller, paths=paths)
+    relay = StoreRelay(client=bench.client, paths=paths)
     runner, address = await serve(relay.handle)
     bench.closers.append(runner.cleanup)
     return link, address
@@ -375,7 +375,7 @@
             await link.open()
             bench.closers.append(link.close)
             store = PlatformStore(
-                caller=bench.caller,
+                client=bench.client,
                 paths=StorePaths(direct=link.address, peers=tuple),
                 clock=bench.clock,
             )
