--- a/bench/memory.py
+++ b/bench/memory.py
@@ -24,7 +24,7 @@
 from bench.processes import HOST, ROOT, free_port
 from curranthill.storage.rows import RowPut
 from tests.platform_standin import worker_row
-from tests.test_platform import CONFIGURATION, JOB, Bench
+from tests.test_platform import CONFIGURATION, JOB, Testbed
 
 #: What the host's program imports, each with all that is above it.
 IMPORTS: Final = (
@@ -233,11 +233,11 @@
     requests: int,
 ) -> None:
     """Print what a leader and a standby hold."""
-    bench = Bench()
-    await bench.open()
+    testbed = Testbed()
+    await testbed.open()
     content = json.dumps(CONFIGURATION).encode()
-    bench.rows.apply((), (RowPut('op', 'config', content),), ())
-    bench.rows.apply((), (worker_row(bench.entry),), ())
+    testbed.rows.apply((), (RowPut('op', 'config', content),), ())
+    testbed.rows.apply((), (worker_row(testbed.entry),), ())
     hosts = []
     try:
         async with aiohttp.ClientSession() as client:
@@ -246,7 +246,7 @@
                     deployment=deployment,
                     folder=folder,
                     name=name,
-                    store_address=bench.store_address,
+                    store_address=testbed.store_address,
                 )
                 hosts.append(host)
                 ready_s = round(await host.until_ready(client), 2)
@@ -262,7 +262,7 @@
         for host in hosts:
             host.process.terminate()
             host.process.wait()
-        await bench.close()
+        await testbed.close()
 
 
 def main() -> None:
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -33,7 +33,7 @@
 from tests.platform_standin import worker_row
 from tests.support import ManualClock, run
 from tests.test_paths import start_two, submit
-from tests.test_platform import Bench, leader_of, on_bench, until
+from tests.test_platform import Testbed, leader_of, on_testbed, wait_until
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
@@ -310,26 +310,30 @@
     def test_callers_notice_nothing_of_bad_entries(self) -> None:
         """Of another worker all the time, and of the only one for a while."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await start_two(bench, first_leads=True)
+        async def case(testbed: Testbed) -> None:
+            hosts = await start_two(testbed, first_leads=True)
             address = hosts.second.callers_address
             for number, content in enumerate(BYTES):
                 put = RowPut('servers', f'i-bad{number}', content)
-                bench.rows.apply((), (put,), ())
+                testbed.rows.apply((), (put,), ())
                 answer = await submit(address, f'/quick/{number:016x}')
                 self.assertEqual(answer, 200)
-            await until(lambda: len(bench.worker.starts) == 3 * len(BYTES))
-            bad = RowPut('servers', bench.entry.worker_id, b'[]')
-            bench.rows.apply((), (bad,), ())
+            await wait_until(
+                lambda: len(testbed.worker.starts) == 3 * len(BYTES)
+            )
+            bad = RowPut('servers', testbed.entry.worker_id, b'[]')
+            testbed.rows.apply((), (bad,), ())
             await asyncio.sleep(0.3)
             self.assertEqual(await submit(address, f'/quick/{99:016x}'), 200)
             await asyncio.sleep(0.7)
-            self.assertEqual(len(bench.worker.starts), 3 * len(BYTES))
-            bench.rows.apply((), (worker_row(bench.entry),), ())
-            await until(lambda: len(bench.worker.starts) == 3 + 3 * len(BYTES))
-            self.assertEqual(leader_of(bench), 'front-1')
+            self.assertEqual(len(testbed.worker.starts), 3 * len(BYTES))
+            testbed.rows.apply((), (worker_row(testbed.entry),), ())
+            await wait_until(
+                lambda: len(testbed.worker.starts) == 3 + 3 * len(BYTES)
+            )
+            self.assertEqual(leader_of(testbed), 'front-1')
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class BadEntryTest(unittest.TestCase):
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -24,12 +24,12 @@
 from tests.test_platform import (
     CONFIGURATION,
     JOB,
-    Bench,
+    Testbed,
     leader_of,
-    on_bench,
+    on_testbed,
     settings_of,
     status,
-    until,
+    wait_until,
 )
 
 DIRECT = '10.0.0.1:80'
@@ -98,25 +98,25 @@
     :param own: what the store answers the first host itself with.
     """
 
-    def __init__(self, *, bench: Bench) -> None:
+    def __init__(self, *, testbed: Testbed) -> None:
         """Start nothing yet."""
-        self.bench = bench
-        self.own = StoreServer(model=bench.rows)
+        self.testbed = testbed
+        self.own = StoreServer(model=testbed.rows)
 
     async def open(self) -> None:
         """Serve the first host's way to the store, and the peer's relay."""
-        bench = self.bench
+        testbed = self.testbed
         runner, direct = await serve(self.own.handle)
-        bench.closers.append(runner.cleanup)
-        self.peer_paths = StorePaths(direct=bench.store_address, peers=tuple)
-        relay = StoreRelay(client=bench.client, paths=self.peer_paths)
+        testbed.closers.append(runner.cleanup)
+        self.peer_paths = StorePaths(direct=testbed.store_address, peers=tuple)
+        relay = StoreRelay(client=testbed.client, paths=self.peer_paths)
         runner, peer = await serve(relay.handle)
-        bench.closers.append(runner.cleanup)
+        testbed.closers.append(runner.cleanup)
         self.paths = StorePaths(direct=direct, peers=lambda: (peer,))
         self.store = PlatformStore(
-            client=bench.client,
+            client=testbed.client,
             paths=self.paths,
-            clock=bench.clock,
+            clock=testbed.clock,
         )
 
 
@@ -128,8 +128,8 @@
     ) -> None:
         """One call fails; those after it are answered."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             hosts.own.refuse_with = 503
             with self.assertRaises(NotSentError):
@@ -141,13 +141,13 @@
             changes = await hosts.store.changes('t', version - 1, 1.0)
             self.assertEqual([one.key for one in changes.rows], ['k'])
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_silent_store_is_told_from_a_refusing_one(self) -> None:
         """The effect of the silent call stays unknown; the next is answered."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             await hosts.store.read('t', 'k')
             hosts.own.connections.silence()
@@ -155,15 +155,15 @@
                 await hosts.store.commit(puts=(PUT,))
             await hosts.store.commit(puts=(PUT,))
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_conflict_passes_through_with_its_rows(self) -> None:
         """A leader that goes through a peer is fenced as ever."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
-            await bench.store.commit(puts=(PUT,))
+            await testbed.store.commit(puts=(PUT,))
             hosts.paths.failed(hosts.paths.direct)
             with self.assertRaises(RowConflictError) as caught:
                 await hosts.store.commit(
@@ -172,57 +172,57 @@
                 )
             self.assertEqual(caught.exception.rows[0].content, b'text')
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_peer_without_the_store_passes_nothing_on(self) -> None:
         """It says at once that nothing was done, and no call goes round."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             hosts.paths.failed(hosts.paths.direct)
             hosts.peer_paths.address = '127.0.0.1:1'
             with self.assertRaises(NotSentError):
                 await hosts.store.commit(puts=(PUT,))
-            self.assertEqual(bench.rows.commits, 0)
+            self.assertEqual(testbed.rows.commits, 0)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_peer_that_does_not_know_says_so(self) -> None:
         """The store fell silent with the peer's call under way."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             hosts.paths.failed(hosts.paths.direct)
-            bench.store_server.refuse_with = 504
+            testbed.store_server.refuse_with = 504
             with self.assertRaises(ReplyLostError):
                 await hosts.store.commit(puts=(PUT,))
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_the_straight_way_is_taken_again_when_it_opens(self) -> None:
         """Found out without a call of a caller."""
 
-        async def case(bench: Bench) -> None:
-            hosts = TwoHosts(bench=bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             hosts.own.refuse_with = 503
             hosts.paths.failed(hosts.paths.direct)
             probe = StoreProbe(
-                client=bench.client,
+                client=testbed.client,
                 paths=hosts.paths,
-                clock=bench.clock,
+                clock=testbed.clock,
                 absence=hosts.store.absence,
             )
             probing = asyncio.ensure_future(probe.run())
             await asyncio.sleep(0.7)
             self.assertFalse(hosts.paths.is_direct)
             hosts.own.refuse_with = 0
-            await until(lambda: hosts.paths.is_direct)
+            await wait_until(lambda: hosts.paths.is_direct)
             probing.cancel()
 
-        on_bench(case)
+        on_testbed(case)
 
 
 #: Where each host passes calls on.
@@ -310,26 +310,26 @@
     def test_a_host_without_the_store_accepts_and_stays_ready(self) -> None:
         """Its callers notice nothing; the job runs."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await start_two(bench, first_leads=False)
-            await self.lose_store_and_submit(hosts, bench)
+        async def case(testbed: Testbed) -> None:
+            hosts = await start_two(testbed, first_leads=False)
+            await self.lose_store_and_submit(hosts, testbed)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_leader_without_the_store_leads_on(self) -> None:
         """Nobody takes over, and what it orders is stored."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await start_two(bench, first_leads=True)
-            await self.lose_store_and_submit(hosts, bench)
-            self.assertEqual(leader_of(bench), 'front-1')
+        async def case(testbed: Testbed) -> None:
+            hosts = await start_two(testbed, first_leads=True)
+            await self.lose_store_and_submit(hosts, testbed)
+            self.assertEqual(leader_of(testbed), 'front-1')
 
-        on_bench(case)
+        on_testbed(case)
 
     async def lose_store_and_submit(
         self,
         hosts: 'StartedHosts',
-        bench: Bench,
+        testbed: Testbed,
     ) -> None:
         """Refuse the first host; hand jobs in there for three seconds."""
         hosts.own.refuse_with = 503
@@ -339,7 +339,7 @@
             self.assertEqual(answer, 200)
             await asyncio.sleep(0.5)
             self.assertTrue(hosts.first.is_ready)
-        await until(lambda: len(bench.worker.starts) == 18)
+        await wait_until(lambda: len(testbed.worker.starts) == 18)
 
 
 class StartedHosts(NamedTuple):
@@ -353,34 +353,34 @@
     own: StoreServer
 
 
-async def start_two(bench: Bench, *, first_leads: bool) -> StartedHosts:
+async def start_two(testbed: Testbed, *, first_leads: bool) -> StartedHosts:
     """Start two hosts that know each other, and the worker."""
     content = json.dumps(CONFIGURATION).encode()
-    bench.rows.apply((), (RowPut('op', 'config', content),), ())
-    bench.rows.apply((), (worker_row(bench.entry),), ())
-    own = StoreServer(model=bench.rows)
+    testbed.rows.apply((), (RowPut('op', 'config', content),), ())
+    testbed.rows.apply((), (worker_row(testbed.entry),), ())
+    own = StoreServer(model=testbed.rows)
     runner, direct = await serve(own.handle)
-    bench.closers.append(runner.cleanup)
-    first = make_host(bench, 'front-1', direct)
-    second = make_host(bench, 'front-2', bench.store_address)
+    testbed.closers.append(runner.cleanup)
+    first = make_host(testbed, 'front-1', direct)
+    second = make_host(testbed, 'front-2', testbed.store_address)
     order = [first, second] if first_leads else [second, first]
     for host in order:
         await host.app.start()
-        bench.closers.append(host.app.stop)
-        await someone_leads(bench)
+        testbed.closers.append(host.app.stop)
+        await someone_leads(testbed)
     # The second reading of the list, after at most 1.3 times 2 s.
     await asyncio.sleep(3)
     return StartedHosts(first, second, own)
 
 
-async def someone_leads(bench: Bench) -> None:
+async def someone_leads(testbed: Testbed) -> None:
     """Wait until the leader's row names a host."""
-    await until(lambda: bool(leader_of(bench)))
+    await wait_until(lambda: bool(leader_of(testbed)))
 
 
-def make_host(bench: Bench, name: str, store_address: str) -> HostDaemon:
+def make_host(testbed: Testbed, name: str, store_address: str) -> HostDaemon:
     """Return a host that is not started."""
-    settings = settings_of(bench)
+    settings = settings_of(testbed)
     settings['node_name'] = name
     settings['platform'] = {'address': store_address}
     with tempfile.NamedTemporaryFile('w', suffix='.json') as target:
@@ -406,16 +406,16 @@
     def test_a_host_starts_while_no_call_is_sent(self) -> None:
         """Its first calls fail at once, before it knows of any peer."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
-            host = make_host(bench, 'front-1', bench.store_address)
-            bench.closers.append(host.app.stop)
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
+            host = make_host(testbed, 'front-1', testbed.store_address)
+            testbed.closers.append(host.app.stop)
             with patch.object(HttpClient, 'open', side_effect=not_sent):
                 await host.app.start()
-            await until(lambda: bool(host.is_ready))
+            await wait_until(lambda: bool(host.is_ready))
 
-        on_bench(case)
+        on_testbed(case)
 
 
 def not_sent(*args: Any, **options: Any) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -100,7 +100,7 @@
 TRIES_OF_A_FEED = 2
 
 
-class Bench:
+class Testbed:
     """A store and one worker behind real ports, and clients of both."""
 
     def __init__(self) -> None:
@@ -134,16 +134,16 @@
             await close()
 
 
-def on_bench(case: Callable[[Bench], Awaitable[None]]) -> None:
+def on_testbed(case: Callable[[Testbed], Awaitable[None]]) -> None:
     """Run a test with servers of its own."""
 
     async def main() -> None:
-        bench = Bench()
-        await bench.open()
+        testbed = Testbed()
+        await testbed.open()
         try:
-            await case(bench)
+            await case(testbed)
         finally:
-            await bench.close()
+            await testbed.close()
 
     run(main())
 
@@ -154,92 +154,92 @@
     def test_commits_are_conditional_and_name_the_winner(self) -> None:
         """A second insertion meets the first row."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             put = RowPut('t', 'k', b'one')
             check = RowCheck('t', 'k', 0)
-            version = await bench.store.commit(checks=(check,), puts=(put,))
+            version = await testbed.store.commit(checks=(check,), puts=(put,))
             with self.assertRaises(RowConflictError) as caught:
-                await bench.store.commit(checks=(check,), puts=(put,))
+                await testbed.store.commit(checks=(check,), puts=(put,))
             row = caught.exception.rows[0]
             self.assertEqual((row.content, row.version), (b'one', version))
-            self.assertEqual(await bench.store.read('t', 'k'), row)
-            self.assertIsNone(await bench.store.read('t', 'j'))
+            self.assertEqual(await testbed.store.read('t', 'k'), row)
+            self.assertIsNone(await testbed.store.read('t', 'j'))
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_table_is_read_page_by_page(self) -> None:
         """More rows than one page holds."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             for number in range(250):
-                bench.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
-            listed = await bench.store.scan('t')
+                testbed.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
+            listed = await testbed.store.scan('t')
             self.assertEqual(len(listed.rows), 250)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_partitions_read_side_by_side_share_one_page(self) -> None:
         """A host with a slow link takes one page in time, not sixteen."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             for number in range(250):
                 put = RowPut(tables.INTAKE, f'{number:016x}', b'')
-                bench.rows.apply((), (put,), ())
-            listed = await bench.store.scan(tables.INTAKE)
+                testbed.rows.apply((), (put,), ())
+            listed = await testbed.store.scan(tables.INTAKE)
             keys = {row.key for row in listed.rows}
             self.assertEqual((len(keys), len(listed.rows)), (250, 250))
             together = len(tables.INTAKE_PARTITIONS)
-            in_flight = max(bench.store_server.limits) * together
+            in_flight = max(testbed.store_server.limits) * together
             self.assertLessEqual(in_flight, PAGE_ROWS)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_feeds_bring_changes_and_tell_of_lost_history(self) -> None:
         """A change comes at once; an old version is refused."""
 
-        async def case(bench: Bench) -> None:
-            follow = asyncio.ensure_future(bench.store.changes('t', 0, 2.0))
+        async def case(testbed: Testbed) -> None:
+            follow = asyncio.ensure_future(testbed.store.changes('t', 0, 2.0))
             await asyncio.sleep(0.05)
-            bench.rows.apply((), (RowPut('t', 'k', b'v'),), ())
+            testbed.rows.apply((), (RowPut('t', 'k', b'v'),), ())
             changes = await follow
             self.assertEqual([row.key for row in changes.rows], ['k'])
-            bench.rows.forget_history()
+            testbed.rows.forget_history()
             with self.assertRaises(HistoryLostError):
-                await bench.store.changes('t', 0, 0.1)
+                await testbed.store.changes('t', 0, 0.1)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_large_change_reaches_a_host_with_a_slow_link(self) -> None:
         """Its answer takes longer than is usual, each time it is asked for."""
 
-        async def case(bench: Bench) -> None:
-            bench.rows.apply((), (RowPut('op', 'config', b'v'),), ())
-            bench.store_server.feed_s = SLOW_FEED_S
+        async def case(testbed: Testbed) -> None:
+            testbed.rows.apply((), (RowPut('op', 'config', b'v'),), ())
+            testbed.store_server.feed_s = SLOW_FEED_S
             for _ in range(TRIES_OF_A_FEED - 1):
                 with self.assertRaises(StorageError):
-                    await bench.store.changes('op', 0, 0.0)
-            changes = await bench.store.changes('op', 0, 0.0)
+                    await testbed.store.changes('op', 0, 0.0)
+            changes = await testbed.store.changes('op', 0, 0.0)
             self.assertEqual([row.key for row in changes.rows], ['config'])
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_refusals_and_closed_ports_did_nothing(self) -> None:
         """503, 429 and no listener."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             for status in (429, 503):
-                bench.store_server.refuse_with = status
+                testbed.store_server.refuse_with = status
                 with self.assertRaises(NotSentError):
-                    await bench.store.commit(puts=(RowPut('t', 'k', b''),))
+                    await testbed.store.commit(puts=(RowPut('t', 'k', b''),))
             nobody = PlatformStore(
-                client=bench.client,
+                client=testbed.client,
                 paths=StorePaths(direct='127.0.0.1:1', peers=tuple),
-                clock=bench.clock,
+                clock=testbed.clock,
             )
             with self.assertRaises(NotSentError):
                 await nobody.commit(puts=(RowPut('t', 'k', b''),))
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class SilentConnectionTest(unittest.TestCase):
@@ -248,36 +248,36 @@
     def test_one_lost_reply_is_enough_to_leave_all_silent_ones(self) -> None:
         """Three kept connections cost one timeout, not three."""
 
-        async def case(bench: Bench) -> None:
-            await read_together(bench, 3)
-            bench.store_server.connections.silence()
+        async def case(testbed: Testbed) -> None:
+            await read_together(testbed, 3)
+            testbed.store_server.connections.silence()
             with self.assertRaises(ReplyLostError):
-                await bench.store.read('t', 'k')
+                await testbed.store.read('t', 'k')
             for _ in range(3):
-                self.assertIsNone(await bench.store.read('t', 'k'))
+                self.assertIsNone(await testbed.store.read('t', 'k'))
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_call_under_way_outlives_the_loss_of_another(self) -> None:
         """A feed that waits is not broken off by another call's timeout."""
 
-        async def case(bench: Bench) -> None:
-            follow = asyncio.ensure_future(bench.store.changes('t', 0, 2.0))
+        async def case(testbed: Testbed) -> None:
+            follow = asyncio.ensure_future(testbed.store.changes('t', 0, 2.0))
             await asyncio.sleep(0.05)
-            await read_together(bench, 2)
-            bench.store_server.connections.silence()
+            await read_together(testbed, 2)
+            testbed.store_server.connections.silence()
             with self.assertRaises(ReplyLostError):
-                await bench.store.read('t', 'k')
-            bench.rows.apply((), (RowPut('t', 'k', b'v'),), ())
+                await testbed.store.read('t', 'k')
+            testbed.rows.apply((), (RowPut('t', 'k', b'v'),), ())
             changes = await follow
             self.assertEqual([row.key for row in changes.rows], ['k'])
 
-        on_bench(case)
+        on_testbed(case)
 
 
-async def read_together(bench: Bench, count: int) -> None:
+async def read_together(testbed: Testbed, count: int) -> None:
     """Make so many readings at once, so that as many connections are kept."""
-    await asyncio.gather(*(bench.store.read('t', 'k') for _ in range(count)))
+    await asyncio.gather(*(testbed.store.read('t', 'k') for _ in range(count)))
 
 
 class WorkerTest(unittest.TestCase):
@@ -286,12 +286,14 @@
     def test_a_task_is_started_held_and_its_end_acknowledged(self) -> None:
         """The names of the wire are decoded both ways."""
 
-        async def case(bench: Bench) -> None:
-            worker = PlatformConnector(client=bench.client).connect(bench.entry)
-            until_s = round(bench.clock.monotonic_s() + 6, 3)
+        async def case(testbed: Testbed) -> None:
+            worker = PlatformConnector(client=testbed.client).connect(
+                testbed.entry
+            )
+            until_s = round(testbed.clock.monotonic_s() + 6, 3)
             order = StartOrder(TASK, 2, 'text', until_s, token=7)
             await worker.start(order)
-            self.assertEqual(bench.worker.starts, [order])
+            self.assertEqual(testbed.worker.starts, [order])
             held = await worker.renew(LeaseOrder(7, 0, until_s, 0.0))
             self.assertEqual([one.task for one in held.runs], [TASK])
             held = await worker.renew(LeaseOrder(7, 0, until_s, 1.0))
@@ -299,42 +301,44 @@
             held = await worker.renew(LeaseOrder(7, 1, 0.0, 0.0))
             self.assertEqual(held.ends, ())
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_rejections_carry_the_workers_reason(self) -> None:
         """A lower token."""
 
-        async def case(bench: Bench) -> None:
-            worker = PlatformConnector(client=bench.client).connect(bench.entry)
-            until_s = bench.clock.monotonic_s() + 6
+        async def case(testbed: Testbed) -> None:
+            worker = PlatformConnector(client=testbed.client).connect(
+                testbed.entry
+            )
+            until_s = testbed.clock.monotonic_s() + 6
             await worker.renew(LeaseOrder(9, 0, until_s, 0.0))
             with self.assertRaises(RejectedError) as caught:
                 await worker.stop(TASK, 1, 8)
             self.assertEqual(caught.exception.reason, 'fence')
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_another_life_a_closed_port_and_silence_are_told_apart(
         self,
     ) -> None:
         """Three ways not to be answered."""
 
-        async def case(bench: Bench) -> None:
-            connector = PlatformConnector(client=bench.client)
-            other = connector.connect(bench.entry._replace(worker_id='i-0'))
+        async def case(testbed: Testbed) -> None:
+            connector = PlatformConnector(client=testbed.client)
+            other = connector.connect(testbed.entry._replace(worker_id='i-0'))
             with self.assertRaises(WorkerGoneError):
                 await other.stop(TASK, 1, 8)
             closed = connector.connect(
-                bench.entry._replace(address='127.0.0.1:1'),
+                testbed.entry._replace(address='127.0.0.1:1'),
             )
             with self.assertRaises(WorkerUnreachableError):
                 await closed.stop(TASK, 1, 8)
-            bench.worker.cut = True
-            silent = connector.connect(bench.entry)
+            testbed.worker.cut = True
+            silent = connector.connect(testbed.entry)
             with self.assertRaises(WorkerReplyLostError):
                 await silent.stop(TASK, 1, 8)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class DecodingTest(unittest.TestCase):
@@ -449,35 +453,35 @@
     def test_callers_are_served_from_one_end_to_the_other(self) -> None:
         """Accept, state, queue length, keys, routes, limits, cancel."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
-            bench.rows.apply((), (worker_row(bench.entry),), ())
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
+            testbed.rows.apply((), (worker_row(testbed.entry),), ())
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / 'local.json'
-                path.write_text(json.dumps(settings_of(bench)), 'utf-8')
+                path.write_text(json.dumps(settings_of(testbed)), 'utf-8')
                 host = HostDaemon(
                     read_settings=lambda: read_platform_settings(path),
                 )
                 with patch.object(events, 'log') as log:
-                    await self.run_host(host, bench)
+                    await self.run_host(host, testbed)
             told = str(log.call_args_list)
             self.assertIn("'accepted'", told)
             self.assertNotIn('key-of-alpha', told)
 
-        on_bench(case)
+        on_testbed(case)
 
-    async def run_host(self, host: HostDaemon, bench: Bench) -> None:
+    async def run_host(self, host: HostDaemon, testbed: Testbed) -> None:
         """Run a host for as long as it is asked."""
         await host.app.start()
         try:
-            await self.ask(host, bench)
+            await self.ask(host, testbed)
         finally:
             await host.app.stop()
 
-    async def ask(self, host: HostDaemon, bench: Bench) -> None:
+    async def ask(self, host: HostDaemon, testbed: Testbed) -> None:
         """Ask for everything a caller may ask for."""
-        await until(lambda: bool(host.is_ready))
+        await wait_until(lambda: bool(host.is_ready))
         async with aiohttp.ClientSession(
             f'http://{host.callers_address}',
             headers={
@@ -485,13 +489,13 @@
                 'Authorization': 'Bearer key-of-alpha',
             },
         ) as caller:
-            await self.ask_for_jobs(caller, bench)
+            await self.ask_for_jobs(caller, testbed)
             await self.ask_wrongly(caller)
 
     async def ask_for_jobs(
         self,
         caller: aiohttp.ClientSession,
-        bench: Bench,
+        testbed: Testbed,
     ) -> None:
         """A job runs once, however often it is handed in."""
         job = f'/quick/{TASK.job_id}'
@@ -505,7 +509,7 @@
                 break
             await asyncio.sleep(0.02)
         self.assertEqual(state, 'completed')
-        self.assertEqual(len(bench.worker.starts), 3)
+        self.assertEqual(len(testbed.worker.starts), 3)
         async with caller.get('/quick/') as response:
             self.assertEqual(await response.json(), {'pending': 0})
         self.assertEqual(await status(caller.delete(job)), 200)
@@ -536,18 +540,18 @@
     def test_good_settings_are_taken_and_bad_ones_refused(self) -> None:
         """The file is broken, then mended; the old settings hold between."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / 'local.json'
-                settings = json.dumps(settings_of(bench))
+                settings = json.dumps(settings_of(testbed))
                 path.write_text(settings, 'utf-8')
                 host = HostDaemon(
                     read_settings=lambda: read_platform_settings(path),
                 )
                 await host.app.start()
-                await until(lambda: bool(host.is_ready))
+                await wait_until(lambda: bool(host.is_ready))
                 try:
                     await reload(path, '{', 'reload_refused')
                     await reload(path, settings, 'reloaded')
@@ -555,7 +559,7 @@
                 finally:
                     await host.app.stop()
 
-        on_bench(case)
+        on_testbed(case)
 
 
 async def reload(path: Path, settings: str, outcome: str) -> None:
@@ -563,7 +567,7 @@
     path.write_text(settings, 'utf-8')
     with patch.object(events, 'log') as log:
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(
+        await wait_until(
             lambda: any(call.args[0] == outcome for call in log.call_args_list),
         )
 
@@ -574,58 +578,58 @@
     def test_leadership_is_handed_over_after_a_short_outage(self) -> None:
         """The store is away when the stop is asked for, and comes back."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / 'local.json'
-                settings = settings_of(bench)
+                settings = settings_of(testbed)
                 settings['bounds']['grace_s'] = 4
                 path.write_text(json.dumps(settings), 'utf-8')
                 host = HostDaemon(
                     read_settings=lambda: read_platform_settings(path),
                 )
                 await host.app.start()
-                await until(lambda: bool(leader_of(bench)))
-                bench.store_server.refuse_with = 503
+                await wait_until(lambda: bool(leader_of(testbed)))
+                testbed.store_server.refuse_with = 503
                 stopping = asyncio.ensure_future(host.app.stop())
                 await asyncio.sleep(1.5)
-                bench.store_server.refuse_with = 0
+                testbed.store_server.refuse_with = 0
                 await stopping
-            self.assertEqual(leader_of(bench), '')
+            self.assertEqual(leader_of(testbed), '')
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_open_requests_do_not_outlast_the_grace(self) -> None:
         """The store is silent, a caller and a peer send half of a request."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / 'local.json'
-                settings = settings_of(bench)
+                settings = settings_of(testbed)
                 settings['bounds']['grace_s'] = GRACE_S
                 path.write_text(json.dumps(settings), 'utf-8')
                 host = HostDaemon(
                     read_settings=lambda: read_platform_settings(path),
                 )
                 await host.app.start()
-                await until(lambda: bool(leader_of(bench)))
-                bench.store_server.connections.paused = True
-                bench.store_server.connections.silence()
+                await wait_until(lambda: bool(leader_of(testbed)))
+                testbed.store_server.connections.paused = True
+                testbed.store_server.connections.silence()
                 halves = [
                     await send_half(address)
                     for address in (host.callers_address, host.relay_address)
                 ]
-                began_s = bench.clock.monotonic_s()
+                began_s = testbed.clock.monotonic_s()
                 await host.app.stop()
-                took_s = bench.clock.monotonic_s() - began_s
+                took_s = testbed.clock.monotonic_s() - began_s
                 for writer in halves:
                     writer.close()
             self.assertLess(took_s, GRACE_S)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 async def send_half(address: str) -> asyncio.StreamWriter:
@@ -642,9 +646,9 @@
     return writer
 
 
-def leader_of(bench: Bench) -> str:
+def leader_of(testbed: Testbed) -> str:
     """Return who leads as the store says; empty for nobody."""
-    row = bench.rows.rows.get((tables.LEADER, tables.LEADER_KEY))
+    row = testbed.rows.rows.get((tables.LEADER, tables.LEADER_KEY))
     return decode(row.content, LeaderRow).holder if row else ''
 
 
@@ -655,7 +659,7 @@
         return found
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until something holds, five seconds at most."""
     for _ in range(500):
         if condition():
@@ -664,7 +668,7 @@
     raise AssertionError('not within 5 s')
 
 
-def settings_of(bench: Bench) -> dict[str, Any]:
+def settings_of(testbed: Testbed) -> dict[str, Any]:
     """Return a host's settings as the platform writes them."""
     return {
         'node_name': 'front-1',
@@ -672,6 +676,6 @@
         'zone': 'dc',
         'bind_addrs': {'front': '127.0.0.1:0', 'ready': '127.0.0.1:0'},
         'port_range': [0, 0],
-        'platform': {'address': bench.store_address},
+        'platform': {'address': testbed.store_address},
         'bounds': {'max_hold_ms': 6000, 'grace_s': 0.2},
     }
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -37,7 +37,7 @@
 from tests.domain import make_spec
 from tests.platform_standin import serve
 from tests.slow_link import SlowLink
-from tests.test_platform import CONFIGURATION, Bench, on_bench, until
+from tests.test_platform import CONFIGURATION, Testbed, on_testbed, wait_until
 
 #: The slowest link of a host, in bytes a second.
 SLOWEST_LINK_BYTES_PER_S: Final = 5e6 / 8
@@ -73,7 +73,7 @@
 BEFORE: Final = 7
 
 
-def put_configuration(bench: Bench, routes: int, version: int) -> int:
+def put_configuration(testbed: Testbed, routes: int, version: int) -> int:
     """Have the operator write a configuration; return its size in bytes."""
     grown = [
         {**ROUTE, 'name': f'r-{number}', 'path_prefix': f'/{number:08}/'}
@@ -81,7 +81,7 @@
     ]
     fields = {**CONFIGURATION, 'version': version, 'routes': grown}
     content = json.dumps(fields).encode()
-    bench.rows.apply((), (RowPut(TABLE, 'config', content),), ())
+    testbed.rows.apply((), (RowPut(TABLE, 'config', content),), ())
     return len(content) * 4 // 3
 
 
@@ -93,25 +93,25 @@
 
     def __init__(
         self,
-        bench: Bench,
+        testbed: Testbed,
         rate_bytes_per_s: float,
         *,
         target: str = '',
     ) -> None:
         """Know nothing yet."""
-        self._bench = bench
+        self._testbed = testbed
         self.link = SlowLink(
-            target=target or bench.store_address,
+            target=target or testbed.store_address,
             rate_bytes_per_s=rate_bytes_per_s,
         )
 
     async def start(self) -> None:
         """Read the configuration and wait for the next one."""
         await self.link.open()
-        self._bench.closers.append(self.link.close)
-        clock = self._bench.clock
+        self._testbed.closers.append(self.link.close)
+        clock = self._testbed.clock
         self.store = PlatformStore(
-            client=self._bench.client,
+            client=self._testbed.client,
             paths=StorePaths(direct=self.link.address, peers=tuple),
             clock=clock,
         )
@@ -127,7 +127,7 @@
         async def stop() -> None:
             following.cancel()
 
-        self._bench.closers.append(stop)
+        self._testbed.closers.append(stop)
 
     @property
     def version(self) -> int:
@@ -137,19 +137,19 @@
 
     async def seconds_until(self, version: int) -> float:
         """Return how long it takes until a version is in force."""
-        began_s = self._bench.clock.monotonic_s()
-        await until(lambda: self.version == version)
-        return self._bench.clock.monotonic_s() - began_s
+        began_s = self._testbed.clock.monotonic_s()
+        await wait_until(lambda: self.version == version)
+        return self._testbed.clock.monotonic_s() - began_s
 
 
 async def distant_hosts(
-    bench: Bench,
+    testbed: Testbed,
     rate_bytes_per_s: float,
     moments_s: Sequence[float] = MOMENTS_S,
 ) -> list[DistantHost]:
     """Return hosts that began to wait for news so many seconds ago."""
-    put_configuration(bench, 1, BEFORE)
-    hosts = [DistantHost(bench, rate_bytes_per_s) for _ in moments_s]
+    put_configuration(testbed, 1, BEFORE)
+    hosts = [DistantHost(testbed, rate_bytes_per_s) for _ in moments_s]
     waited_s = max(moments_s)
     for host, moment_s in zip(hosts, sorted(moments_s, reverse=True)):
         await asyncio.sleep(waited_s - moment_s)
@@ -165,9 +165,9 @@
     def grow(self, *, routes: int, rate_bytes_per_s: float) -> None:
         """Have a change come at several moments of a wait."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await distant_hosts(bench, rate_bytes_per_s)
-            size = put_configuration(bench, routes, BEFORE + 1)
+        async def case(testbed: Testbed) -> None:
+            hosts = await distant_hosts(testbed, rate_bytes_per_s)
+            size = put_configuration(testbed, routes, BEFORE + 1)
             took_s = await asyncio.gather(
                 *(host.seconds_until(BEFORE + 1) for host in hosts),
             )
@@ -175,7 +175,7 @@
             for host in hosts:
                 self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_large_change_is_in_force_within_its_bound(self) -> None:
         """Its answer alone takes two thirds of the bound."""
@@ -188,28 +188,28 @@
     def test_a_host_that_starts_reads_a_large_configuration(self) -> None:
         """Its first reading takes longer than any small one."""
 
-        async def case(bench: Bench) -> None:
-            size = put_configuration(bench, 4200, BEFORE)
-            host = DistantHost(bench, SLOWEST_LINK_BYTES_PER_S)
+        async def case(testbed: Testbed) -> None:
+            size = put_configuration(testbed, 4200, BEFORE)
+            host = DistantHost(testbed, SLOWEST_LINK_BYTES_PER_S)
             await host.start()
             took_s = await host.seconds_until(BEFORE)
             self.assertLess(took_s, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_the_end_of_an_absence_cuts_no_answer_that_arrives(self) -> None:
         """Small calls fail beside it, and one is answered again."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             moment_s = MOMENTS_S[0]
             hosts = await distant_hosts(
-                bench,
+                testbed,
                 SLOWEST_LINK_BYTES_PER_S,
                 (moment_s,),
             )
             host = hosts[0]
-            size = put_configuration(bench, 4200, BEFORE + 1)
+            size = put_configuration(testbed, 4200, BEFORE + 1)
             arriving = asyncio.ensure_future(host.seconds_until(BEFORE + 1))
             await asyncio.sleep(AWAY_S)
             host.store.absence.failed()
@@ -218,27 +218,27 @@
             self.assertLess(await arriving, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_large_change_comes_in_time_through_a_peer(self) -> None:
         """Its link is as slow, and carries the answer before this one."""
 
-        async def case(bench: Bench) -> None:
-            put_configuration(bench, 1, BEFORE)
-            inner, address = await start_peer(bench)
+        async def case(testbed: Testbed) -> None:
+            put_configuration(testbed, 1, BEFORE)
+            inner, address = await start_peer(testbed)
             host = DistantHost(
-                bench,
+                testbed,
                 SLOWEST_LINK_BYTES_PER_S,
                 target=address,
             )
             await host.start()
             await asyncio.sleep(MOMENTS_S[-1])
-            size = put_configuration(bench, 4200, BEFORE + 1)
+            size = put_configuration(testbed, 4200, BEFORE + 1)
             took_s = await host.seconds_until(BEFORE + 1)
             self.assertLess(took_s, IN_FORCE_S)
             self.assertLess(inner.sent_bytes, size * TIMES_SENT)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class SilenceTest(unittest.TestCase):
@@ -247,57 +247,59 @@
     def test_an_answer_that_stands_still_is_given_up(self) -> None:
         """However much of it has come."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await distant_hosts(bench, SLOWEST_LINK_BYTES_PER_S, (0.1,))
-            await self.lose_half(bench, hosts[0].store, hosts[0].link)
+        async def case(testbed: Testbed) -> None:
+            hosts = await distant_hosts(
+                testbed, SLOWEST_LINK_BYTES_PER_S, (0.1,)
+            )
+            await self.lose_half(testbed, hosts[0].store, hosts[0].link)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_half_of_an_answer_counts_as_none_through_a_peer(self) -> None:
         """The peer cannot take back what it has passed on."""
 
-        async def case(bench: Bench) -> None:
-            link, address = await start_peer(bench)
+        async def case(testbed: Testbed) -> None:
+            link, address = await start_peer(testbed)
             store = PlatformStore(
-                client=bench.client,
+                client=testbed.client,
                 paths=StorePaths(direct=address, peers=tuple),
-                clock=bench.clock,
+                clock=testbed.clock,
             )
-            await self.lose_half(bench, store, link)
+            await self.lose_half(testbed, store, link)
 
-        on_bench(case)
+        on_testbed(case)
 
     async def lose_half(
         self,
-        bench: Bench,
+        testbed: Testbed,
         store: PlatformStore,
         link: SlowLink,
     ) -> None:
         """Have a link fall silent halfway through an answer."""
-        put_configuration(bench, 2800, BEFORE + 1)
-        version = bench.rows.rows[TABLE, 'config'].version
+        put_configuration(testbed, 2800, BEFORE + 1)
+        version = testbed.rows.rows[TABLE, 'config'].version
         reading = asyncio.ensure_future(store.changes(TABLE, version - 1, 0.0))
         await asyncio.sleep(0.5)
         link.silent = True
-        began_s = bench.clock.monotonic_s()
+        began_s = testbed.clock.monotonic_s()
         with self.assertRaises(ReplyLostError):
             await asyncio.wait_for(reading, 4 * STALL_TIMEOUT_S)
-        took_s = bench.clock.monotonic_s() - began_s
+        took_s = testbed.clock.monotonic_s() - began_s
         self.assertLess(took_s, 2 * STALL_TIMEOUT_S)
 
 
-async def start_peer(bench: Bench) -> tuple[SlowLink, str]:
+async def start_peer(testbed: Testbed) -> tuple[SlowLink, str]:
     """Start a host that passes calls on; return its link and its address."""
     link = SlowLink(
-        target=bench.store_address,
+        target=testbed.store_address,
         rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
     )
     await link.open()
-    bench.closers.append(link.close)
+    testbed.closers.append(link.close)
     paths = StorePaths(direct=link.address, peers=tuple)
-    relay = StoreRelay(client=bench.client, paths=paths)
+    relay = StoreRelay(client=testbed.client, paths=paths)
     runner, address = await serve(relay.handle)
-    bench.closers.append(runner.cleanup)
+    testbed.closers.append(runner.cleanup)
     return link, address
 
 
@@ -311,26 +313,26 @@
             headers = {'Content-Digest': content_digest(RESULT)}
             return web.Response(body=RESULT, headers=headers)
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             runner, address = await serve(answer)
-            bench.closers.append(runner.cleanup)
+            testbed.closers.append(runner.cleanup)
             link = SlowLink(
                 target=address,
                 rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
             )
             await link.open()
-            bench.closers.append(link.close)
+            testbed.closers.append(link.close)
             url = f'http://{link.address}'
             platform = http_platform(url)
-            bench.closers.append(platform.close)
+            testbed.closers.append(platform.close)
             clients = http_worker_clients()
-            bench.closers.append(clients.close)
+            testbed.closers.append(clients.close)
             self.assertEqual(await platform.objects.get('name'), RESULT)
             worker = clients.at(url)
             fetched = await worker.fetch_result(AttemptId('job', 1))
             self.assertEqual(fetched, RESULT)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class TableTest(unittest.TestCase):
@@ -339,24 +341,24 @@
     def test_a_lost_page_is_read_again_and_not_those_before_it(self) -> None:
         """The third of four pages is lost once."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             count = 3 * PAGE_ROWS + PAGE_ROWS // 2
             for number in range(count):
-                bench.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
-            bench.store_server.lost_reads = {3}
+                testbed.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
+            testbed.store_server.lost_reads = {3}
             taken: list[StoredRow] = []
             follower = TableFollower(
-                store=bench.store,
-                clock=bench.clock,
+                store=testbed.store,
+                clock=testbed.clock,
                 table='t',
                 take_all=taken.extend,
                 take_changes=taken.extend,
             )
             await follower.read()
             self.assertEqual(len({row.key for row in taken}), count)
-            self.assertEqual(len(bench.store_server.limits), 5)
+            self.assertEqual(len(testbed.store_server.limits), 5)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class LeaderTest(unittest.TestCase):
@@ -367,36 +369,36 @@
     ) -> None:
         """Sixty jobs of 120 tasks each change at once."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             link = SlowLink(
-                target=bench.store_address,
+                target=testbed.store_address,
                 rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
             )
             await link.open()
-            bench.closers.append(link.close)
+            testbed.closers.append(link.close)
             store = PlatformStore(
-                client=bench.client,
+                client=testbed.client,
                 paths=StorePaths(direct=link.address, peers=tuple),
-                clock=bench.clock,
+                clock=testbed.clock,
             )
             leadership = await take_over(
                 store=store,
-                clock=bench.clock,
+                clock=testbed.clock,
                 holder='h',
                 seen=None,
                 seen_for_s=0.0,
             )
             assert leadership is not None
-            journal = Journal(leadership=leadership, clock=bench.clock)
+            journal = Journal(leadership=leadership, clock=testbed.clock)
             writing = asyncio.ensure_future(journal.run())
             for number in range(60):
                 journal.note(large_job(f'{number:016x}'))
             saved = asyncio.ensure_future(journal.saved())
-            silent_s = await longest_silence_s(bench, saved)
+            silent_s = await longest_silence_s(testbed, saved)
             writing.cancel()
             self.assertLess(silent_s, SILENCE_S)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 def large_job(job_id: str) -> ActiveJob:
@@ -412,17 +414,17 @@
 
 
 async def longest_silence_s(
-    bench: Bench,
+    testbed: Testbed,
     saved: asyncio.Future[None],
 ) -> float:
     """Return for how long the leader's row did not change at most."""
     longest_s = 0.0
     version = 0
-    changed_s = bench.clock.monotonic_s()
+    changed_s = testbed.clock.monotonic_s()
     while not saved.done():
         await asyncio.sleep(0.01)
-        row = bench.rows.rows[tables.LEADER, tables.LEADER_KEY]
-        now_s = bench.clock.monotonic_s()
+        row = testbed.rows.rows[tables.LEADER, tables.LEADER_KEY]
+        now_s = testbed.clock.monotonic_s()
         longest_s = max(longest_s, now_s - changed_s)
         if row.version != version:
             version = row.version
--- a/tests/test_stale_configuration.py
+++ b/tests/test_stale_configuration.py
@@ -17,11 +17,11 @@
 from tests.test_platform import (
     CONFIGURATION,
     JOB,
-    Bench,
-    on_bench,
+    Testbed,
+    on_testbed,
     settings_of,
     status,
-    until,
+    wait_until,
 )
 from tests.test_store_return import KNOWN_S
 
@@ -32,21 +32,21 @@
 #: What the operator writes while a host cannot read it: no queue of before.
 REPLACED: Final = {**CONFIGURATION, 'version': 8, 'routes': []}
 
-Case = Callable[[Bench, HostDaemon, aiohttp.ClientSession], Awaitable[None]]
+Case = Callable[[Testbed, HostDaemon, aiohttp.ClientSession], Awaitable[None]]
 
 
-def put(bench: Bench, configuration: dict[str, Any]) -> None:
+def put(testbed: Testbed, configuration: dict[str, Any]) -> None:
     """Have the operator write a configuration."""
     content = json.dumps(configuration).encode()
-    bench.rows.apply((), (RowPut(TABLE, 'config', content),), ())
+    testbed.rows.apply((), (RowPut(TABLE, 'config', content),), ())
 
 
 def on_host(case: Case, *, in_force_s: float) -> None:
     """Run a test with a host that is ready and a caller of it."""
 
-    async def main(bench: Bench) -> None:
-        put(bench, CONFIGURATION)
-        settings = settings_of(bench)
+    async def main(testbed: Testbed) -> None:
+        put(testbed, CONFIGURATION)
+        settings = settings_of(testbed)
         settings['bounds']['config_apply_ms'] = in_force_s * 1000
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'local.json'
@@ -55,8 +55,8 @@
                 read_settings=lambda: read_platform_settings(path)
             )
             await host.app.start()
-            bench.closers.append(host.app.stop)
-        await until(lambda: bool(host.is_ready))
+            testbed.closers.append(host.app.stop)
+        await wait_until(lambda: bool(host.is_ready))
         async with aiohttp.ClientSession(
             f'http://{host.callers_address}',
             headers={
@@ -64,9 +64,9 @@
                 'Authorization': 'Bearer key-of-alpha',
             },
         ) as caller:
-            await case(bench, host, caller)
+            await case(testbed, host, caller)
 
-    on_bench(main)
+    on_testbed(main)
 
 
 class StaleTest(unittest.TestCase):
@@ -78,14 +78,14 @@
         """Neither by a queue that is gone, nor against one that is new."""
 
         async def case(
-            bench: Bench,
+            testbed: Testbed,
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
-            bench.store_server.silent_tables.add(TABLE)
+            testbed.store_server.silent_tables.add(TABLE)
             # The reading under way is still answered.
             await asyncio.sleep(1.2 * FEED_WAIT_S)
-            put(bench, REPLACED)
+            put(testbed, REPLACED)
             await asyncio.sleep(IN_FORCE_S)
             for call in (
                 caller.post('/quick/1111111111111111', json=JOB),
@@ -99,9 +99,9 @@
                     told = await response.json()
                     self.assertTrue(told['not_run'])
             self.assertFalse(host.is_ready)
-            self.assertNotIn('1111111111111111', str(bench.rows.rows))
-            bench.store_server.silent_tables.clear()
-            await until(lambda: bool(host.is_ready))
+            self.assertNotIn('1111111111111111', str(testbed.rows.rows))
+            testbed.store_server.silent_tables.clear()
+            await wait_until(lambda: bool(host.is_ready))
             self.assertEqual(await status(caller.get('/quick/')), 404)
 
         on_host(case, in_force_s=IN_FORCE_S)
@@ -110,7 +110,7 @@
         """Nothing changes, so each reading is answered after its wait."""
 
         async def case(
-            bench: Bench,
+            testbed: Testbed,
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
@@ -127,11 +127,11 @@
         """No deployment that does not ask for it is refused."""
 
         async def case(
-            bench: Bench,
+            testbed: Testbed,
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
-            bench.store_server.silent_tables.add(TABLE)
+            testbed.store_server.silent_tables.add(TABLE)
             await asyncio.sleep(IN_FORCE_S)
             self.assertEqual(await status(caller.get('/quick/')), 200)
 
@@ -141,14 +141,14 @@
         """Callers that were told to come back in a second are served."""
 
         async def case(
-            bench: Bench,
+            testbed: Testbed,
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
-            bench.store_server.connections.paused = True
+            testbed.store_server.connections.paused = True
             await asyncio.sleep(IN_FORCE_S + FEED_WAIT_S)
             self.assertEqual(await status(caller.get('/quick/')), 503)
-            bench.store_server.connections.paused = False
+            testbed.store_server.connections.paused = False
             await asyncio.sleep(KNOWN_S)
             self.assertEqual(await status(caller.get('/quick/')), 200)
             self.assertTrue(host.is_ready)
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -14,7 +14,7 @@
 from curranthill.storage.rows import RowPut
 from tests.domain import Domain, in_domain
 from tests.test_paths import make_host
-from tests.test_platform import CONFIGURATION, Bench, on_bench, until
+from tests.test_platform import CONFIGURATION, Testbed, on_testbed, wait_until
 
 #: All hosts know so soon that the store is back, in seconds: callers that were
 #: told to come back in a second must be accepted then.
@@ -34,24 +34,24 @@
     def test_all_hosts_know_at_once(self) -> None:
         """Three seconds of silence have lengthened their timeouts."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
-            bench.rows.apply((), (RowPut('op', 'config', content),), ())
+            testbed.rows.apply((), (RowPut('op', 'config', content),), ())
             hosts = [
-                make_host(bench, f'h{number}', bench.store_address)
+                make_host(testbed, f'h{number}', testbed.store_address)
                 for number in range(4)
             ]
             for host in hosts:
                 await host.app.start()
-                bench.closers.append(host.app.stop)
-            await until(lambda: all(host.is_ready for host in hosts))
-            bench.store_server.connections.paused = True
+                testbed.closers.append(host.app.stop)
+            await wait_until(lambda: all(host.is_ready for host in hosts))
+            testbed.store_server.connections.paused = True
             await asyncio.sleep(3)
-            bench.store_server.connections.paused = False
+            testbed.store_server.connections.paused = False
             await asyncio.sleep(KNOWN_S)
             self.assertTrue(all(host.is_ready for host in hosts))
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class LeaderTest(unittest.TestCase):
