--- a/tests/support.py
+++ b/tests/support.py
@@ -33,7 +33,7 @@
 settings.load_profile(os.environ.get('HYPOTHESIS_PROFILE', 'ci'))
 
 #: Steps of the event loop after which tasks count as spinning.
-MOST_STEPS = 20_000
+MAX_LOOP_STEPS = 20_000
 
 Result = TypeVar('Result')
 
@@ -67,16 +67,16 @@
     async def advance(self, seconds_s: float) -> None:
         """Move time on, waking each sleeper at its own moment."""
         end_s = self._now_s + seconds_s
-        await settle()
+        await run_until_idle()
         while self._sleepers and self._sleepers[0][0] <= end_s:
             until_s, _, future = heapq.heappop(self._sleepers)
             if future.done():
                 continue
             self._now_s = max(self._now_s, until_s)
             future.set_result(None)
-            await settle()
+            await run_until_idle()
         self._now_s = end_s
-        await settle()
+        await run_until_idle()
 
     async def until(
         self,
@@ -86,17 +86,17 @@
     ) -> None:
         """Move time on until something holds; fail if it never does."""
         end_s = self._now_s + within_s
-        await settle()
+        await run_until_idle()
         while not condition():
             if self._now_s >= end_s:
                 raise AssertionError(f'not within {within_s} s')
             await self.advance(0.05)
 
 
-async def settle() -> None:
+async def run_until_idle() -> None:
     """Let every task that can run do so."""
     loop: Any = asyncio.get_running_loop()
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_LOOP_STEPS):
         await asyncio.sleep(0)
         # asyncio offers no other way to see that nothing is left to run.
         if not loop._ready:  # noqa: SLF001
@@ -252,7 +252,7 @@
     return board
 
 
-def wait_on(board: Board, job: Job, since_s: float = 0) -> Waiting:
+def enqueue_job(board: Board, job: Job, since_s: float = 0) -> Waiting:
     """Let a job wait on a board."""
     waiting = Waiting(job=job, since_s=since_s)
     board.queue.add(waiting)
@@ -269,10 +269,10 @@
     'EmbeddedTable',
     'EmbeddedWorker',
     'ManualClock',
+    'enqueue_job',
     'make_board',
     'make_job',
     'members_on',
     'run',
-    'settle',
-    'wait_on',
+    'run_until_idle',
 )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,7 +24,7 @@
 from curranthill.protocol import Channels, InnerServer, inner_pb2
 from curranthill.protocol.calls import call_probe
 from curranthill.settings import MembershipSettings
-from tests.support import ManualClock, run, settle
+from tests.support import ManualClock, run, run_until_idle
 
 _NEWS = st.builds(
     Member,
@@ -195,11 +195,11 @@
             jobs = [f'j{number}' for number in range(300)]
             for job_id in jobs[:40]:
                 notifier.notify('dc', job_id)
-            await settle()
+            await run_until_idle()
             for job_id in jobs[40:]:
                 notifier.notify('dc', job_id)
             channels.gate.set()
-            await settle()
+            await run_until_idle()
             self.assertEqual(channels.told, jobs)
             await app.stop()
 
--- a/tests/test_own_starvation.py
+++ b/tests/test_own_starvation.py
@@ -5,7 +5,7 @@
 from curranthill.jobs import Job
 from curranthill.scheduler import policies
 from curranthill.scheduler.turns import SHORTEST_TURN_S
-from tests.support import make_board, make_job, members_on, wait_on
+from tests.support import enqueue_job, make_board, make_job, members_on
 
 #: How long what fits may wait for a gang that waits for overdue work, in
 #: seconds.
@@ -33,7 +33,7 @@
     def occupy(self, job: Job, worker: str) -> None:
         """Run a job on a worker; it ends when it is released."""
         self.board.place(
-            wait_on(self.board, job, self.now_s),
+            enqueue_job(self.board, job, self.now_s),
             members_on((worker, job.slots)),
             hard=True,
             now_s=self.now_s,
@@ -45,7 +45,7 @@
         self._number += 1
         name = f'stream-{self._number}'
         job = make_job(name, workspace='b', run_time_s=10.0)
-        wait_on(self.board, job, self.now_s)
+        enqueue_job(self.board, job, self.now_s)
 
     def step(self) -> set[str]:
         """Go on by a second; return the jobs that start."""
@@ -88,7 +88,7 @@
     player = Player()
     player.occupy(make_job('long', slots=8, run_time_s=run_s), 'r0-w0')
     gang = make_job('gang', slots=BOTH, run_time_s=gang_s)
-    wait_on(player.board, gang, 1.0)
+    enqueue_job(player.board, gang, 1.0)
     player.now_s = 400.0
     player.step()
     return player
@@ -101,7 +101,7 @@
         """The gang keeps the idle worker for a while, not for ever."""
         player = wait_for_overdue(run_s=10.0)
         small = make_job('small', run_time_s=1.0)
-        wait_on(player.board, small, player.now_s)
+        enqueue_job(player.board, small, player.now_s)
         self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
 
     def test_each_later_job_starts_in_time_as_well(self) -> None:
@@ -110,7 +110,7 @@
         for number in range(20):
             job_id = f'small-{number}'
             small = make_job(job_id, run_time_s=1000.0)
-            wait_on(player.board, small, player.now_s)
+            enqueue_job(player.board, small, player.now_s)
             self.assertIsNotNone(player.started_s(job_id, MOST_WAIT_S))
             player.board.release(job_id)
 
@@ -120,28 +120,28 @@
         for number in range(3):
             workspace = f'other-{number}'
             gang = make_job(workspace, slots=BOTH, workspace=workspace)
-            wait_on(player.board, gang, -1000.0)
+            enqueue_job(player.board, gang, -1000.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(player.board, small, player.now_s)
+        enqueue_job(player.board, small, player.now_s)
         self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
 
     def test_a_long_gang_keeps_workers_for_no_longer(self) -> None:
         """How long it will run does not count, only how long it waits."""
         player = wait_for_overdue(run_s=10.0, gang_s=20.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(player.board, small, player.now_s)
+        enqueue_job(player.board, small, player.now_s)
         self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
 
     def test_what_ends_before_long_work_starts_beside_it(self) -> None:
         """It ends before the gang is expected to start."""
         player = wait_for_overdue(run_s=9000.0)
-        wait_on(player.board, make_job('small', run_time_s=1.0), 400.0)
+        enqueue_job(player.board, make_job('small', run_time_s=1.0), 400.0)
         self.assertIsNotNone(player.started_s('small', MOST_WAIT_S))
 
     def test_what_ends_after_long_work_waits(self) -> None:
         """The worker is kept as long as the estimate holds."""
         player = wait_for_overdue(run_s=2000.0)
-        wait_on(player.board, make_job('small', run_time_s=5000.0), 400.0)
+        enqueue_job(player.board, make_job('small', run_time_s=5000.0), 400.0)
         self.assertIsNone(player.started_s('small', 1500.0))
 
     def test_a_gang_starts_soon_after_the_overdue_job_has_ended(self) -> None:
@@ -177,7 +177,7 @@
             run_time_s=1.0,
             preemptions=preemptions,
         )
-        wait_on(player.board, gang, player.now_s)
+        enqueue_job(player.board, gang, player.now_s)
         started_s = player.started_s('gang', within_s, streaming=True)
         self.assertIsNotNone(started_s)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,10 +22,10 @@
 from curranthill.scheduler.victims import choose_victims
 from tests.support import (
     ManualClock,
+    enqueue_job,
     make_board,
     make_job,
     members_on,
-    wait_on,
 )
 
 SHAPES = {
@@ -138,7 +138,7 @@
             checkpointable=checkpointable,
             preemptions=preemptions,
         )
-        wait_on(self.board, job, self.now_s)
+        enqueue_job(self.board, job, self.now_s)
         self.decide()
 
     @rule(place=st.integers(min_value=0, max_value=99))
@@ -171,7 +171,7 @@
             before[decision.job.job_id] = decision.job
             for victim in decision.victims:
                 job = before[victim]
-                wait_on(
+                enqueue_job(
                     self.board,
                     job._replace(preemptions=job.preemptions + 1),
                     self.now_s,
@@ -270,9 +270,9 @@
         board = promised_board()
         policy = policies.get('guarantees')(5)
         for number in range(8):
-            wait_on(board, shaped(f'dc-{number}', 'casework', 'block'))
+            enqueue_job(board, shaped(f'dc-{number}', 'casework', 'block'))
         self.assertEqual(len(policy.decide(board, 1)), 8)
-        wait_on(board, shaped('dc-audit', 'audit', 'pair'))
+        enqueue_job(board, shaped('dc-audit', 'audit', 'pair'))
         (decision,) = policy.decide(board, 2)  # noqa: WPS460
         self.assertTrue(decision.guaranteed)
         self.assertEqual(len(decision.victims), 2)
@@ -282,12 +282,12 @@
         board = promised_board()
         policy = policies.get('guarantees')(5)
         for number in range(64):
-            wait_on(board, shaped(f'dc-{number}', 'casework', 'single'))
+            enqueue_job(board, shaped(f'dc-{number}', 'casework', 'single'))
         policy.decide(board, 1)
         for number, (workspace, shape) in enumerate(
             [('audit', 'pair'), ('audit', 'quad'), ('ledger', 'rack')],
         ):
-            wait_on(board, shaped(f'dc-g{number}', workspace, shape))
+            enqueue_job(board, shaped(f'dc-g{number}', workspace, shape))
         restored = {
             decision.job.job_id
             for decision in policy.decide(board, 2)
@@ -301,7 +301,7 @@
         policy = policies.get('guarantees')(5)
         for number in range(64):
             job = shaped(f'dc-{number}', 'casework', 'single', idempotent=False)
-            wait_on(board, job)
+            enqueue_job(board, job)
         # 64 slots less 16, 8 and 32 that are promised.
         self.assertEqual(len(policy.decide(board, 1)), 8)
 
@@ -309,8 +309,10 @@
         """A checkpointed task goes before one that would lose its work."""
         board = make_board(racks=1, workers=1)
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'casework', 'quad'))
-        wait_on(board, shaped('dc-2', 'casework', 'quad', checkpointable=True))
+        enqueue_job(board, shaped('dc-1', 'casework', 'quad'))
+        enqueue_job(
+            board, shaped('dc-2', 'casework', 'quad', checkpointable=True)
+        )
         policy.decide(board, 1)
         victims = choose_victims(board, members_on(('r0-w0', 4)), 100)
         self.assertEqual(victims, ('dc-2',))
@@ -333,7 +335,7 @@
         """The end of borrowed work that stood in the way restores it."""
         board = promised_board({'ledger': [('rack', 1)]})
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'audit', 'rack', idempotent=False))
+        enqueue_job(board, shaped('dc-1', 'audit', 'rack', idempotent=False))
         policy.decide(board, 1)
         lost = next(
             worker
@@ -352,7 +354,7 @@
         policy = policies.get('guarantees')(2)
         for number in range(8):
             job = shaped(f'dc-{number}', 'casework', 'block', preemptions=2)
-            wait_on(board, job)
+            enqueue_job(board, job)
         placed = policy.decide(board, 1)
         self.assertEqual(len(placed), 8)
         stay = [one for one in board.placed.values() if one.hard]
@@ -372,10 +374,10 @@
             for _ in range(3):
                 number += 1
                 job = shaped(f'dc-{number}', 'casework', 'single')
-                wait_on(board, job._replace(run_time_s=10), second)
+                enqueue_job(board, job._replace(run_time_s=10), second)
             if second == 20:
                 gang = shaped('dc-gang', 'foundations', 'rack')
-                wait_on(board, gang._replace(run_time_s=5), second)
+                enqueue_job(board, gang._replace(run_time_s=5), second)
             for job_id, end in list(ends.items()):
                 if end <= second:
                     board.release(job_id)
@@ -394,11 +396,11 @@
         """A job that ends before the gang could start may pass it."""
         board = make_board(racks=1)
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'a', 'block', run_time_s=1000))
+        enqueue_job(board, shaped('dc-1', 'a', 'block', run_time_s=1000))
         policy.decide(board, 0)
-        wait_on(board, shaped('dc-2', 'b', 'rack', run_time_s=10))
-        wait_on(board, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
-        wait_on(board, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
+        enqueue_job(board, shaped('dc-2', 'b', 'rack', run_time_s=10))
+        enqueue_job(board, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
+        enqueue_job(board, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
         placed = {decision.job.job_id for decision in policy.decide(board, 161)}
         self.assertEqual(placed, {'dc-3'})
 
@@ -408,11 +410,11 @@
         one_rack = document({'ledger': [('pair', 1)]})
         board.plan.configure(one_rack, 'dc')
         policy = policies.get('guarantees')(5)
-        wait_on(board, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
+        enqueue_job(board, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
         policy.decide(board, 1)
-        wait_on(board, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
+        enqueue_job(board, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
         policy.decide(board, 500)
-        wait_on(board, shaped('dc-3', 'casework', 'block'), 500)
+        enqueue_job(board, shaped('dc-3', 'casework', 'block'), 500)
         placed = [one.job.job_id for one in policy.decide(board, 502)]
         self.assertEqual(placed, ['dc-3'])
 
@@ -428,9 +430,9 @@
     def test_fifo_first_fit_lets_the_head_block(self) -> None:
         """The baseline does what its name says."""
         board = make_board(racks=1, workers=1)
-        wait_on(board, shaped('dc-1', 'a', 'quad'), 1)
-        wait_on(board, shaped('dc-2', 'a', 'block'), 2)
-        wait_on(board, shaped('dc-3', 'a', 'quad'), 3)
+        enqueue_job(board, shaped('dc-1', 'a', 'quad'), 1)
+        enqueue_job(board, shaped('dc-2', 'a', 'block'), 2)
+        enqueue_job(board, shaped('dc-3', 'a', 'quad'), 3)
         strict = policies.get('fifo_first_fit')(5)
         self.assertEqual(len(strict.decide(board, 4)), 1)
         skipping = policies.get('fifo_skipping')(5)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,10 +9,10 @@
 from curranthill.storage import HostEntry
 from tests.support import (
     ManualClock,
+    enqueue_job,
     make_board,
     make_job,
     members_on,
-    wait_on,
 )
 
 STAYING = HostEntry('w', 'worker', 'dc', 'a', 'r', 8)
@@ -48,7 +48,7 @@
 
     def hold(self) -> None:
         """Have a job hold the worker, so that it is not removed."""
-        waiting = wait_on(self.board, make_job('held'))
+        waiting = enqueue_job(self.board, make_job('held'))
         self.board.place(
             waiting,
             members_on(('w', 1)),
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -34,7 +34,7 @@
     granted_pool,
 )
 from curranthill.workers import QuickReply, QuickRequest, Worker
-from tests.support import ManualClock, run, settle
+from tests.support import ManualClock, run, run_until_idle
 
 CONNECTIONS = 64
 GATEWAYS = 4
@@ -123,13 +123,13 @@
                 served.append(workspace)
 
             tasks = [asyncio.create_task(ask('burst')) for _ in range(20)]
-            await settle()
+            await run_until_idle()
             tasks.append(asyncio.create_task(ask('other')))
-            await settle()
+            await run_until_idle()
             for _ in range(21):
                 room.append(PooledWorker(name='w', address='w', slots=1))
                 queue.serve()
-                await settle()
+                await run_until_idle()
             self.assertEqual(served.index('other'), 1)
             self.assertEqual(len(served), 21)
             self.assertEqual(len(queue), 0)
@@ -143,15 +143,15 @@
         async def case() -> None:
             queue = FairQueue(bound=1, take=lambda excluded: None)
             first = asyncio.create_task(queue.acquire('a', frozenset()))
-            await settle()
+            await run_until_idle()
             with self.assertRaises(QueueFullError):
                 await queue.acquire('a', frozenset())
             other = asyncio.create_task(queue.acquire('b', frozenset()))
-            await settle()
+            await run_until_idle()
             self.assertEqual(len(queue), 2)
             for task in (first, other):
                 task.cancel()
-            await settle()
+            await run_until_idle()
             self.assertEqual(len(queue), 0)
 
         run(case())
