--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -129,7 +129,7 @@
             in_force_s=settings.timing.in_force_s,
         )
         self._health = StoreHealth(clock=clock)
-        self._store.absence.on_end(self._health.answered)
+        self._store.outage.on_end(self._health.answered)
         self._election = Election(
             store=self._store,
             clock=clock,
@@ -182,7 +182,7 @@
             client=self._client,
             paths=self._paths,
             clock=clock,
-            absence=self._store.absence,
+            outage=self._store.outage,
         )
         self.app.spawn(self._peers.run(), name='peers')
         self.app.spawn(probe.run(), name='probe')
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -139,13 +139,13 @@
         client: HttpClient,
         paths: StorePaths,
         clock: Clock,
-        absence: StoreAbsence,
+        outage: StoreAbsence,
     ) -> None:
         """Share the connections to the store."""
         self._client = client
         self._paths = paths
         self._clock = clock
-        self._absence = absence
+        self._outage = outage
 
     async def run(self) -> None:
         """Try the straight way while it is not known to be open."""
@@ -153,7 +153,7 @@
         try:
             while True:
                 await self._clock.sleep(self._interval_s)
-                if self._absence.is_away or not self._paths.is_direct:
+                if self._outage.is_away or not self._paths.is_direct:
                     # Beside one that hangs: it may have been sent too early.
                     one = asyncio.ensure_future(self._try_direct())
                     tries.add(one)
@@ -164,7 +164,7 @@
 
     @property
     def _interval_s(self) -> float:
-        away = self._absence.is_away
+        away = self._outage.is_away
         return AWAY_INTERVAL_S if away else PROBE_INTERVAL_S
 
     async def _try_direct(self) -> None:
@@ -187,7 +187,7 @@
             # Its way stays what it is; the change of way was logged.
             return
         self._paths.answered(direct)
-        self._absence.answered()
+        self._outage.answered()
 
 
 __all__ = ('StoreProbe', 'StoreRelay')
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -99,7 +99,7 @@
     """Rows over the platform's HTTP calls.
 
     :param paths: the way that calls take, which changes when they fail.
-    :param absence: whether the store is away; each call tells.
+    :param outage: whether the store is unavailable; each call updates it.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         """Keep the paths."""
         self._client = client
         self._paths = paths
-        self.absence = StoreAbsence(clock=clock)
+        self.outage = StoreAbsence(clock=clock)
         self._commit_timeout = ReplyTimeout()
         self._read_timeout = ReplyTimeout()
         self._page_timeout = ReplyTimeout(shortest_s=PAGE_TIMEOUT_S)
@@ -271,12 +271,12 @@
             raise
         except StorageError:
             self._paths.failed(address)
-            self.absence.failed()
+            self.outage.failed()
             raise
         finally:
             call.cancel()
         self._paths.answered(address)
-        self.absence.answered()
+        self.outage.answered()
         return answer
 
     async def _receive(
@@ -304,7 +304,7 @@
         What was asked while it was away is not answered any more. An answer
         that has begun is on its way, and is received.
         """
-        back = asyncio.ensure_future(self.absence.ended())
+        back = asyncio.ensure_future(self.outage.ended())
         try:
             await asyncio.wait(
                 (call, back),
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -213,7 +213,7 @@
                 client=testbed.client,
                 paths=hosts.paths,
                 clock=testbed.clock,
-                absence=hosts.store.absence,
+                outage=hosts.store.outage,
             )
             probing = asyncio.ensure_future(probe.run())
             await asyncio.sleep(0.7)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -212,9 +212,9 @@
             size = put_configuration(testbed, 4200, BEFORE + 1)
             arriving = asyncio.ensure_future(host.seconds_until(BEFORE + 1))
             await asyncio.sleep(AWAY_S)
-            host.store.absence.failed()
+            host.store.outage.failed()
             await asyncio.sleep(AWAY_S)
-            host.store.absence.answered()
+            host.store.outage.answered()
             self.assertLess(await arriving, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * TIMES_SENT)
 
