--- a/src/curranthill/commands/host.py
+++ b/src/curranthill/commands/host.py
@@ -43,7 +43,7 @@
         fail(error.message, WRONG_USE)
     if check_settings:
         return
-    run_host(read, without=switched_off)
+    run_host(read, disabled=switched_off)
 
 
 def main() -> None:
--- a/src/curranthill/platform/__init__.py
+++ b/src/curranthill/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the users' platform and the product; decides nothing."""
+"""Adapter between the users' platform and the scheduler, without policy."""
 
 from curranthill.platform.host import HostDaemon
 from curranthill.platform.settings import (
--- a/src/curranthill/platform/advisor.py
+++ b/src/curranthill/platform/advisor.py
@@ -1,4 +1,7 @@
-"""The platform's service that says which workers may run a step."""
+"""Client of the platform's placement advisor.
+
+The advisor is a service that decides which workers may run a step.
+"""
 
 from typing import Final
 
@@ -13,32 +16,35 @@
 )
 from curranthill.storage.rows import MalformedRecordError
 
-#: The longest wait for an answer, in seconds: a few questions of other hosts
-#: may stand before ours.
+#: The timeout of a request, in seconds. The advisor may have a few requests of
+#: other hosts queued before this one.
 ADVICE_TIMEOUT_S: Final = 3.0
 
 _OK: Final = 200
 
 
 class AdviceFields(msgspec.Struct):
-    """Which workers may run a step, each with its ticket."""
+    """The workers that may run a step, each with its ticket."""
 
     good: list[tuple[str, str]]
     validity_ms: Measure
 
 
 class PlatformAdvisor:
-    """Asks over HTTP."""
+    """Requests advice over HTTP."""
 
     def __init__(self, *, client: HttpClient, address: str) -> None:
-        """Keep the address."""
+        """Initialize with the address of the advisor."""
         self._client = client
         self._address = address
 
     async def ask(self, step_name: str, workers: tuple[str, ...]) -> Advice:
-        """Return tickets for those of the workers that may run a step."""
+        """Return tickets for those of the given workers that may run a step.
+
+        :raises AdvisorError: if there is no valid response.
+        """
         try:
-            answer = await self._client.call(
+            response = await self._client.call(
                 'POST',
                 f'http://{self._address}/curranthill/advise',
                 timeout_s=ADVICE_TIMEOUT_S,
@@ -46,10 +52,10 @@
             )
         except (RequestNotSentError, ResponseLostError) as error:
             raise self._error(str(error)) from error
-        if answer.status != _OK:
-            raise self._error(f'status {answer.status}')
+        if response.status != _OK:
+            raise self._error(f'status {response.status}')
         try:
-            fields = decode_fields(answer.body, AdviceFields, step='advise')
+            fields = decode_fields(response.body, AdviceFields, step='advise')
         except MalformedRecordError as error:
             raise self._error(error.message) from error
         return Advice(
@@ -59,7 +65,7 @@
 
     def _error(self, reason: str) -> AdvisorError:
         return AdvisorError(
-            f'The advisor did not answer: {reason}.',
+            f'No valid response from the advisor: {reason}.',
             step='advise',
             peer=self._address,
         )
--- a/src/curranthill/platform/front.py
+++ b/src/curranthill/platform/caller_api.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests, translated into calls of the desk."""
+"""The HTTP API for callers, translated into calls of the job handler."""
 
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
@@ -14,10 +14,10 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: How long a caller waits that does not say so, in seconds.
-PATIENCE_S: Final = 3.0
+#: The default and maximum timeout of a caller, in seconds.
+MAX_TIMEOUT_S: Final = 3.0
 
-#: When to come back to a host that must read its configuration first, in
+#: The ``Retry-After`` of a host that must read its configuration first, in
 #: seconds.
 UNREAD_RETRY_S: Final = 1.0
 
@@ -25,8 +25,9 @@
 
 
 class Target(NamedTuple):
-    """What a request is about.
+    """The queue, workspace and job that a request addresses.
 
+    :param workspace: empty if a public queue was called without a known key.
     :param job_id: empty for a request about the whole queue.
     """
 
@@ -35,38 +36,39 @@
     job_id: str
 
 
-class Front:
-    """Answers callers.
+class CallerApi:
+    """Serves callers' HTTP requests.
 
-    :param count_afresh: tells whether the leader's counts may be old.
-    :param pauses: is looked at before each request.
+    :param counts_outdated: returns whether the leader's counts may be outdated.
+    :param pauses: checked for a suspension of this host before each request.
+    :ivar closing: whether each response closes its connection.
     """
 
     def __init__(
         self,
         *,
-        desk: Desk,
+        job_handler: Desk,
         revisions: RevisionFollower,
         clock: Clock,
-        count_afresh: Callable[[], bool],
+        counts_outdated: Callable[[], bool],
         pauses: PauseWatch,
     ) -> None:
-        """Keep what answers."""
+        """Initialize as not closing."""
         self._pauses = pauses
-        self._desk = desk
+        self._job_handler = job_handler
         self._revisions = revisions
         self._clock = clock
-        self._count_afresh = count_afresh
+        self._counts_outdated = counts_outdated
         self.closing = False
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request; refusals are logged and counted."""
         self._pauses.look()
         began_s = self._clock.monotonic_s()
         try:
-            response = await self._answer(request)
+            response = await self._dispatch(request)
         except RefusedError as refused:
-            response = _refusal(refused)
+            response = _error_response(refused)
             metrics.refusals.add(
                 1,
                 {'status': refused.status, 'step': refused.step},
@@ -86,42 +88,47 @@
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _dispatch(self, request: web.BaseRequest) -> web.Response:
         revision = await self._revision()
         target = _target(request, revision)
         if request.method == 'POST' and target.job_id:
             return await self._submit(request, revision, target)
         if request.method == 'DELETE' and target.job_id:
-            found = await self._desk.cancel(target.job_id)
+            found = await self._job_handler.cancel(target.job_id)
             return _json({}) if found else _no_such_job(target)
         if request.method == 'GET' and target.job_id:
-            state = await self._desk.state(target.job_id)
+            state = await self._job_handler.state(target.job_id)
             if state is None:
                 return _no_such_job(target)
             return _json({'state': state})
         if request.method == 'GET':
-            count = await self._desk.pending(
+            count = await self._job_handler.pending(
                 target.queue,
-                count_afresh=self._count_afresh(),
+                count_afresh=self._counts_outdated(),
             )
             return _json({'pending': count})
         raise RefusedError(
-            f'{request.method} is not understood here.',
+            f'Method {request.method} is not allowed here.',
             step='route',
             status=405,
         )
 
     async def _revision(self) -> Revision:
-        """Return the configuration to go by.
+        """Return the configuration to apply to a request.
 
-        :raises RefusedError: if there is none yet, or none since a pause, or
-            if it may have been replaced for longer than changes may take.
+        :raises RefusedError: if none has been read yet or since the last
+            suspension of this host, or if it may be out of date for longer
+            than a change may take to come into force.
         """
         revision = self._revisions.current
         if revision is None or not await self._revisions.checked():
-            raise _unread('This host has not read its configuration yet.')
+            raise _configuration_unread(
+                'This host has not read its configuration yet.'
+            )
         if not self._revisions.is_fresh:
-            raise _unread('The configuration of this host may be outdated.')
+            raise _configuration_unread(
+                'The configuration of this host may be outdated.'
+            )
         return self._revisions.current or revision
 
     async def _submit(
@@ -131,9 +138,9 @@
         target: Target,
     ) -> web.Response:
         body = await _read_body(request, revision.limits.body_bytes)
-        spec = self._spec(body, target)
+        spec = self._parse_job(body, target)
         began_s = self._clock.monotonic_s()
-        await self._desk.accept(spec, _patience_s(request))
+        await self._job_handler.accept(spec, _timeout_s(request))
         took_s = self._clock.monotonic_s() - began_s
         metrics.accepted.add(1, {'queue': target.queue.name})
         metrics.accept_s.record(took_s)
@@ -144,21 +151,21 @@
             priority=target.queue.priority,
             workspace=target.workspace,
             revision=revision.number,
-            steps=[_summary(step) for step in spec.steps],
+            steps=[_log_fields(step) for step in spec.steps],
             objective_s=round(spec.objective_s - spec.accepted_at_s, 2),
             took_s=round(took_s, 4),
         )
         return _json({})
 
-    def _spec(self, body: bytes, target: Target) -> JobSpec:
+    def _parse_job(self, body: bytes, target: Target) -> JobSpec:
         try:
             submitted = msgspec.json.decode(body, type=SubmittedJob)
             steps = tuple(step_from(fields) for fields in submitted.steps)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            raise _bad_job(target, str(error)) from error
-        faults = faults_of(submitted.spec, steps, times=submitted.times)
-        if faults:
-            raise _bad_job(target, ' '.join(faults))
+            raise _invalid_job(target, str(error)) from error
+        problems = faults_of(submitted.spec, steps, times=submitted.times)
+        if problems:
+            raise _invalid_job(target, ' '.join(problems))
         return JobSpec(
             job_id=target.job_id,
             queue=target.queue,
@@ -173,9 +180,10 @@
 
 
 def _target(request: web.BaseRequest, revision: Revision) -> Target:
-    """Return the queue, workspace and job of a request.
+    """Return the queue, workspace and job that a request addresses.
 
-    :raises RefusedError: if there is no such queue or the key is unknown.
+    :raises RefusedError: if there is no such queue, or if the key is unknown
+        and the queue is not public.
     """
     host = request.headers.get('Host', '').split(':')[0]
     queue = revision.queue_for(host, request.path)
@@ -189,7 +197,7 @@
     key = authorization.removeprefix(_BEARER).strip()
     workspace = revision.workspace_of(key) if key else None
     if workspace is None and not queue.public:
-        raise RefusedError('The key is not known.', step='key', status=401)
+        raise RefusedError('The API key is unknown.', step='key', status=401)
     return Target(
         queue=queue,
         workspace=workspace.name if workspace else '',
@@ -198,9 +206,9 @@
 
 
 async def _read_body(request: web.BaseRequest, limit_bytes: int) -> bytes:
-    """Return a request's body.
+    """Return the body of a request.
 
-    :raises RefusedError: if it is too long.
+    :raises RefusedError: if it exceeds the limit.
     """
     body = b''
     async for chunk in request.content.iter_any():
@@ -214,7 +222,7 @@
     return body
 
 
-def _unread(reason: str) -> RefusedError:
+def _configuration_unread(reason: str) -> RefusedError:
     return RefusedError(
         reason,
         step='configuration',
@@ -223,24 +231,24 @@
     )
 
 
-def _summary(step: Step) -> dict[str, Any]:
-    """Return what a log line tells of a step: its fields that are set."""
+def _log_fields(step: Step) -> dict[str, Any]:
+    """Return the fields of a step that are set, for the log."""
     fields = step._asdict()
     fields['needs'] = list(step.needs)
     return {name: field for name, field in fields.items() if field}
 
 
-def _patience_s(request: web.BaseRequest) -> float:
+def _timeout_s(request: web.BaseRequest) -> float:
     try:
-        patience_s = float(request.headers['Deadline-Ms']) / 1000
+        timeout_s = float(request.headers['Deadline-Ms']) / 1000
     except (KeyError, ValueError):
-        return PATIENCE_S
-    return min(patience_s, PATIENCE_S)
+        return MAX_TIMEOUT_S
+    return min(timeout_s, MAX_TIMEOUT_S)
 
 
-def _bad_job(target: Target, reason: str) -> RefusedError:
+def _invalid_job(target: Target, reason: str) -> RefusedError:
     return RefusedError(
-        f'Job {target.job_id} cannot be understood: {reason}',
+        f'Job {target.job_id} is invalid: {reason}',
         step='read',
         status=400,
     )
@@ -251,7 +259,7 @@
     return _json({'error': f'There is no job {target.job_id}.'}, status=410)
 
 
-def _refusal(refused: RefusedError) -> web.Response:
+def _error_response(refused: RefusedError) -> web.Response:
     response = _json(
         {
             'error': refused.message,
@@ -274,4 +282,4 @@
     )
 
 
-__all__ = ('Front',)
+__all__ = ('CallerApi',)
--- a/src/curranthill/platform/configuration.py
+++ b/src/curranthill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and callers' jobs, decoded."""
+"""Decodes the operator's configuration and submitted jobs."""
 
 from typing import Any, Final
 
@@ -20,23 +20,23 @@
     WorkspacePromise,
 )
 
-#: Where the operator writes.
+#: The table that the operator writes to.
 TABLE: Final = 'op'
 
 _KEY: Final = 'config'
 
-#: Before the name of a data centre whose workers are to get nothing new.
+#: The key prefix of rows that close a data centre: no task starts there.
 _CLOSED_PREFIX: Final = 'evacuate/'
 
 
 class LimitFields(msgspec.Struct, frozen=True):
-    """What callers' requests may measure."""
+    """Limits on callers' requests."""
 
     max_body_bytes: Count = Limits().body_bytes
 
 
 class RouteFields(msgspec.Struct):
-    """One queue."""
+    """A queue as the operator writes it."""
 
     name: Name
     host: Name
@@ -51,7 +51,7 @@
 
 
 class TenantFields(msgspec.Struct):
-    """One workspace."""
+    """A workspace as the operator writes it."""
 
     name: Name
     api_keys: list[str] = []
@@ -59,7 +59,7 @@
 
 
 class ConfigurationFields(msgspec.Struct):
-    """The operator's configuration."""
+    """The whole configuration as the operator writes it."""
 
     version: Count
     routes: list[RouteFields]
@@ -68,9 +68,9 @@
 
 
 def decode_revision(row: StoredRow) -> Revision | None:
-    """Return the configuration of a row, or nothing for other rows.
+    """Return the configuration in a row, or nothing for other rows.
 
-    :raises MalformedRecordError: if it is not one.
+    :raises MalformedRecordError: if the configuration is malformed.
     """
     if row.key != _KEY or row.removed:
         return None
@@ -83,7 +83,7 @@
     return Revision(
         number=fields.version,
         queues=tuple(_queue(route) for route in fields.routes),
-        workspaces=tuple(_workspace(one) for one in fields.tenants),
+        workspaces=tuple(_workspace(tenant) for tenant in fields.tenants),
         limits=Limits(body_bytes=fields.limits.max_body_bytes),
     )
 
@@ -91,9 +91,9 @@
 def decode_closure(row: StoredRow) -> str | None:
     """Return the data centre that a row closes, or nothing for other rows.
 
-    The key says it all: whatever its content is, the row closes.
+    Only the key matters; the row closes the data centre whatever its content.
 
-    :raises MalformedRecordError: if it names none.
+    :raises MalformedRecordError: if the key names no data centre.
     """
     if not row.key.startswith(_CLOSED_PREFIX):
         return None
@@ -131,9 +131,9 @@
 
 
 class StepFields(msgspec.Struct):
-    """One step of a caller's job; absent fields are 0, false or empty.
+    """A step of a submitted job; absent fields are 0, false or empty.
 
-    :param max_per_server: for each worker and occurrence.
+    :param max_per_server: limit of tasks per worker and occurrence.
     """
 
     count: Count = 0
@@ -157,7 +157,7 @@
 
 
 class SubmittedJob(msgspec.Struct):
-    """A caller's job as it comes; absent fields are 0, false or empty."""
+    """A job as a caller submits it; absent fields are 0, false or empty."""
 
     spec: str = ''
     steps: list[StepFields] = []
@@ -167,7 +167,7 @@
 
 
 def step_from(fields: StepFields) -> Step:
-    """Return a step from its fields."""
+    """Return a step from its submitted fields."""
     return Step(
         width=fields.count,
         needs=Resources(
--- a/src/curranthill/platform/decoding.py
+++ b/src/curranthill/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes what others write into typed fields; nothing else may be raised."""
+"""Decodes JSON from other writers; any bad input raises one error type."""
 
 from typing import Annotated, TypeVar
 
@@ -8,16 +8,16 @@
 
 Fields = TypeVar('Fields')
 
-#: A text that names something.
+#: A non-empty name.
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
-#: A whole number of things that can't be owed.
+#: A non-negative integer.
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
-#: A time or another measure that is never below zero.
+#: A non-negative duration or other quantity.
 Measure = Annotated[float, msgspec.Meta(ge=0)]
 
-#: An IP number and a port.
+#: An IPv4 address and a port.
 SocketAddress = Annotated[
     str,
     msgspec.Meta(pattern=r'^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$'),
@@ -31,10 +31,13 @@
     step: str,
     peer: str = '',
 ) -> Fields:
-    """Return the fields of a record.
+    """Return a decoded record.
 
-    :param kind: tells required fields from optional ones, and their types.
-    :raises MalformedRecordError: if the record has other ones.
+    :param kind: the type to decode to, with its required and optional fields.
+    :param step: the step that an error names.
+    :param peer: the peer or row key that an error names.
+    :raises MalformedRecordError: if the content is not valid JSON or does not
+        match the type.
     """
     try:
         return msgspec.json.decode(content, type=kind)
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -21,12 +21,12 @@
 from curranthill.errors import SettingsError
 from curranthill.placement import ALL_ON
 from curranthill.platform.advisor import PlatformAdvisor
+from curranthill.platform.caller_api import CallerApi
 from curranthill.platform.configuration import (
     TABLE,
     decode_closure,
     decode_revision,
 )
-from curranthill.platform.front import Front
 from curranthill.platform.http_client import HttpClient
 from curranthill.platform.relay import StoreProbe, StoreRelay
 from curranthill.platform.settings import Address, PlatformSettings
@@ -56,17 +56,17 @@
     """All parts of one entry host.
 
     :param read_settings: reads the settings, at start and at each SIGHUP.
-    :param without: mechanisms of placement that are switched off.
+    :param disabled: placement mechanisms that are switched off.
     """
 
     def __init__(
         self,
         *,
         read_settings: Callable[[], PlatformSettings],
-        without: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = ALL_ON,
     ) -> None:
         """Build the parts; none runs yet."""
-        self._without = without
+        self._disabled = disabled
         settings = read_settings()
         self._read_settings = read_settings
         self._settings = settings
@@ -140,8 +140,8 @@
             others=lambda: len(self._peers.addresses),
         )
         self._pauses = PauseWatch(clock=clock, on_resume=self._resumed)
-        self._front = Front(
-            desk=Desk(
+        self._caller_api = CallerApi(
+            job_handler=Desk(
                 store=self._store,
                 clock=clock,
                 health=self._health,
@@ -149,7 +149,7 @@
             ),
             revisions=self._revisions,
             clock=clock,
-            count_afresh=self._may_count_wrongly,
+            counts_outdated=self._counts_may_be_outdated,
             pauses=self._pauses,
         )
         self.app.spawn(self._pauses.run(), name='pauses')
@@ -162,7 +162,10 @@
             signal.SIGHUP,
             self._reload,
         )
-        self._callers = await _serve(self._front.handle, settings.callers)
+        self._callers = await _serve(
+            self._caller_api.handle,
+            settings.callers,
+        )
         self._readiness = await _serve(self._ready, settings.readiness)
         self._metrics = await _serve(_show_metrics, settings.metrics)
         events.log('started', callers=settings.callers)
@@ -191,7 +194,7 @@
         """Turn callers away, hand leadership over, finish what was read."""
         events.log('stopping', leading=self._leader is not None)
         self._stopping = True
-        self._front.closing = True
+        self._caller_api.closing = True
         self._election.resign()
         most_s = self._settings.timing.grace_s * GRACE_SHARE
         await asyncio.gather(
@@ -236,7 +239,7 @@
                 client=self._client,
                 address=self._settings.advisor_address,
             ),
-            without=self._without,
+            without=self._disabled,
         )
         try:
             await self._leader.run()
@@ -263,7 +266,7 @@
     def _peer_addresses(self) -> tuple[str, ...]:
         return self._peers.addresses
 
-    def _may_count_wrongly(self) -> bool:
+    def _counts_may_be_outdated(self) -> bool:
         if self._leader is not None:
             return False
         return self._election.leader_silent_s > COUNT_AFRESH_S
--- a/src/curranthill/platform/http_client.py
+++ b/src/curranthill/platform/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP call to a service of the platform or to a worker."""
+"""HTTP requests to services of the platform and to workers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,34 +14,34 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: The longest a new connection may take, in seconds: a lost opening packet is
-#: sent again only later.
+#: The timeout for opening a connection, in seconds. A lost SYN packet would be
+#: sent again only later than that.
 CONNECT_TIMEOUT_S: Final = 0.5
 
-#: How long an answer that has begun may stand still, in seconds. Its length
-#: counts for nothing: a large one over a slow link is received to its end.
+#: The longest gap between two chunks of a response body, in seconds. The total
+#: time is not bounded, so that a large body arrives whole over a slow link.
 STALL_TIMEOUT_S: Final = 1.0
 
-#: The most bytes of an answer that are handed on at once: whoever passes them
-#: on over a slow link shows progress within a stall.
+#: The largest chunk of a response body, in bytes. A relay can forward such a
+#: chunk over a slow link within the stall timeout of the receiver.
 CHUNK_BYTES: Final = 32_768
 
-#: Only connecting is bounded by the library; see :meth:`HttpClient.open`.
+#: aiohttp only bounds connecting; see :meth:`HttpClient.open` for the rest.
 _TIMEOUT: Final = aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S)
 
 
 class RequestNotSentError(Exception):
-    """No connection was made, so nothing was asked."""
+    """No connection was made, so the request was not sent."""
 
 
 class ResponseLostError(Exception):
-    """The call was sent, and no whole answer came."""
+    """The request was sent, but no complete response arrived."""
 
 
 class HttpResponse(NamedTuple):
-    """A whole answer.
+    """A complete response.
 
-    :param first_byte_s: how long its first byte was waited for, in seconds.
+    :param first_byte_s: time until its headers arrived, in seconds.
     """
 
     status: int
@@ -50,9 +50,10 @@
 
 
 class StreamingResponse:
-    """An answer that has begun.
+    """A response whose headers have arrived and whose body may be streamed.
 
-    :param first_byte_s: how long its first byte was waited for, in seconds.
+    :param limit: the timeout of the request, rescheduled for each chunk.
+    :param first_byte_s: time until its headers arrived, in seconds.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         limit: asyncio.Timeout,
         first_byte_s: float,
     ) -> None:
-        """Take the limit over, which ended the wait so far."""
+        """Initialize with the request's timeout still running."""
         self.status = response.status
         self.length_bytes = response.content_length
         self.first_byte_s = first_byte_s
@@ -70,33 +71,33 @@
         self._limit = limit
         self._received_bytes = 0
 
-    async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives; a stall ends the call.
+    async def chunks(self) -> AsyncIterator[bytes]:
+        """Yield the body as it arrives; a stall aborts the request.
 
-        The time that the receiver takes for a part is no stall.
+        Time that the consumer spends on a chunk does not count as a stall.
         """
         began_s = uptime_s()
         try:
-            self._expect_part()
-            async for part in self._response.content.iter_chunked(CHUNK_BYTES):
-                self._received_bytes += len(part)
+            self._restart_stall_timeout()
+            async for chunk in self._response.content.iter_chunked(CHUNK_BYTES):
+                self._received_bytes += len(chunk)
                 self._limit.reschedule(None)
-                yield part
-                self._expect_part()
+                yield chunk
+                self._restart_stall_timeout()
         except BaseException as error:
-            self._tell_of_cut(uptime_s() - began_s, error)
+            self._report_interrupted(uptime_s() - began_s, error)
             raise
 
     async def read(self) -> HttpResponse:
-        """Return the whole answer."""
-        parts = [part async for part in self.parts()]
-        return HttpResponse(self.status, b''.join(parts), self.first_byte_s)
+        """Read the whole body and return the complete response."""
+        chunks = [chunk async for chunk in self.chunks()]
+        return HttpResponse(self.status, b''.join(chunks), self.first_byte_s)
 
-    def _expect_part(self) -> None:
+    def _restart_stall_timeout(self) -> None:
         now_s = asyncio.get_running_loop().time()
         self._limit.reschedule(now_s + STALL_TIMEOUT_S)
 
-    def _tell_of_cut(self, body_s: float, error: BaseException) -> None:
+    def _report_interrupted(self, body_s: float, error: BaseException) -> None:
         metrics.answers_cut.add(1)
         metrics.answer_bytes_cut.add(self._received_bytes)
         events.log(
@@ -110,21 +111,21 @@
 
 
 class HttpClient:
-    """Makes calls over connections that it keeps."""
+    """Sends HTTP requests over pooled connections."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Initialize without open connections."""
         self._pools = ConnectionPools()
 
     async def call(self, method: str, url: str, **options: Any) -> HttpResponse:
-        """Make one call and return its whole answer.
+        """Send one request and return its complete response.
 
-        :param options: those of :meth:`open`.
-        :raises RequestNotSentError: if nothing was asked.
+        :param options: the keyword arguments of :meth:`open`.
+        :raises RequestNotSentError: if the request was not sent.
         :raises ResponseLostError: if the effect is unknown.
         """
-        async with self.open(method, url, **options) as answer:
-            return await answer.read()
+        async with self.open(method, url, **options) as response:
+            return await response.read()
 
     @asynccontextmanager
     async def open(
@@ -137,10 +138,11 @@
         params: dict[str, str] | None = None,
         headers: dict[str, str] | None = None,
     ) -> AsyncIterator[StreamingResponse]:
-        """Make one call; enter once its answer has begun.
+        """Send one request; enter once its response headers have arrived.
 
-        :param timeout_s: until the answer must have begun, in seconds.
-        :raises RequestNotSentError: if nothing was asked.
+        :param timeout_s: how long to wait for the headers, in seconds.
+        :param fields: the request body, sent as JSON.
+        :raises RequestNotSentError: if the request was not sent.
         :raises ResponseLostError: if the effect is unknown.
         """
         sent_headers = dict(headers or {})
--- a/src/curranthill/platform/program.py
+++ b/src/curranthill/platform/program.py
@@ -1,7 +1,7 @@
-"""The host's program without a command line, as every machine runs it.
+"""The host program without a command-line parser, as deployed.
 
-Its libraries stay loaded for as long as the program runs, so this loads none
-that only the command line needs.
+Imported libraries stay in memory for the lifetime of the process, so this
+module imports none that only the command line needs.
 """
 
 import asyncio
@@ -24,39 +24,39 @@
 )
 from curranthill.telemetry.events import events
 
-#: The exit code of wrong use, that of the command lines.
-_WRONG_USE: Final = 2
+#: The exit code of a usage error, as in the command-line programs.
+_USAGE_ERROR: Final = 2
 
 
 def run_host(
     read_settings: Callable[[], PlatformSettings],
     *,
-    without: frozenset[str] = ALL_ON,
+    disabled: frozenset[str] = ALL_ON,
 ) -> None:
-    """Run an entry host until SIGTERM, then stop gracefully.
+    """Run an entry host until SIGTERM, then shut down gracefully.
 
-    :param without: mechanisms of placement that are switched off.
+    :param disabled: placement mechanisms that are switched off.
     :raises SettingsError: if the settings cannot be used.
     """
-    record = read_settings()
-    events.open(host=record.host, data_centre=record.data_centre)
-    daemon = HostDaemon(read_settings=read_settings, without=without)
+    settings = read_settings()
+    events.open(host=settings.host, data_centre=settings.data_centre)
+    daemon = HostDaemon(read_settings=read_settings, disabled=disabled)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(daemon.app.run())
 
 
 def settings_path() -> Path:
-    """Return where the platform puts the settings."""
+    """Return the settings file that the environment variable names."""
     return Path(os.environ.get(PATH_VARIABLE, ''))
 
 
 def main() -> None:
-    """Run a host with the platform's settings."""
+    """Run a host with the settings file that the platform names."""
     try:
         run_host(partial(read_platform_settings, settings_path()))
     except SettingsError as error:
         sys.stderr.write(f'{error.message}\n')
-        sys.exit(_WRONG_USE)
+        sys.exit(_USAGE_ERROR)
 
 
 __all__ = ('main', 'run_host', 'settings_path')
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -1,4 +1,4 @@
-"""Passes other hosts' calls on to the store, for hosts that have lost it."""
+"""Relays requests to the store for hosts that cannot reach it themselves."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -17,49 +17,51 @@
 from curranthill.platform.store import (
     PATH_PREFIX,
     UNANSWERED,
-    open_store_call,
+    open_store_request,
 )
 from curranthill.storage.absence import StoreAbsence
 from curranthill.storage.paths import StorePaths
 from curranthill.tasks import tables
 from curranthill.telemetry import metrics
 
-#: When the store's answer to a call that is passed on must have begun, in
-#: seconds: the longest wait of the host that asks, for a page or a feed.
+#: The timeout for the first byte of the store's response to a relayed request,
+#: in seconds. It equals the longest timeout of the requesting host, used for
+#: pages and for changes.
 RELAY_TIMEOUT_S: Final = 2.0
 
-#: How often the straight way is tried while another one is in use, in
-#: seconds: calls over a peer cost two more links each.
+#: How often the direct path is probed while requests go through a peer, in
+#: seconds. Each request through a peer crosses two more network links.
 PROBE_INTERVAL_S: Final = 0.5
 
-#: The same while no way is open, in seconds: callers that were refused come
-#: back after a second, and are accepted only by a host that knows.
-AWAY_INTERVAL_S: Final = 0.2
+#: The probe interval while the store is unavailable, in seconds. Refused
+#: callers retry after one second, and only a host that has noticed the end of
+#: the outage accepts them.
+OUTAGE_PROBE_INTERVAL_S: Final = 0.2
 
-#: When the answer to such a try must have begun, in seconds.
+#: The timeout for the first byte of the response to a probe, in seconds.
 PROBE_TIMEOUT_S: Final = 0.3
 
 _REFUSED: Final = 503
 
 
-class _PeerGoneError(Exception):
-    """The host that asked takes no more of its answer."""
+class _PeerDisconnectedError(Exception):
+    """The requesting host does not accept more of the response."""
 
 
 class StoreRelay:
-    """Answers peers with what the store says, and keeps nothing.
+    """Forwards peers' requests to the store without keeping any state.
 
-    :param paths: this host's own way; it passes calls on only while that is
-        the straight one, so that no call goes round.
+    :param paths: this host's own path to the store. Requests are only relayed
+        while it is the direct one, so that none is relayed in a circle.
     """
 
     def __init__(self, *, client: HttpClient, paths: StorePaths) -> None:
-        """Share the connections to the store."""
+        """Initialize with the client that the host's own requests use."""
         self._client = client
         self._paths = paths
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Pass one call on."""
+        """Relay one request and stream the response back."""
         if not self._paths.is_direct:
             return web.Response(status=_REFUSED)
         metrics.calls_relayed.add(1)
@@ -67,7 +69,7 @@
         direct = self._paths.direct
         response = web.StreamResponse()
         try:
-            async with open_store_call(
+            async with open_store_request(
                 self._client,
                 direct,
                 request.method,
@@ -75,63 +77,66 @@
                 timeout_s=RELAY_TIMEOUT_S,
                 fields=msgspec.Raw(body) if body else None,
                 params=dict(request.query),
-            ) as answer:
-                await _pass_back(answer, request, response)
-        except _PeerGoneError:
-            return _break_off(request, response)
+            ) as store_response:
+                await _stream_back(store_response, request, response)
+        except _PeerDisconnectedError:
+            return _abort(request, response)
         except StorageError as error:
             self._paths.failed(direct)
             if response.prepared:
-                return _break_off(request, response)
+                return _abort(request, response)
             refused = isinstance(error, NotSentError)
             return web.Response(status=_REFUSED if refused else UNANSWERED)
         self._paths.answered(direct)
         return response
 
 
-async def _pass_back(
-    answer: StreamingResponse,
+async def _stream_back(
+    store_response: StreamingResponse,
     request: web.BaseRequest,
     response: web.StreamResponse,
 ) -> None:
-    """Pass an answer back while it arrives.
+    """Forward a response to the peer while it arrives from the store.
 
-    :raises _PeerGoneError: if the peer takes no more of it.
+    :raises _PeerDisconnectedError: if the peer does not accept more of it.
     """
-    response.set_status(answer.status)
+    response.set_status(store_response.status)
     response.content_type = 'application/json'
-    response.content_length = answer.length_bytes
+    response.content_length = store_response.length_bytes
     await _send(response.prepare(request))
-    async for part in answer.parts():
-        metrics.bytes_relayed.add(len(part))
-        await _send(response.write(part))
+    async for chunk in store_response.chunks():
+        metrics.bytes_relayed.add(len(chunk))
+        await _send(response.write(chunk))
     await _send(response.write_eof())
 
 
-async def _send(step: Awaitable[object]) -> None:
-    """Do one step of an answer to a peer.
+async def _send(write: Awaitable[object]) -> None:
+    """Complete one write of a response to a peer.
 
-    Its errors must not be taken for those of the store's answer.
+    Its errors are translated so that they are not mistaken for errors of the
+    store's response.
+
+    :raises _PeerDisconnectedError: if the write fails or times out.
     """
     try:
         async with asyncio.timeout(STALL_TIMEOUT_S):
-            await step
+            await write
     except (TimeoutError, OSError) as error:
-        raise _PeerGoneError from error
+        raise _PeerDisconnectedError from error
 
 
-def _break_off(
+def _abort(
     request: web.BaseRequest,
     response: web.StreamResponse,
 ) -> web.StreamResponse:
-    """Let the peer know that it has no whole answer."""
+    """Close the connection so that the peer sees an incomplete response."""
     if request.transport is not None:
         request.transport.abort()
     return response
 
 
 class StoreProbe:
-    """Finds out when the straight way to the store is open again."""
+    """Probes the direct path to the store until it works again."""
 
     def __init__(
         self,
@@ -141,36 +146,37 @@
         clock: Clock,
         outage: StoreAbsence,
     ) -> None:
-        """Share the connections to the store."""
+        """Initialize with the client that the host's own requests use."""
         self._client = client
         self._paths = paths
         self._clock = clock
         self._outage = outage
 
     async def run(self) -> None:
-        """Try the straight way while it is not known to be open."""
-        tries: set[asyncio.Future[None]] = set()
+        """Probe until cancelled, while the direct path is not known to work."""
+        probes: set[asyncio.Future[None]] = set()
         try:
             while True:
                 await self._clock.sleep(self._interval_s)
                 if self._outage.is_away or not self._paths.is_direct:
-                    # Beside one that hangs: it may have been sent too early.
-                    one = asyncio.ensure_future(self._try_direct())
-                    tries.add(one)
-                    one.add_done_callback(tries.discard)
+                    # Probes overlap: one that hangs may have been sent just
+                    # before the path recovered.
+                    probe = asyncio.ensure_future(self._probe_direct())
+                    probes.add(probe)
+                    probe.add_done_callback(probes.discard)
         finally:
-            for under_way in tries:
-                under_way.cancel()
+            for unfinished in probes:
+                unfinished.cancel()
 
     @property
     def _interval_s(self) -> float:
-        away = self._outage.is_away
-        return AWAY_INTERVAL_S if away else PROBE_INTERVAL_S
+        unavailable = self._outage.is_away
+        return OUTAGE_PROBE_INTERVAL_S if unavailable else PROBE_INTERVAL_S
 
-    async def _try_direct(self) -> None:
+    async def _probe_direct(self) -> None:
         direct = self._paths.direct
         try:
-            async with open_store_call(
+            async with open_store_request(
                 self._client,
                 direct,
                 'GET',
@@ -181,10 +187,10 @@
                     'part': tables.LEADERS_PARTITION,
                     'limit': '1',
                 },
-            ) as answer:
-                await answer.read()
+            ) as response:
+                await response.read()
         except StorageError:
-            # Its way stays what it is; the change of way was logged.
+            # The path in use stays; its change was logged when it happened.
             return
         self._paths.answered(direct)
         self._outage.answered()
--- a/src/curranthill/platform/settings.py
+++ b/src/curranthill/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded."""
+"""Reads a host's settings from the file that the platform provides."""
 
 from pathlib import Path
 from typing import Any, Final, NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     ip: str
     port: int
@@ -26,14 +26,14 @@
 
 
 class PlatformSettings(NamedTuple):
-    """One host's settings.
-
-    :param callers: where callers' requests arrive.
-    :param readiness: where the balancer asks whether this host is ready.
-    :param metrics: where this process shows its metrics.
-    :param relay: where other hosts' calls are passed on to the store.
-    :param store_address: the platform's metadata store.
-    :param advisor_address: who knows which workers may run a step; or empty.
+    """The settings of one host.
+
+    :param callers: where the host serves callers.
+    :param readiness: where the host serves the load balancer's health checks.
+    :param metrics: where the host serves its metrics.
+    :param relay: where the host relays other hosts' requests to the store.
+    :param store_address: address of the platform's metadata store.
+    :param advisor_address: address of the placement advisor, or empty.
     """
 
     host: str
@@ -63,24 +63,25 @@
 
 
 def _settings(fields: dict[str, Any]) -> PlatformSettings:
-    listen = fields['bind_addrs']
+    addresses = fields['bind_addrs']
     return PlatformSettings(
         host=fields['node_name'],
         data_centre=fields['zone'],
-        callers=Address.parse(listen['front']),
-        readiness=Address.parse(listen['ready']),
+        callers=Address.parse(addresses['front']),
+        readiness=Address.parse(addresses['ready']),
         metrics=Address(fields['ip'], fields['port_range'][0]),
         relay=Address(fields['ip'], fields['port_range'][1]),
-        store_address=_plain(fields['platform']['address']),
-        advisor_address=_plain(fields.get('placement_advisor') or ''),
+        store_address=_without_tls(fields['platform']['address']),
+        advisor_address=_without_tls(fields.get('placement_advisor') or ''),
         timing=_timing(fields.get('bounds', {})),
     )
 
 
-def _plain(address: str) -> str:
+def _without_tls(address: str) -> str:
     """Return the address of a service that is called without TLS.
 
-    :raises ValueError: if TLS is asked for: hosts load no certificates.
+    :raises ValueError: if the address is a URL, as one for TLS would be. Hosts
+        load no certificates.
     """
     if '://' in address:
         raise ValueError(f'{address}: hosts speak plain HTTP to an IP:PORT')
@@ -88,20 +89,20 @@
 
 
 def _timing(bounds: dict[str, Any]) -> Timing:
-    plain = Timing()
+    defaults = Timing()
     return Timing(
-        lease_s=bounds.get('max_hold_ms', plain.lease_s * 1000) / 1000,
-        stop_s=bounds.get('stop_ms', plain.stop_s * 1000) / 1000,
+        lease_s=bounds.get('max_hold_ms', defaults.lease_s * 1000) / 1000,
+        stop_s=bounds.get('stop_ms', defaults.stop_s * 1000) / 1000,
         gang_timeout_s=bounds.get(
             'gang_timeout_ms',
-            plain.gang_timeout_s * 1000,
+            defaults.gang_timeout_s * 1000,
         )
         / 1000,
-        status_s=bounds.get('status_s', plain.status_s),
-        far_factor=bounds.get('far_x', plain.far_factor),
-        restore_s=bounds.get('restore_ms', plain.restore_s * 1000) / 1000,
-        grace_s=bounds.get('grace_s', plain.grace_s),
-        # Only bounds that the platform names are in force.
+        status_s=bounds.get('status_s', defaults.status_s),
+        far_factor=bounds.get('far_x', defaults.far_factor),
+        restore_s=bounds.get('restore_ms', defaults.restore_s * 1000) / 1000,
+        grace_s=bounds.get('grace_s', defaults.grace_s),
+        # These bounds apply only if the platform sets them.
         evacuate_s=bounds.get('evacuate_ms', 0.0) / 1000,
         in_force_s=bounds.get('config_apply_ms', 0.0) / 1000,
     )
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a :class:`RowStore`."""
+"""A :class:`RowStore` over the HTTP API of the platform's metadata store."""
 
 import asyncio
 import base64
@@ -40,32 +40,34 @@
 from curranthill.storage.timeouts import ReplyTimeout
 from curranthill.tasks import tables
 
-#: Tables that the platform, its operator and its workers write have no part.
+#: Tables that the platform, its operator and its workers write to. These are
+#: not partitioned.
 PLATFORM_TABLES: Final = frozenset(('op', 'servers', 'status'))
-PLATFORM_PART: Final = ''
+PLATFORM_PARTITION: Final = ''
 
-#: How long after the wait that was asked for a feed's answer must have begun,
-#: in seconds.
+#: The timeout of a long poll for changes beyond the requested wait, in seconds.
 FEED_SLACK_S: Final = 0.5
 
-#: The same after answers that did not come in time, in seconds: it doubles up
-#: to this, so that a congested link does not hold changes up for good.
-MOST_FEED_SLACK_S: Final = 2.0
+#: The slack doubles after each lost response up to this limit, in seconds, so
+#: that a congested link does not hold up changes indefinitely.
+MAX_FEED_SLACK_S: Final = 2.0
 
-#: Rows in one reading of a table. Parts that are read side by side share it.
+#: The largest number of rows in flight during a table scan. Partitions that are
+#: scanned concurrently share it.
 PAGE_ROWS: Final = 100
 
-#: When a page must have begun, in seconds: on a slow link the pages of other
-#: parts come before it.
+#: The minimum timeout for the first byte of a page, in seconds. On a slow link
+#: the pages of other partitions arrive before it.
 PAGE_TIMEOUT_S: Final = 1.5
 
-#: What the paths of the store's calls begin with.
+#: The path prefix of the store's API.
 PATH_PREFIX: Final = '/curranthill/'
 
-#: What a peer answers if it does not know whether the store did a call.
+#: The status that a relay returns when it lost the store's response, so that
+#: the effect of the request is unknown.
 UNANSWERED: Final = 504
 
-#: Statuses of calls that were refused, or of which nobody knows the effect.
+#: Statuses of requests that were refused or whose effect is unknown.
 _NO_OUTCOME: Final = frozenset((429, 503, UNANSWERED))
 
 _OK: Final = 200
@@ -74,7 +76,7 @@
 
 
 class RowFields(msgspec.Struct):
-    """One row; ``schema_ver`` is its own version, not that of a schema."""
+    """One row; ``schema_ver`` is the version of the row, not of a schema."""
 
     table: str
     key: str
@@ -84,22 +86,23 @@
 
 
 class RowsFields(msgspec.Struct):
-    """What the store answers to any call about rows."""
+    """The response to any request about rows."""
 
     schema_ver: Count = 0
     rows: list[RowFields] = []
     has_more: bool = False
 
 
-class StoreReturnedError(ReplyLostError):
-    """A call was given up because the store is back from an absence."""
+class StoreRecoveredError(ReplyLostError):
+    """A request was abandoned because an outage of the store has ended."""
 
 
 class PlatformStore:
-    """Rows over the platform's HTTP calls.
+    """Reads and writes rows over HTTP.
 
-    :param paths: the way that calls take, which changes when they fail.
-    :param outage: whether the store is unavailable; each call updates it.
+    :param paths: the path to the store, direct or through a peer; it changes
+        when a request fails.
+    :ivar outage: whether the store is unavailable, updated by each request.
     """
 
     def __init__(
@@ -109,7 +112,7 @@
         paths: StorePaths,
         clock: Clock,
     ) -> None:
-        """Keep the paths."""
+        """Initialize the timeouts and the outage tracking."""
         self._client = client
         self._paths = paths
         self.outage = StoreAbsence(clock=clock)
@@ -125,42 +128,44 @@
         puts: Sequence[RowPut] = (),
         removals: Sequence[RowRemoval] = (),
     ) -> int:
-        """Apply all or nothing and return the new version."""
+        """Apply all changes or none and return the new version."""
         fields = {
             'expected_rev': [
-                {**_name(one.table, one.key), 'schema_ver': one.version}
-                for one in checks
+                {**_row_id(check.table, check.key), 'schema_ver': check.version}
+                for check in checks
             ],
             'put': [
                 {
-                    **_name(one.table, one.key),
-                    'value': base64.b64encode(one.content).decode(),
+                    **_row_id(put.table, put.key),
+                    'value': base64.b64encode(put.content).decode(),
                 }
-                for one in puts
+                for put in puts
+            ],
+            'remove': [
+                _row_id(removal.table, removal.key) for removal in removals
             ],
-            'remove': [_name(one.table, one.key) for one in removals],
         }
-        answer = await self._timed(
+        response = await self._request_adaptively(
             self._commit_timeout,
             'POST',
             'rows-tx',
             fields=fields,
         )
-        if answer.status == _CONFLICT:
+        if response.status == _CONFLICT:
             raise RowConflictError(
                 'A row has another version than expected.',
                 step='commit',
                 peer=self._paths.address,
-                rows=_rows(self._fields(answer, 'commit')),
+                rows=_rows(self._decode(response, 'commit')),
             )
-        self._expect_ok(answer, 'commit')
-        return self._fields(answer, 'commit').schema_ver
+        self._expect_ok(response, 'commit')
+        return self._decode(response, 'commit').schema_ver
 
     async def read(self, table: str, key: str) -> StoredRow | None:
-        """Return one row or nothing."""
+        """Return one row, or nothing if there is no such row."""
         fields = await self._get(
             table,
-            {'part': _part_of(table, key), 'from': key, 'limit': '1'},
+            {'part': _partition_of(table, key), 'from': key, 'limit': '1'},
         )
         for row in _rows(fields):
             if row.key == key:
@@ -168,15 +173,15 @@
         return None
 
     async def scan(self, table: str) -> RowChanges:
-        """Return all rows of a table; its parts are read side by side."""
-        parts = tables.partitions_of(table)
+        """Return all rows of a table, scanning its partitions concurrently."""
+        partitions = tables.partitions_of(table)
         if table in PLATFORM_TABLES:
-            parts = (PLATFORM_PART,)
+            partitions = (PLATFORM_PARTITION,)
         scan = TableScan(
             read_page=partial(self._read_page, table),
-            page_rows=PAGE_ROWS // len(parts),
+            page_rows=PAGE_ROWS // len(partitions),
         )
-        return await scan.read(parts)
+        return await scan.read(partitions)
 
     async def _read_page(self, table: str, params: dict[str, str]) -> TablePage:
         fields = await self._get(table, params, self._page_timeout)
@@ -188,10 +193,13 @@
         after: int,
         wait_s: float,
     ) -> RowChanges:
-        """Return changes past a version, waiting for the first one."""
+        """Long-poll for the changes after a version.
+
+        :param wait_s: how long the store waits for a first change, in seconds.
+        """
         slack_s = self._feed_slack_s.pop(table, FEED_SLACK_S)
         try:
-            answer = await self._call(
+            response = await self._request(
                 'GET',
                 'rows-feed',
                 timeout_s=wait_s + slack_s,
@@ -202,16 +210,16 @@
                 },
             )
         except ReplyLostError:
-            self._feed_slack_s[table] = min(2 * slack_s, MOST_FEED_SLACK_S)
+            self._feed_slack_s[table] = min(2 * slack_s, MAX_FEED_SLACK_S)
             raise
-        if answer.status == _GONE:
+        if response.status == _GONE:
             raise HistoryLostError(
-                f'The history of {table} past {after} is gone.',
+                f'The history of {table} after {after} is no longer stored.',
                 step='changes',
                 peer=self._paths.address,
             )
-        self._expect_ok(answer, 'changes')
-        fields = self._fields(answer, 'changes')
+        self._expect_ok(response, 'changes')
+        fields = self._decode(response, 'changes')
         return RowChanges(_rows(fields), fields.schema_ver)
 
     async def _get(
@@ -220,29 +228,29 @@
         params: dict[str, str],
         timeout: ReplyTimeout | None = None,
     ) -> RowsFields:
-        answer = await self._timed(
+        response = await self._request_adaptively(
             timeout or self._read_timeout,
             'GET',
             'rows-get',
             params={'table': table, **params},
         )
-        self._expect_ok(answer, 'read')
-        return self._fields(answer, 'read')
+        self._expect_ok(response, 'read')
+        return self._decode(response, 'read')
 
-    async def _timed(
+    async def _request_adaptively(
         self,
         timeout: ReplyTimeout,
         method: str,
         path: str,
         **options: Any,
     ) -> HttpResponse:
-        """Make a call whose timeout follows the replies before it.
+        """Send a request whose timeout adapts to previous response times.
 
-        What counts is when they began: how long they were is no sign of how
-        long the store takes.
+        Only the time to the first byte counts, because the size of a response
+        says nothing about how fast the store responds.
         """
         try:
-            answer = await self._call(
+            response = await self._request(
                 method,
                 path,
                 timeout_s=timeout.seconds_s,
@@ -251,118 +259,125 @@
         except ReplyLostError:
             timeout.lost()
             raise
-        timeout.replied(answer.first_byte_s)
-        return answer
+        timeout.replied(response.first_byte_s)
+        return response
 
-    async def _call(
+    async def _request(
         self,
         method: str,
         path: str,
         **options: Any,
     ) -> HttpResponse:
         address = self._paths.address
-        begun = asyncio.Event()
-        call = asyncio.ensure_future(
-            self._receive(begun, address, method, path, **options),
+        started = asyncio.Event()
+        request = asyncio.ensure_future(
+            self._receive(started, address, method, path, **options),
         )
         try:
-            answer = await self._answer_or_return(call, begun, path)
-        except StoreReturnedError:
+            response = await self._response_or_recovery(request, started, path)
+        except StoreRecoveredError:
             raise
         except StorageError:
             self._paths.failed(address)
             self.outage.failed()
             raise
         finally:
-            call.cancel()
+            request.cancel()
         self._paths.answered(address)
         self.outage.answered()
-        return answer
+        return response
 
     async def _receive(
         self,
-        begun: asyncio.Event,
-        *call: str,
+        started: asyncio.Event,
+        *target: str,
         **options: Any,
     ) -> HttpResponse:
-        """Make a call and return its whole answer.
+        """Send a request and return its complete response.
 
-        :param begun: is set once it has begun.
+        :param started: is set once the response headers have arrived.
+        :param target: the address, the method and the path.
         """
-        async with open_store_call(self._client, *call, **options) as answer:
-            begun.set()
-            return await answer.read()
+        async with open_store_request(
+            self._client, *target, **options
+        ) as response:
+            started.set()
+            return await response.read()
 
-    async def _answer_or_return(
+    async def _response_or_recovery(
         self,
-        call: asyncio.Future[HttpResponse],
-        begun: asyncio.Event,
+        request: asyncio.Future[HttpResponse],
+        started: asyncio.Event,
         path: str,
     ) -> HttpResponse:
-        """Return the answer, unless the store was away and is back.
+        """Return the response unless an outage ends before it starts.
+
+        The store never responds to requests that it received during an
+        outage, so waiting longer is useless. A response that has started is
+        still received to its end.
 
-        What was asked while it was away is not answered any more. An answer
-        that has begun is on its way, and is received.
+        :raises StoreRecoveredError: if the outage ended first.
         """
-        back = asyncio.ensure_future(self.outage.ended())
+        recovery = asyncio.ensure_future(self.outage.ended())
         try:
             await asyncio.wait(
-                (call, back),
+                (request, recovery),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            back.cancel()
-        if call.done() or begun.is_set():
-            return await call
-        raise StoreReturnedError(
-            'The store was away when it was asked, and is back.',
+            recovery.cancel()
+        if request.done() or started.is_set():
+            return await request
+        raise StoreRecoveredError(
+            'The request was sent during an outage of the store that is over.',
             step=path,
             peer=self._paths.address,
         )
 
-    def _expect_ok(self, answer: HttpResponse, step: str) -> None:
-        """Raise the error of any other status: nothing was done."""
-        if answer.status == _OK:
+    def _expect_ok(self, response: HttpResponse, step: str) -> None:
+        """Raise an error for any other status: nothing was done."""
+        if response.status == _OK:
             return
         raise StorageError(
-            f'The store answered {answer.status}: {answer.body[:200]!r}.',
+            f'The store answered {response.status}: {response.body[:200]!r}.',
             step=step,
             peer=self._paths.address,
         )
 
-    def _fields(self, answer: HttpResponse, step: str) -> RowsFields:
+    def _decode(self, response: HttpResponse, step: str) -> RowsFields:
         try:
-            return decode_fields(answer.body, RowsFields, step=step)
+            return decode_fields(response.body, RowsFields, step=step)
         except MalformedRecordError as error:
             raise ReplyLostError(
-                f'The store did not answer: {error}.',
+                f'The response of the store is malformed: {error}.',
                 step=step,
                 peer=self._paths.address,
             ) from error
 
 
 @asynccontextmanager
-async def open_store_call(
+async def open_store_request(
     client: HttpClient,
     address: str,
     method: str,
     path: str,
     **options: Any,
 ) -> AsyncIterator[StreamingResponse]:
-    """Make one call of the store; enter once its answer has begun.
+    """Send one request to the store; enter once its response has started.
 
-    :param address: the store's own, or a peer's that passes calls on.
+    :param address: of the store, or of a peer that relays the request.
+    :param options: further keyword arguments of :meth:`HttpClient.open`.
     :raises NotSentError: if nothing was done.
     :raises ReplyLostError: if the effect is unknown.
     """
     url = f'http://{address}{PATH_PREFIX}{path}'
     try:
-        async with client.open(method, url, **options) as answer:
-            if answer.status in _NO_OUTCOME:
-                # A connection is kept only if its answer was read.
-                await answer.read()
-                raise _error_of(answer.status, path, address)
-            yield answer
+        async with client.open(method, url, **options) as response:
+            if response.status in _NO_OUTCOME:
+                # A connection is reused only if its response was read.
+                await response.read()
+                raise _error_of(response.status, path, address)
+            yield response
     except RequestNotSentError as error:
         raise NotSentError(
             f'The store cannot be reached: {error}.',
@@ -378,28 +393,28 @@
 
 
 def _error_of(status: int, path: str, address: str) -> StorageError:
-    """Return the error of a status that tells no outcome of the call."""
+    """Return the error for a status without an outcome of the request."""
     if status == UNANSWERED:
         return ReplyLostError(
-            'The store did not answer the host that passed the call on.',
+            'The store did not answer the host that relayed the request.',
             step=path,
             peer=address,
         )
     return NotSentError(
-        f'The store refused with {status}.',
+        f'The store refused the request with status {status}.',
         step=path,
         peer=address,
     )
 
 
-def _part_of(table: str, key: str) -> str:
+def _partition_of(table: str, key: str) -> str:
     if table in PLATFORM_TABLES:
-        return PLATFORM_PART
+        return PLATFORM_PARTITION
     return tables.partition_of(table, key)
 
 
-def _name(table: str, key: str) -> dict[str, Any]:
-    return {'table': table, 'part': _part_of(table, key), 'key': key}
+def _row_id(table: str, key: str) -> dict[str, Any]:
+    return {'table': table, 'part': _partition_of(table, key), 'key': key}
 
 
 def _rows(fields: RowsFields) -> tuple[StoredRow, ...]:
@@ -416,9 +431,10 @@
 
 
 def _content_of(row: RowFields) -> bytes:
-    """Return a row's bytes; none where another writer's value is no base64.
+    """Return the bytes of a row, empty if its value is not valid base64.
 
-    Whoever reads the row finds that nothing can be decoded, and says so.
+    Other writers may store such values. The decoder of the row's content then
+    fails on the empty bytes and reports the row as malformed.
     """
     try:
         return base64.b64decode(row.value or '', validate=True)
@@ -431,5 +447,5 @@
     'PATH_PREFIX',
     'UNANSWERED',
     'PlatformStore',
-    'open_store_call',
+    'open_store_request',
 )
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers: their entries in the store and their calls."""
+"""The platform's workers: their entries in the store and their HTTP API."""
 
 from typing import Any, Final, Literal
 
@@ -38,11 +38,12 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: A start or stop is answered in milliseconds; a slow host or worker takes
-#: some tens of them, so that a reply this late is taken as lost.
+#: The timeout of a start or stop, in seconds. Responses take milliseconds, or
+#: some tens of milliseconds from a slow host or worker, so that a response is
+#: taken as lost after this time.
 ORDER_TIMEOUT_S: Final = 0.6
 
-#: What a renewal may take beyond the wait that was asked for, in seconds.
+#: The timeout of a lease renewal beyond the requested wait, in seconds.
 RENEWAL_SLACK_S: Final = 0.7
 
 _OK: Final = 200
@@ -50,8 +51,8 @@
 _OTHER_WORKER: Final = 421
 
 
-class RoomFields(msgspec.Struct):
-    """What a worker has, used or not."""
+class CapacityFields(msgspec.Struct):
+    """The total resources of a worker, used or not."""
 
     cpu: Count
     mem_mb: Count
@@ -59,10 +60,11 @@
 
 
 class EntryFields(msgspec.Struct):
-    """A worker's entry: what it always says, and what it says at times.
+    """A worker's entry, with its required and optional fields.
 
-    :param headroom: all that the worker has, though named like what is left.
-    :param born: when it started; not told by all platforms.
+    :param headroom: the total capacity of the worker, not what is free as the
+        name suggests.
+    :param born: when the worker started; some platforms do not report it.
     """
 
     service: Name
@@ -73,7 +75,7 @@
     state: Literal['ready', 'draining']
     cold_remaining_ms: Measure
     sequence: Count
-    headroom: RoomFields
+    headroom: CapacityFields
     labels: list[str]
     clock_ms: Measure = 0.0
     remaining_ms: Measure = 0.0
@@ -81,7 +83,7 @@
 
 
 class RunRow(msgspec.Struct, array_like=True):
-    """One run in a list; what may follow is not read."""
+    """A run in the response to a renewal; further elements are ignored."""
 
     task: str
     run: Count
@@ -90,7 +92,7 @@
 
 
 class EndRow(msgspec.Struct, array_like=True):
-    """One end in a list."""
+    """A run end in the response to a renewal."""
 
     number: Count
     task: str
@@ -99,8 +101,8 @@
     saved: str = ''
 
 
-class ListFields(msgspec.Struct):
-    """A worker's answer to a renewal."""
+class RenewalFields(msgspec.Struct):
+    """A worker's response to a lease renewal."""
 
     clock_ms: Measure
     running: list[RunRow] = []
@@ -109,26 +111,26 @@
 
 
 class ClockFields(msgspec.Struct):
-    """A worker's answer to an order."""
+    """A worker's response to a start or stop."""
 
     clock_ms: Measure
 
 
 class RejectionFields(msgspec.Struct):
-    """Why a worker did nothing."""
+    """A worker's reason for rejecting a request."""
 
     reason: str = ''
 
 
 class RegisteredWorkers:
-    """Entries that the workers write under their ids."""
+    """Decodes the entries that workers write under their ids."""
 
     table = 'servers'
 
     def decode(self, row: StoredRow) -> WorkerEntry:
         """Return a worker's entry.
 
-        :raises MalformedRecordError: if it is not as workers write them.
+        :raises MalformedRecordError: if the row is not a valid entry.
         """
         fields = decode_fields(
             row.content,
@@ -155,10 +157,10 @@
 
 
 class PlatformConnector:
-    """Makes clients of the platform's workers."""
+    """Creates clients of the platform's workers."""
 
     def __init__(self, *, client: HttpClient) -> None:
-        """Share the connections."""
+        """Initialize with the HTTP client that all workers share."""
         self._client = client
 
     def connect(self, entry: WorkerEntry) -> 'PlatformWorker':
@@ -171,7 +173,7 @@
 
 
 class PlatformWorker:
-    """One worker over HTTP."""
+    """A client of one worker over HTTP."""
 
     def __init__(
         self,
@@ -180,7 +182,7 @@
         address: str,
         worker_id: str,
     ) -> None:
-        """Name the worker that every call is meant for."""
+        """Initialize with the worker id that each request is addressed to."""
         self._client = client
         self._address = address
         self._headers = {'Target-Instance': worker_id}
@@ -201,7 +203,7 @@
         return await self._order('run-start', fields)
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> float:
-        """Stop a run."""
+        """Stop a run and return the worker's clock in seconds."""
         fields = {
             'task': str(task),
             'attempt': attempt,
@@ -210,7 +212,7 @@
         return await self._order('run-stop', fields)
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """Renew the lease and return what runs and what ended."""
+        """Renew the lease and return the current runs and the run ends."""
         fields = {
             'fencing_token': order.token,
             'acked_through': order.acknowledged,
@@ -219,17 +221,17 @@
             fields['deadline_ms'] = int(order.deadline_s * 1000)
         if order.wait_s:
             fields['wait_ms'] = int(order.wait_s * 1000)
-        answer = await self._call(
+        response = await self._request(
             'hold',
             fields,
             order.wait_s + RENEWAL_SLACK_S,
         )
-        report = self._read(answer, ListFields, 'hold')
+        report = self._decode(response, RenewalFields, 'hold')
         try:
             runs = tuple(_run(row) for row in report.running)
             ends = tuple(_end(row) for row in report.ended)
         except ValueError as error:
-            raise self._unreadable('hold', error) from error
+            raise self._malformed('hold', error) from error
         return LeaseReport(
             clock_s=report.clock_ms / 1000,
             runs=runs,
@@ -238,28 +240,32 @@
         )
 
     async def _order(self, path: str, fields: dict[str, Any]) -> float:
-        """Give an order and return the worker's clock in seconds."""
-        answer = await self._call(path, fields, ORDER_TIMEOUT_S)
-        return self._read(answer, ClockFields, path).clock_ms / 1000
+        """Send an order and return the worker's clock in seconds."""
+        response = await self._request(path, fields, ORDER_TIMEOUT_S)
+        return self._decode(response, ClockFields, path).clock_ms / 1000
 
-    def _read(
+    def _decode(
         self,
-        answer: HttpResponse,
+        response: HttpResponse,
         kind: type[Fields],
         path: str,
     ) -> Fields:
-        """Return an answer's fields; one that can't be read tells nothing."""
+        """Return the decoded body of a response.
+
+        :raises WorkerReplyLostError: if the body is malformed, because the
+            effect of the request is then unknown.
+        """
         try:
             return decode_fields(
-                answer.body,
+                response.body,
                 kind,
                 step=path,
                 peer=self._address,
             )
         except MalformedRecordError as error:
-            raise self._unreadable(path, error) from error
+            raise self._malformed(path, error) from error
 
-    def _unreadable(
+    def _malformed(
         self,
         path: str,
         error: Exception,
@@ -267,19 +273,19 @@
         events.log('reply_bad', peer=self._address, step=path, error=str(error))
         metrics.records_bad.add(1, {'kind': 'reply'})
         return WorkerReplyLostError(
-            f'The answer cannot be read: {error}',
+            f'The response of the worker is malformed: {error}',
             step=path,
             peer=self._address,
         )
 
-    async def _call(
+    async def _request(
         self,
         path: str,
         fields: dict[str, Any],
         timeout_s: float,
     ) -> HttpResponse:
         try:
-            answer = await self._client.call(
+            response = await self._client.call(
                 'POST',
                 f'http://{self._address}/curranthill/{path}',
                 timeout_s=timeout_s,
@@ -298,23 +304,23 @@
                 step=path,
                 peer=self._address,
             ) from error
-        if answer.status == _OK:
-            return answer
-        raise self._error_of(answer, path)
+        if response.status == _OK:
+            return response
+        raise self._error_of(response, path)
 
-    def _error_of(self, answer: HttpResponse, path: str) -> Exception:
-        if answer.status == _OTHER_WORKER:
+    def _error_of(self, response: HttpResponse, path: str) -> Exception:
+        if response.status == _OTHER_WORKER:
             return WorkerGoneError(
-                'Another worker answered.',
+                'Another worker serves this address.',
                 step=path,
                 peer=self._address,
             )
-        reason = str(answer.status)
-        if answer.status == _CONFLICT:
-            told = self._read(answer, RejectionFields, path).reason
-            reason = told or reason
+        reason = str(response.status)
+        if response.status == _CONFLICT:
+            given_reason = self._decode(response, RejectionFields, path).reason
+            reason = given_reason or reason
         return RejectedError(
-            f'The worker rejected the call: {reason}.',
+            f'The worker rejected the request: {reason}.',
             step=path,
             peer=self._address,
             reason=reason,
