--- a/src/curranthill/jobs/__init__.py
+++ b/src/curranthill/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: their record, their life cycle and their rows in the table."""
+"""Jobs: their records, their state machine and their rows in the table."""
 
 from curranthill.jobs.lifecycle import InvalidTransitionError, next_state
 from curranthill.jobs.records import (
--- a/src/curranthill/jobs/lifecycle.py
+++ b/src/curranthill/jobs/lifecycle.py
@@ -1,4 +1,4 @@
-"""Which change of state a job may make, by ``transitions``."""
+"""The state machine of a job, built with ``transitions``."""
 
 from functools import cache
 from typing import Any, Final, cast, get_args
@@ -10,7 +10,7 @@
 
 _OPEN: Final = ['accepted', 'reserved', 'marked', 'running', 'preempted']
 
-_CHANGES: Final[list[Any]] = [
+_TRANSITIONS: Final[list[Any]] = [
     ['reserve', 'accepted', 'reserved'],
     ['give_back', ['reserved', 'marked'], 'accepted'],
     ['mark', 'reserved', 'marked'],
@@ -23,31 +23,33 @@
     ['lose', ['marked', 'running'], 'unknown'],
 ]
 
-# One machine without a model serves every job: it is asked, never driven.
+# One machine without a model serves all jobs: it only looks up transitions, and
+# the state itself is stored in the job.
 _machine: Final = Machine(
     model=None,
     states=list(get_args(JobState)),
-    transitions=_CHANGES,
+    transitions=_TRANSITIONS,
     initial='accepted',
     auto_transitions=False,
 )
 
 
 class InvalidTransitionError(CurranthillError):
-    """A job was asked to make a change that its state does not allow."""
+    """A transition is not allowed in the current state of a job."""
 
 
 @cache
-def next_state(state: JobState, change: str) -> JobState:
-    """Return the state after a change.
+def next_state(state: JobState, trigger: str) -> JobState:
+    """Return the state after a transition.
 
-    :raises InvalidTransitionError: if the state does not allow the change.
+    :param trigger: the name of the transition.
+    :raises InvalidTransitionError: if the state does not allow it.
     """
-    found = _machine.get_transitions(trigger=change, source=state)
+    found = _machine.get_transitions(trigger=trigger, source=state)
     if not found:
         raise InvalidTransitionError(
-            f'A job that is {state} cannot {change}.',
-            step=change,
+            f'Transition {trigger} is not allowed from state {state}.',
+            step=trigger,
         )
     return cast(JobState, found[0].dest)
 
--- a/src/curranthill/jobs/records.py
+++ b/src/curranthill/jobs/records.py
@@ -1,11 +1,11 @@
-"""The record of one job as the table keeps it."""
+"""The record of a job as it is stored in the table."""
 
 from typing import Any, Final, Literal, NamedTuple
 
 from curranthill.configuration.records import Adjacency
 from curranthill.workers.records import AttemptId
 
-#: States of a job; those in ``ENDED`` never change again.
+#: The states of a job; those in ``ENDED`` are final.
 JobState = Literal[
     'accepted',
     'reserved',
@@ -20,6 +20,7 @@
 
 ACCEPTED: Final = 'accepted'
 RESERVED: Final = 'reserved'
+#: The start record is written: from now on the attempt may run.
 START_RECORDED: Final = 'marked'
 RUNNING: Final = 'running'
 FINISHED: Final = 'finished'
@@ -32,7 +33,7 @@
 
 
 class Member(NamedTuple):
-    """One worker's part of a gang."""
+    """The slots of a gang on one worker."""
 
     worker: str
     address: str
@@ -42,14 +43,14 @@
 class Job(NamedTuple):
     """One job.
 
-    :param home: the data centre whose scheduler may run it.
-    :param attempt: the last attempt that was marked; grows only.
-    :param members: where the marked attempt runs.
-    :param body: what the caller sent, as text.
+    :param home: the data centre whose scheduler may run the job.
+    :param attempt: the last attempt with a start record; it never decreases.
+    :param members: the workers and slots of that attempt.
+    :param body: the request body as text.
     :param failed_on: the worker of each failure, oldest first.
     :param losses: attempts whose workers were lost while they ran.
-    :param checkpoint: where a preempted job goes on from.
-    :param key_row: the row of its idempotency key, if it has one.
+    :param checkpoint: where a preempted job resumes from.
+    :param key_row: the row key of its idempotency key, or empty.
     """
 
     job_id: str
@@ -84,22 +85,22 @@
 
     @property
     def attempt_id(self) -> AttemptId:
-        """Return the marked attempt."""
+        """Return the id of the last attempt with a start record."""
         return AttemptId(job=self.job_id, attempt=self.attempt)
 
     @property
     def preemptible(self) -> bool:
-        """Return whether the job may be stopped and run again."""
+        """Return whether the job may be stopped and started again."""
         return self.idempotent
 
     @property
     def result_name(self) -> str:
-        """Return the object that holds the marked attempt's result."""
+        """Return the name of the object with the last attempt's result."""
         return f'results/{self.job_id}/{self.attempt}'
 
 
 def job_to_document(job: Job) -> dict[str, Any]:
-    """Return a job as the table keeps it."""
+    """Return a job as the document that is stored in the table."""
     document = job._asdict()
     document['members'] = [member._asdict() for member in job.members]
     document['failed_on'] = list(job.failed_on)
@@ -107,10 +108,11 @@
 
 
 def job_from_document(document: dict[str, Any]) -> Job:
-    """Return a job from its row.
+    """Return a job from the document that is stored in the table.
 
-    Fields that a newer version added are passed over and those that an older
-    one lacked take their defaults, so two versions may run side by side.
+    Unknown fields, written by a newer version, are ignored. Missing fields,
+    unknown to an older version, get their defaults. So two versions may run
+    at the same time during an upgrade.
     """
     known = {name: document[name] for name in Job._fields if name in document}
     known['members'] = tuple(
--- a/src/curranthill/jobs/store.py
+++ b/src/curranthill/jobs/store.py
@@ -1,8 +1,9 @@
-"""Jobs in the table: every change is one conditional write.
+"""Jobs in the table. Each change is one conditional write.
 
-An open job is one row under its home, so that a scheduler reads its open
-jobs by page. A job that ends moves to a row of its own in the same
-transaction; one that is adopted leaves a row that says where it went.
+An open job is a row under the prefix of its home data centre, so that a
+scheduler can scan its open jobs page by page. When a job ends, the same
+transaction moves it to a row outside this prefix. When another data centre
+takes a job over, a forwarding row records its new home.
 """
 
 import uuid
@@ -30,7 +31,7 @@
 
 PAGE_ROWS: Final = 200
 
-#: Ended jobs are found for deletion by buckets of this many seconds.
+#: The width of the time buckets by which expired jobs are found, in seconds.
 EXPIRY_BUCKET_S: Final = 3600
 
 
@@ -43,19 +44,20 @@
 
 
 class KeyRecord(NamedTuple):
-    """What an idempotency key stands for."""
+    """The job and the request that an idempotency key was used for."""
 
     job_id: str
     request_digest: str
 
 
 class JobStore:
-    """Read and change jobs.
+    """Reads and changes the stored jobs.
 
     :param table: the platform's table.
-    :param clock: for waits between two looks at a lost reply.
-    :param retention_s: how long an ended job and its key are kept.
-    :param budget: bounds this process's writes.
+    :param clock: for timestamps and for the delay before the effect of a write
+        with a lost reply is checked.
+    :param retention_s: how long an ended job and its key are kept, in seconds.
+    :param budget: limits the write rate of this process.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         retention_s: float = 86400,
         budget: WriteBudget | None = None,
     ) -> None:
-        """Keep the table."""
+        """Initialize with a committer for conditional writes."""
         self._table = table
         self._clock = clock
         self._retention_s = retention_s
@@ -77,9 +79,9 @@
         )
 
     async def accept(self, job: Job, key: KeyRecord | None) -> StoredJob:
-        """Keep a new job, with its idempotency key if it has one.
+        """Store a new job together with its idempotency key, if any.
 
-        :raises ConflictError: if the key is taken.
+        :raises ConflictError: if the key is already in use.
         """
         row_key = open_key(job.home, job.job_id)
         writes = [Write(row_key, ABSENT, job_to_document(job))]
@@ -89,34 +91,34 @@
         return StoredJob(job, row_key, versions[row_key])
 
     async def key_record(self, key_row: str) -> KeyRecord | None:
-        """Return what an idempotency key stands for, if it is taken."""
+        """Return the record of an idempotency key, if the key is in use."""
         row = await self._table.read(key_row)
         return KeyRecord(**row.document) if row else None
 
     async def load(self, job_id: str) -> StoredJob | None:
-        """Return a job wherever it is, or nothing."""
-        birth = accepting_data_centre(job_id)
-        found = await self._stored(open_key(birth, job_id))
+        """Return an open, moved or ended job, or nothing."""
+        accepted_at = accepting_data_centre(job_id)
+        found = await self._read_job(open_key(accepted_at, job_id))
         if found is None:
-            found = await self._stored(ended_key(job_id))
+            found = await self._read_job(ended_key(job_id))
         if found is None:
             moved = await self._table.read(moved_key(job_id))
             if moved is not None:
                 home = moved.document['home']
-                found = await self._stored(open_key(home, job_id))
+                found = await self._read_job(open_key(home, job_id))
         if found is None:
-            # It may have ended between the first look and this one.
-            found = await self._stored(ended_key(job_id))
+            # The job may have ended since its ended row was first read.
+            found = await self._read_job(ended_key(job_id))
         return found
 
     async def scan_open(self, home: str) -> list[StoredJob]:
-        """Return all open jobs of a data centre, page by page."""
+        """Return all open jobs of a data centre."""
         prefix = f'open/{home}/'
         found: list[StoredJob] = []
         after = ''
         while True:
             page = await self._table.scan(prefix, after, PAGE_ROWS)
-            found.extend(_stored(row) for row in page.rows)
+            found.extend(_stored_job(row) for row in page.rows)
             after = page.after
             if not after:
                 return found
@@ -127,10 +129,12 @@
         job: Job,
         checks: tuple[Check, ...] = (),
     ) -> StoredJob:
-        """Write an open job's new record if its row is still ``stored``.
+        """Replace an open job's record unless its row has changed.
 
+        :param stored: the row as it was read.
+        :param job: the new record.
         :param checks: other rows that must not have changed.
-        :raises ConflictError: if another writer was first.
+        :raises ConflictError: if another writer changed a row first.
         """
         if job.state in ENDED:
             return await self._end(stored, job, checks)
@@ -139,9 +143,12 @@
         return StoredJob(job, stored.key, versions[stored.key])
 
     async def move(self, stored: StoredJob, home: str) -> StoredJob:
-        """Give an open job another home; its old home can no longer mark it.
+        """Move an open job to another home data centre.
 
-        :raises ConflictError: if another writer was first.
+        Its row under the old home is deleted, so the scheduler there can no
+        longer write a start record.
+
+        :raises ConflictError: if another writer changed a row first.
         """
         job = stored.job._replace(home=home)
         row_key = open_key(home, job.job_id)
@@ -159,11 +166,11 @@
         return StoredJob(job, row_key, versions[row_key])
 
     async def request_cancel(self, job_id: str) -> StoredJob | None:
-        """Cancel a job that has no start mark, else ask for its stop.
+        """Cancel a job that is still accepted, or request its stop.
 
-        Returns the job as it is then; an ended job is left as it ended.
+        Returns the job as stored afterwards. An ended job is left unchanged.
 
-        :raises ConflictError: if the row kept changing.
+        :raises ConflictError: if each attempt met a concurrent change.
         """
         for _ in range(8):
             stored = await self.load(job_id)
@@ -180,12 +187,15 @@
                 return stored
             with suppress(ConflictError):
                 return await self.change(stored, job)
-        raise ConflictError('The job kept changing.', step='cancel')
+        raise ConflictError(
+            'The job was changed concurrently at each attempt.', step='cancel'
+        )
 
     async def delete_expired(self, limit: int) -> int:
         """Delete up to ``limit`` ended jobs that are past their retention.
 
-        Several hosts may do so at once: each delete is conditional.
+        Returns the number of deleted jobs. Several hosts may run this at the
+        same time, because each delete is conditional.
         """
         page = await self._table.scan('expiry/', '', limit)
         now_s = self._clock.wall_s()
@@ -209,10 +219,10 @@
         expires_at_s = job.ended_at_s + self._retention_s
         bucket = int(expires_at_s // EXPIRY_BUCKET_S)
         expiry_key = f'expiry/{bucket:010d}/{job.job_id}'
-        final_key = ended_key(job.job_id)
+        row_key = ended_key(job.job_id)
         versions = await self._committer.commit(
             (
-                Write(final_key, ABSENT, job_to_document(job)),
+                Write(row_key, ABSENT, job_to_document(job)),
                 Write(
                     expiry_key,
                     ABSENT,
@@ -222,7 +232,7 @@
             ),
             checks,
         )
-        return StoredJob(job, final_key, versions[final_key])
+        return StoredJob(job, row_key, versions[row_key])
 
     async def _delete(self, expiry: Row) -> None:
         job_id = expiry.document['job_id']
@@ -236,13 +246,13 @@
                 writes.append(Write(key.key, key.version, None))
         await self._committer.commit(writes)
 
-    async def _stored(self, key: str) -> StoredJob | None:
+    async def _read_job(self, key: str) -> StoredJob | None:
         row = await self._table.read(key)
-        return _stored(row) if row else None
+        return _stored_job(row) if row else None
 
 
 def new_job_id(data_centre: str) -> str:
-    """Return a new id; it says where the job was accepted."""
+    """Return a new id that contains the accepting data centre."""
     return f'{data_centre}-{uuid.uuid4().hex}'
 
 
@@ -252,21 +262,21 @@
 
 
 def open_key(home: str, job_id: str) -> str:
-    """Return the row of an open job."""
+    """Return the row key of an open job."""
     return f'open/{home}/{job_id}'
 
 
 def ended_key(job_id: str) -> str:
-    """Return the row of an ended job."""
+    """Return the row key of an ended job."""
     return f'ended/{job_id}'
 
 
 def moved_key(job_id: str) -> str:
-    """Return the row that says where an adopted job went."""
+    """Return the row key of the forwarding record of a moved job."""
     return f'moved/{job_id}'
 
 
-def _stored(row: Row) -> StoredJob:
+def _stored_job(row: Row) -> StoredJob:
     return StoredJob(job_from_document(row.document), row.key, row.version)
 
 
