--- a/src/curranthill/gateway/__init__.py
+++ b/src/curranthill/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: admission, the quick lane, jobs and their results."""
+"""The gateway: callers' HTTP API for quick requests and for jobs."""
 
 from curranthill.gateway.daemon import GatewayDaemon
 from curranthill.gateway.server import CallerServer
--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -1,4 +1,4 @@
-"""Report quick demand to the scheduler and obey what it allots."""
+"""Reports demand for quick work and applies the scheduler's allotment."""
 
 from typing import Final
 
@@ -14,16 +14,16 @@
 from curranthill.routing import AllottedWorker, Router, WorkerPool
 from curranthill.storage import HostDirectory
 
-#: How often a gateway reports; well inside the term of a grant.
+#: The interval of reports, in seconds; well within the term of a grant.
 REPORT_INTERVAL_S: Final = 1.0
 _CALL_TIMEOUT_S: Final = 1.0
 
-#: Without an allotment for so long, any worker of the list is tried.
+#: After this time without an allotment all listed workers are used, in seconds.
 _FALLBACK_S: Final = 10.0
 
 
 class AllotmentLoop:
-    """Keep the pool as the scheduler says, or as the host list says."""
+    """Keeps the worker pool as allotted by the scheduler, or as listed."""
 
     def __init__(  # noqa: WPS211
         self,
@@ -37,7 +37,7 @@
         pool: WorkerPool,
         router: Router,
     ) -> None:
-        """Keep the parts."""
+        """Initialize so that without an allotment listed workers are used."""
         self._app = app
         self._view = view
         self._channels = channels
@@ -49,9 +49,9 @@
         self._last_allotment_s = app.clock.monotonic_s() - _FALLBACK_S
 
     async def start(self) -> None:
-        """Report from now on."""
+        """Start reporting in the background."""
         self._app.spawn(self._run(), name='allotment')
-        self._directory.listen(self._drop_leaving)
+        self._directory.listen(self._mark_draining)
 
     async def _run(self) -> None:
         while True:
@@ -78,12 +78,16 @@
         own: list[AllottedWorker] | None,
         peak: int,
     ) -> list[AllottedWorker]:
-        """Ask the region's other data centres when ours is full or gone."""
+        """Request workers of the region's other data centres for overflow.
+
+        They are needed when requests wait or this data centre has no
+        allotment.
+        """
         waiting = self._router.waiting
         if own and not waiting:
             return []
         demand = waiting if own else peak
-        for name in self._neighbours():
+        for name in self._data_centres_nearby():
             scheduler = self._notifier.active(name)
             if scheduler is None:
                 continue
@@ -99,8 +103,8 @@
         *,
         spill: bool,
     ) -> list[AllottedWorker] | None:
-        """Report demand; take the grant and return the allotted workers."""
-        asked_s = self._app.clock.monotonic_s()
+        """Report demand, apply the grant and return the allotted workers."""
+        requested_s = self._app.clock.monotonic_s()
         try:
             allotment = await self._channels.call(
                 scheduler.address,
@@ -114,54 +118,54 @@
             )
         except PeerError as error:
             logger.bind(step=error.step, peer=scheduler.name).debug(
-                'no allotment: {}',
+                'scheduler sent no allotment: {}',
                 error.message,
             )
             return None
         if allotment.workers:
             self._pool.grant(
                 allotment.workers[0].connections,
-                asked_s,
+                requested_s,
                 allotment.term_s,
                 spill=spill,
             )
         return [
             AllottedWorker(worker.name, worker.address, worker.slots, spill)
             for worker in allotment.workers
-            if not self._leaving(worker.name)
+            if not self._is_draining(worker.name)
         ]
 
     def _allot(self, workers: list[AllottedWorker]) -> None:
         own = self._view.own.data_centre
         self._pool.allot(workers, len(self._view.alive('gateway', own)))
 
-    def _neighbours(self) -> list[str]:
+    def _data_centres_nearby(self) -> list[str]:
         """Return the other data centres of this region, in a fixed order."""
-        places = self._configuration.document.data_centres
+        data_centres = self._configuration.document.data_centres
         own = self._view.own.data_centre
-        if own not in places:
+        if own not in data_centres:
             return []
-        region = places[own].region
+        region = data_centres[own].region
         return [
             name
-            for name, place in sorted(places.items())
-            if name != own and place.region == region
+            for name, data_centre in sorted(data_centres.items())
+            if name != own and data_centre.region == region
         ]
 
     def _listed(self) -> list[AllottedWorker]:
-        """Serve quick work without a scheduler: try every listed worker."""
+        """Return all listed workers, to be used without a scheduler."""
         return [
             AllottedWorker(entry.host, entry.address, entry.slots)
             for entry in self._directory.workers(self._view.own.data_centre)
             if not entry.leaving
         ]
 
-    def _drop_leaving(self) -> None:
+    def _mark_draining(self) -> None:
         for worker in self._pool:
-            if self._leaving(worker.name):
+            if self._is_draining(worker.name):
                 worker.leaving = True
 
-    def _leaving(self, name: str) -> bool:
+    def _is_draining(self, name: str) -> bool:
         entry = self._directory.entries.get(name)
         return entry is not None and entry.leaving
 
--- a/src/curranthill/gateway/daemon.py
+++ b/src/curranthill/gateway/daemon.py
@@ -1,10 +1,10 @@
-"""The gateway's process, put together."""
+"""Assembly and life cycle of the gateway process."""
 
 from curranthill.application import Application
 from curranthill.clock import Clock
 from curranthill.gateway.allotment import AllotmentLoop
-from curranthill.gateway.jobs import JobDesk
-from curranthill.gateway.keyed import KeyedRuns
+from curranthill.gateway.idempotency import IdempotentRunner
+from curranthill.gateway.jobs import JobHandler
 from curranthill.gateway.server import CallerServer
 from curranthill.jobs import JobStore
 from curranthill.membership import Node, NodeSettings
@@ -20,14 +20,14 @@
 from curranthill.storage import WriteBudget
 from curranthill.workers import WorkerClients, worker_clients
 
-#: Connections that a worker takes when no configuration says otherwise.
-_CONNECTIONS = 64
+#: The number of connections that a worker accepts without other configuration.
+_WORKER_CONNECTIONS = 64
 
 
 class GatewayDaemon:
-    """A gateway and all that it needs, owned by one application.
+    """The parts of a gateway, started and stopped by one application.
 
-    :param settings: the process's settings.
+    :param settings: the settings of the process.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         settings: GatewaySettings,
         clock: Clock | None = None,
     ) -> None:
-        """Make the parts and order their start and stop."""
+        """Create the node and register start and stop with the application."""
         host = settings.host
         self.app = Application(name=f'{host.name}/gateway', clock=clock)
         self.node = Node(
@@ -61,7 +61,7 @@
         pool = WorkerPool(
             clock=self.app.clock,
             fixed_connections=(
-                _CONNECTIONS // 2 // self._settings.quick.gateways
+                _WORKER_CONNECTIONS // 2 // self._settings.quick.gateways
             ),
         )
         router = self._router(pool, clients)
@@ -106,7 +106,7 @@
     def _server(self, router: Router, notifier: Notifier) -> CallerServer:
         table = self.node.platform.table
         clock = self.app.clock
-        desk = JobDesk(
+        job_handler = JobHandler(
             clock=clock,
             store=JobStore(
                 table=table,
@@ -127,8 +127,12 @@
             settings=self._settings.callers,
             configuration=self.node.configuration,
             router=router,
-            keyed=KeyedRuns(clock=clock, table=table, router=router),
-            desk=desk,
+            idempotent_runner=IdempotentRunner(
+                clock=clock,
+                table=table,
+                router=router,
+            ),
+            job_handler=job_handler,
         )
 
 
--- a/src/curranthill/gateway/idempotency.py
+++ b/src/curranthill/gateway/idempotency.py
@@ -1,4 +1,7 @@
-"""Quick requests with an idempotency key: one run, one answer, any host."""
+"""Quick requests with an idempotency key.
+
+Each key gets one run and one response, whichever host receives the requests.
+"""
 
 from http import HTTPStatus
 from typing import Final, NamedTuple
@@ -15,27 +18,31 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.gateway.problems import platform_away, refuse
+from curranthill.gateway.problems import platform_unavailable, refuse
 from curranthill.gateway.requests import CallerRequest
 from curranthill.routing import QuickWork, Router
 from curranthill.storage import ABSENT, Committer, Row, Table, Write
 from curranthill.workers import QuickReply
 
-#: How long after a run's deadline its host counts as gone, in seconds.
+#: How long after a run's deadline its host is considered lost, in seconds.
 _GRACE_S: Final = 2.0
 
-#: Waits between looks at another host's run, in seconds.
-_LOOK_S: Final = 0.1
+#: The interval of polling for the result of another host's run, in seconds.
+_POLL_INTERVAL_S: Final = 0.1
 
-#: An answer above this size is told but not kept for repeats.
-_KEPT_BYTES: Final = 64 * 1024
+#: The largest response that is stored for repeated requests, in bytes.
+_MAX_STORED_BYTES: Final = 64 * 1024
 
 
 class QuickRecord(NamedTuple):
-    """What is kept of a keyed quick request.
+    """The stored state of a quick request with an idempotency key.
 
-    :param state: ``marked`` while it may run, ``done`` with its answer.
-    :param until_s: wall seconds after which its host counts as gone.
+    :param state: ``marked`` while it may run, ``done`` once it has a response.
+    :param until_s: wall time after which its host is considered lost, in
+        seconds.
+    :param problem: the error message of a failed run, or empty.
+    :param outcome: what is known of the effect of a failed run.
+    :param status: the HTTP status of a failed run, 0 for a successful one.
     """
 
     request_digest: str
@@ -48,51 +55,59 @@
     status: int = 0
 
 
-class KeyedRuns:
-    """Run a keyed quick request once and give repeats its answer."""
+class IdempotentRunner:
+    """Runs a quick request once per idempotency key and replays its response.
+
+    A host claims a key with a conditional write before it runs the request.
+    """
 
     def __init__(self, *, clock: Clock, table: Table, router: Router) -> None:
-        """Keep the parts."""
+        """Initialize with a committer for conditional writes."""
         self._clock = clock
         self._table = table
         self._router = router
         self._committer = Committer(table=table, clock=clock)
 
     async def run(self, request: CallerRequest, work: QuickWork) -> QuickReply:
-        """Return the one answer of a key.
+        """Run a request, or return the stored response of its key.
 
-        :raises RefusedError: if there is none, with what is known.
+        :raises RefusedError: if there is no response, with the outcome.
         """
         until_s = self._clock.monotonic_s() + request.deadline_s
         while True:
-            version = await self._mark(request, ABSENT)
+            version = await self._claim(request, ABSENT)
             if version is not None:
-                return await self._run_marked(request, work, version)
+                return await self._run_claimed(request, work, version)
             row = await self._read(request)
             if row is None:
                 continue
             record = QuickRecord(**row.document)
-            self._refuse_other(request, record)
+            self._check_digest(request, record)
             if record.state == 'done':
-                return _answer(record)
+                return _replay(record)
             if self._clock.wall_s() > record.until_s:
-                return await self._after_loss(request, work, row)
+                return await self._take_over(request, work, row)
             if self._clock.monotonic_s() >= until_s:
                 raise refuse(
                     HTTPStatus.CONFLICT,
-                    'The first request with this key still runs.',
+                    'The first request with this key is still running.',
                     step='idempotency key',
                     outcome=UNKNOWN,
                     retry_after_s=1,
                 )
-            await self._clock.sleep(_LOOK_S)
+            await self._clock.sleep(_POLL_INTERVAL_S)
 
-    async def _mark(
+    async def _claim(
         self,
         request: CallerRequest,
         version: int,
     ) -> int | None:
-        """Mark the key as this host's to run; nothing if another has it."""
+        """Claim the key for this host and return the version of its row.
+
+        Returns nothing if another host has claimed the key first.
+
+        :param version: the version that the row must have.
+        """
         record = QuickRecord(
             request_digest=request.digest,
             state='marked',
@@ -103,13 +118,13 @@
         except ConflictError:
             return None
         except StorageError as error:
-            raise platform_away(
+            raise platform_unavailable(
                 error,
-                'The platform cannot keep the key now.',
+                'The platform is unavailable and cannot store the key now.',
                 NOT_RUN,
             ) from error
 
-    async def _run_marked(
+    async def _run_claimed(
         self,
         request: CallerRequest,
         work: QuickWork,
@@ -118,7 +133,7 @@
         try:
             reply = await self._router.run(work)
         except RefusedError as error:
-            await self._keep_refusal(request, version, error)
+            await self._store_failure(request, version, error)
             raise
         record = QuickRecord(
             request_digest=request.digest,
@@ -127,19 +142,19 @@
             answer=reply.body.decode('utf-8', 'replace'),
             content_type=reply.content_type,
         )
-        if len(reply.body) <= _KEPT_BYTES:
-            await self._keep(request, version, record)
+        if len(reply.body) <= _MAX_STORED_BYTES:
+            await self._store(request, version, record)
         return reply
 
-    async def _keep_refusal(
+    async def _store_failure(
         self,
         request: CallerRequest,
         version: int,
         error: RefusedError,
     ) -> None:
         if error.outcome == NOT_RUN:
-            # Provably not run: the key is free again.
-            await self._keep(request, version, None)
+            # The request certainly did not run, so the key may be used again.
+            await self._store(request, version, None)
             return
         record = QuickRecord(
             request_digest=request.digest,
@@ -149,29 +164,32 @@
             outcome=error.outcome,
             status=error.status,
         )
-        await self._keep(request, version, record)
+        await self._store(request, version, record)
 
-    async def _after_loss(
+    async def _take_over(
         self,
         request: CallerRequest,
         work: QuickWork,
         row: Row,
     ) -> QuickReply:
-        """Go on after the host that ran a key is gone."""
+        """Run a request again after the host that ran it was lost.
+
+        :raises RefusedError: if the request is not idempotent.
+        """
         if not request.kind.idempotent:
             raise refuse(
                 HTTPStatus.CONFLICT,
-                'The host that ran this request is gone; whether it took'
-                ' effect is not known, and it is not run again.',
+                'The host that ran this request was lost. Whether the request'
+                ' took effect is unknown, and it is not run again.',
                 step='idempotency key',
                 outcome=UNKNOWN,
             )
-        version = await self._mark(request, row.version)
+        version = await self._claim(request, row.version)
         if version is None:
             return await self.run(request, work)
-        return await self._run_marked(request, work, version)
+        return await self._run_claimed(request, work, version)
 
-    async def _keep(
+    async def _store(
         self,
         request: CallerRequest,
         version: int,
@@ -180,9 +198,10 @@
         try:
             await self._write(request, version, record)
         except StorageError as error:
-            # The caller has its answer; a repeat may find the key marked.
+            # The caller still gets its response, but a repeated request may
+            # find the key claimed.
             logger.bind(step=error.step, peer=error.peer).warning(
-                'the answer of a key was not kept: {}',
+                'response to an idempotency key was not stored: {}',
                 error.message,
             )
 
@@ -201,13 +220,13 @@
         try:
             return await self._table.read(request.key_row)
         except (StorageError, ReplyLostError) as error:
-            raise platform_away(
+            raise platform_unavailable(
                 error,
-                'The platform cannot tell what this key stands for now.',
+                'The platform is unavailable and the key cannot be read now.',
                 UNKNOWN,
             ) from error
 
-    def _refuse_other(
+    def _check_digest(
         self,
         request: CallerRequest,
         record: QuickRecord,
@@ -220,7 +239,7 @@
             )
 
 
-def _answer(record: QuickRecord) -> QuickReply:
+def _replay(record: QuickRecord) -> QuickReply:
     if record.status:
         raise RefusedError(
             record.problem,
@@ -235,4 +254,4 @@
     )
 
 
-__all__ = ('KeyedRuns', 'QuickRecord')
+__all__ = ('IdempotentRunner', 'QuickRecord')
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""Long work: durable acceptance, questions, results, cancellation."""
+"""Handling of jobs: durable acceptance, status, results, cancellation."""
 
 import json
 from http import HTTPStatus
@@ -25,7 +25,7 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.gateway.problems import platform_away, refuse
+from curranthill.gateway.problems import platform_unavailable, refuse
 from curranthill.gateway.requests import CallerRequest
 from curranthill.jobs import (
     CANCELLED,
@@ -41,23 +41,24 @@
 from curranthill.membership.notify import Notifier
 from curranthill.storage import ObjectStore, content_digest
 
-#: Waits between looks at a job that somebody waits for, in seconds.
-_FIRST_LOOK_S: Final = 0.05
-_LONGEST_LOOK_S: Final = 1.0
+#: The interval of polling a job that a caller waits for, in seconds. It grows
+#: from the minimum to the maximum.
+_MIN_POLL_INTERVAL_S: Final = 0.05
+_MAX_POLL_INTERVAL_S: Final = 1.0
 
-_AWAY: Final = 'The platform cannot keep or tell this now.'
+_UNAVAILABLE: Final = 'The platform is unavailable now.'
 
-#: The crowding of a data centre of which nothing is heard.
-_UNHEARD: Final = 1e6
+#: The load of a data centre whose leader is unknown.
+_UNKNOWN_LOAD: Final = 1e6
 
-#: The shape of a quick kind that is asked for as a job.
+#: The shape of a job whose kind has none, such as a quick kind run as a job.
 _ONE_SLOT: Final = Shape(accelerators=1, adjacent='worker')
 
 
-class JobDesk:
-    """Take jobs in and tell callers of them.
+class JobHandler:
+    """Accepts jobs, reports on them and cancels them.
 
-    :param data_centre: where this gateway is.
+    :param data_centre: the data centre of this gateway.
     """
 
     def __init__(  # noqa: WPS211
@@ -70,7 +71,7 @@
         configuration: ConfigurationHolder,
         data_centre: str,
     ) -> None:
-        """Keep the parts."""
+        """Initialize with the stores and the configuration."""
         self._clock = clock
         self._store = store
         self._objects = objects
@@ -79,9 +80,9 @@
         self._data_centre = data_centre
 
     async def accept(self, request: CallerRequest) -> Job:
-        """Accept a job durably; a repeat of its key gives the first job.
+        """Store a new job, or return the existing job of its idempotency key.
 
-        :raises RefusedError: if it was not accepted, or that is not known.
+        :raises RefusedError: if the job was not accepted or may not have been.
         """
         job = self._new_job(request)
         key = None
@@ -90,11 +91,11 @@
         try:
             stored = await self._store.accept(job, key)
         except ConflictError:
-            return await self._first_of(request)
+            return await self._existing_job(request)
         except NotSentError as error:
-            raise platform_away(error, _AWAY, NOT_RUN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, NOT_RUN) from error
         except ReplyLostError as error:
-            raise platform_away(error, _AWAY, UNKNOWN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, UNKNOWN) from error
         logger.bind(
             job=job.job_id,
             workspace=job.workspace,
@@ -106,13 +107,12 @@
     async def find(self, workspace: str, job_id: str) -> StoredJob:
         """Return a job of a workspace.
 
-        :raises RefusedError: if there is none; another workspace's job is
-            none.
+        :raises RefusedError: if there is no such job in this workspace.
         """
         try:
             stored = await self._store.load(job_id)
         except StorageError as error:
-            raise platform_away(error, _AWAY, UNKNOWN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, UNKNOWN) from error
         if stored is None or stored.job.workspace != workspace:
             raise refuse(
                 HTTPStatus.NOT_FOUND,
@@ -122,19 +122,22 @@
         return stored
 
     async def wait(self, workspace: str, job_id: str, wait_s: float) -> Job:
-        """Return a job once it has ended, or as it is when time is up."""
+        """Return a job once it has ended, or its state after ``wait_s``."""
         until_s = self._clock.monotonic_s() + wait_s
-        look_s = _FIRST_LOOK_S
+        interval_s = _MIN_POLL_INTERVAL_S
         while True:
             stored = await self.find(workspace, job_id)
             left_s = until_s - self._clock.monotonic_s()
             if stored.job.state in ENDED or left_s <= 0:
                 return stored.job
-            await self._clock.sleep(min(look_s, left_s))
-            look_s = min(_LONGEST_LOOK_S, look_s * 1.5)
+            await self._clock.sleep(min(interval_s, left_s))
+            interval_s = min(_MAX_POLL_INTERVAL_S, interval_s * 1.5)
 
     async def result(self, workspace: str, job_id: str) -> web.Response:
-        """Return a finished job's whole result."""
+        """Return the result of a finished job.
+
+        :raises RefusedError: if there is no result or it cannot be read.
+        """
         stored = await self.find(workspace, job_id)
         job = stored.job
         if job.state != FINISHED:
@@ -142,11 +145,11 @@
         try:
             body = await self._objects.get(job.result_name)
         except StorageError as error:
-            raise platform_away(error, _AWAY, UNKNOWN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, UNKNOWN) from error
         if body is None or len(body) != job.result_bytes:
             raise refuse(
                 HTTPStatus.BAD_GATEWAY,
-                'The result is not whole in the object store.',
+                'The result is missing or incomplete in the object store.',
                 step='read result',
                 outcome=UNKNOWN,
             )
@@ -157,20 +160,24 @@
         )
 
     async def cancel(self, workspace: str, job_id: str) -> Job:
-        """Cancel a job; one that has ended stays as it ended."""
+        """Cancel a job; an ended job is left unchanged.
+
+        :raises RefusedError: if there is no such job, or if the cancellation
+            may not have been stored.
+        """
         await self.find(workspace, job_id)
         try:
             stored = await self._store.request_cancel(job_id)
         except ConflictError as error:
             raise refuse(
                 HTTPStatus.CONFLICT,
-                'The job keeps changing; ask again.',
+                'The job is being changed concurrently; try again.',
                 step='cancel',
                 outcome=UNKNOWN,
                 retry_after_s=1,
             ) from error
         except StorageError as error:
-            raise platform_away(error, _AWAY, UNKNOWN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, UNKNOWN) from error
         if stored is None:
             raise refuse(
                 HTTPStatus.NOT_FOUND,
@@ -180,16 +187,16 @@
         self._notifier.notify(stored.job.home, job_id)
         return stored.job
 
-    async def _first_of(self, request: CallerRequest) -> Job:
-        """Return the job that a repeated key stands for."""
+    async def _existing_job(self, request: CallerRequest) -> Job:
+        """Return the job that an idempotency key was first used for."""
         try:
             key = await self._store.key_record(request.key_row)
         except StorageError as error:
-            raise platform_away(error, _AWAY, UNKNOWN) from error
+            raise platform_unavailable(error, _UNAVAILABLE, UNKNOWN) from error
         if key is None:
             raise refuse(
                 HTTPStatus.CONFLICT,
-                'The job could not be accepted; ask again.',
+                'The job could not be accepted; try again.',
                 step='accept',
                 retry_after_s=1,
             )
@@ -206,7 +213,9 @@
         document = self._configuration.document
         kind = request.kind
         shape = document.shapes.get(kind.shape, _ONE_SLOT)
-        home = self._home(document, request.workspace, kind.shape, shape)
+        home = self._choose_home(
+            document, request.workspace, kind.shape, shape
+        )
         return Job(
             job_id=new_job_id(home),
             workspace=request.workspace,
@@ -226,69 +235,74 @@
             key_row=request.key_row if request.key else '',
         )
 
-    def _home(
+    def _choose_home(
         self,
         document: ConfigurationDocument,
         workspace_name: str,
         shape_name: str,
         shape: Shape,
     ) -> str:
-        """Return where a job may run: where it is guaranteed, else here.
+        """Return the data centre in which a job is to run.
+
+        It is one with a guarantee for the job's shape, or else any that fits
+        the shape. Where both this data centre and others qualify, it is this
+        one, otherwise the least loaded.
 
-        :raises RefusedError: if it can never run.
+        :raises RefusedError: if the job can never run.
         """
         workspace = document.workspaces[workspace_name]
-        promised = [
+        guaranteed = [
             guarantee.data_centre
             for guarantee in workspace.guarantees
             if guarantee.shape == shape_name
         ]
-        if self._data_centre in promised:
+        if self._data_centre in guaranteed:
             return self._data_centre
-        if promised:
-            return min(promised, key=self._crowding)
+        if guaranteed:
+            return min(guaranteed, key=self._load)
         if not workspace.borrowing:
             raise refuse(
                 HTTPStatus.UNPROCESSABLE_ENTITY,
-                'It can never run: the workspace holds no guarantee of this'
+                'The job can never run: the workspace has no guarantee for this'
                 ' shape and may not borrow.',
                 step='accept',
             )
-        able = [
+        fitting = [
             name
-            for name, place in document.data_centres.items()
-            if fits(shape, place)
+            for name, data_centre in document.data_centres.items()
+            if fits(shape, data_centre)
         ]
-        # The balancer spreads callers; news of load is seconds old, and to
-        # follow it here would send a whole burst to one place.
-        if self._data_centre in able:
+        # Prefer this data centre: the load balancer already spreads callers.
+        # Known loads are seconds old, so that choosing by them would send a
+        # whole burst of jobs to one data centre.
+        if self._data_centre in fitting:
             return self._data_centre
-        if able:
-            return min(able, key=self._crowding)
+        if fitting:
+            return min(fitting, key=self._load)
         raise refuse(
             HTTPStatus.UNPROCESSABLE_ENTITY,
-            f'It can never run: {shape.accelerators} accelerators'
+            f'The job can never run: {shape.accelerators} accelerators'
             f' ({shape.adjacent}) fit no data centre.',
             step='accept',
         )
 
-    def _crowding(self, data_centre: str) -> tuple[float, bool, str]:
-        """Return how much waits there for each free slot, our own first.
+    def _load(self, data_centre: str) -> tuple[float, bool, str]:
+        """Return a sort key by waiting slots per free slot, our own first.
 
-        Without news of a data centre it counts as crowded, so that work
-        stays here while others cannot be heard.
+        A data centre whose leader is unknown counts as loaded, unless it is
+        this one, so that work stays here while others are unreachable.
         """
         own = data_centre == self._data_centre
         leader = self._notifier.active(data_centre)
         if leader is None:
-            return (0 if own else _UNHEARD, not own, data_centre)
-        crowding = (leader.waiting_slots + 1) / (leader.free_slots + 1)
-        return (crowding, not own, data_centre)
+            return (0 if own else _UNKNOWN_LOAD, not own, data_centre)
+        load = (leader.waiting_slots + 1) / (leader.free_slots + 1)
+        return (load, not own, data_centre)
 
 
 def job_body(job: Job) -> str:
-    """Return what a caller sees of a job, as JSON."""
-    seen: dict[str, Any] = {
+    """Return the JSON document that represents a job to callers."""
+    document: dict[str, Any] = {
         'id': job.job_id,
         'kind': job.kind,
         'state': job.state,
@@ -298,7 +312,7 @@
         'preemptions': job.preemptions,
         'reason': job.reason,
     }
-    return json.dumps(seen)
+    return json.dumps(document)
 
 
 def _no_result(job: Job) -> RefusedError:
@@ -323,4 +337,4 @@
     )
 
 
-__all__ = ('JobDesk', 'job_body')
+__all__ = ('JobHandler', 'job_body')
--- a/src/curranthill/gateway/problems.py
+++ b/src/curranthill/gateway/problems.py
@@ -1,4 +1,4 @@
-"""Errors as problem documents (RFC 9457) with what is known of the effect."""
+"""Errors as problem documents (RFC 9457) with the outcome of the request."""
 
 import json
 import math
@@ -11,7 +11,7 @@
 
 MEDIA_TYPE = 'application/problem+json'
 
-#: When to come back while the platform is away, in seconds.
+#: The ``Retry-After`` while the platform is unavailable, in seconds.
 PLATFORM_RETRY_S = 2
 
 
@@ -28,7 +28,7 @@
 
 
 def problem_response(error: RefusedError) -> web.Response:
-    """Return the answer for a refused or failed request."""
+    """Return the response for a refused or failed request."""
     problem = Problem(
         type='about:blank',
         title=HTTPStatus(error.status).phrase,
@@ -57,7 +57,7 @@
     outcome: Outcome = NOT_RUN,
     retry_after_s: float | None = None,
 ) -> RefusedError:
-    """Return an error for the caller to be raised."""
+    """Return an error that refuses a request, for the caller to raise."""
     return RefusedError(
         message,
         step=step,
@@ -67,12 +67,12 @@
     )
 
 
-def platform_away(
+def platform_unavailable(
     error: StorageError,
     message: str,
     outcome: Outcome,
 ) -> RefusedError:
-    """Return an error for what the platform cannot keep or tell now."""
+    """Return an error for a request that needs the unavailable platform."""
     return RefusedError(
         message,
         step=error.step,
@@ -86,7 +86,7 @@
 __all__ = (
     'MEDIA_TYPE',
     'Problem',
-    'platform_away',
+    'platform_unavailable',
     'problem_response',
     'refuse',
 )
--- a/src/curranthill/gateway/requests.py
+++ b/src/curranthill/gateway/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, read and checked under bounds."""
+"""Reading and validation of callers' requests, with size and time limits."""
 
 import asyncio
 import hashlib
@@ -18,10 +18,13 @@
 
 
 class CallerRequest(NamedTuple):
-    """One accepted call for work.
+    """A validated request for work.
 
-    :param revision: the configuration that it began with and ends under.
-    :param key: its idempotency key, empty if it has none.
+    :param wants_job: whether the request creates a job, instead of a quick
+        run whose result is the response.
+    :param key: the idempotency key, or empty.
+    :param revision: the configuration revision that applies to the request
+        from start to end.
     """
 
     request_id: str
@@ -36,12 +39,12 @@
 
     @property
     def digest(self) -> str:
-        """Return what tells a repeat from another request with its key."""
+        """Return a digest that tells a repeat from a reuse of the key."""
         return hashlib.sha256(self.body).hexdigest()
 
     @property
     def key_row(self) -> str:
-        """Return the table row of the idempotency key."""
+        """Return the row key of the idempotency key."""
         text = f'{self.kind_name}\0{self.key}'
         digest = hashlib.sha256(text.encode()).hexdigest()
         return f'keys/{self.workspace}/{digest}'
@@ -53,7 +56,7 @@
 ) -> tuple[str, Workspace]:
     """Return the workspace that the bearer token belongs to.
 
-    :raises RefusedError: if there is no token or nobody knows it.
+    :raises RefusedError: if there is no token or it is unknown.
     """
     header = request.headers.get('Authorization', '')
     found = None
@@ -62,7 +65,7 @@
     if found is None:
         raise refuse(
             HTTPStatus.UNAUTHORIZED,
-            'The request carries no token of a workspace.',
+            'The request has no valid workspace token.',
             step='authenticate',
         )
     return found
@@ -73,9 +76,9 @@
     configuration: ConfigurationHolder,
     settings: CallerSettings,
 ) -> CallerRequest:
-    """Read and check a call for work.
+    """Read and validate a request for work.
 
-    :raises RefusedError: if anything about it is wrong; it was not run.
+    :raises RefusedError: if the request is invalid; it was not run.
     """
     workspace, _ = authenticate(request, configuration)
     if workspace != request.match_info['workspace']:
@@ -94,7 +97,7 @@
         )
     revision = configuration.revision
     deadline_s = _deadline_s(request, kind)
-    key = _key(request)
+    key = _idempotency_key(request)
     return CallerRequest(
         request_id=request.headers.get('Request-Id') or uuid.uuid4().hex,
         workspace=workspace,
@@ -146,7 +149,7 @@
     return deadline_s
 
 
-def _key(request: web.Request) -> str:
+def _idempotency_key(request: web.Request) -> str:
     key = request.headers.get('Idempotency-Key', '')
     if len(key) > _MAX_KEY_CHARACTERS:
         raise refuse(
--- a/src/curranthill/gateway/server.py
+++ b/src/curranthill/gateway/server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API of a gateway."""
+"""The HTTP server of a gateway for callers."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -10,8 +10,8 @@
 from curranthill.clock import Clock
 from curranthill.configuration import ConfigurationHolder
 from curranthill.errors import RefusedError
-from curranthill.gateway.jobs import JobDesk, job_body
-from curranthill.gateway.keyed import KeyedRuns
+from curranthill.gateway.idempotency import IdempotentRunner
+from curranthill.gateway.jobs import JobHandler, job_body
 from curranthill.gateway.problems import problem_response, refuse
 from curranthill.gateway.requests import (
     CallerRequest,
@@ -27,14 +27,14 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-#: How often idle connections are looked for, as a part of their bound.
-_SWEEPS = 4
+#: How many times per idle timeout the connections are checked.
+_SWEEPS_PER_TIMEOUT = 4
 
 
 class CallerServer:
-    """Serve callers until drained.
+    """Serves callers until it is drained.
 
-    :param settings: bounds on what callers may send and hold.
+    :param settings: limits on requests and connections.
     """
 
     def __init__(  # noqa: WPS211
@@ -44,29 +44,29 @@
         settings: CallerSettings,
         configuration: ConfigurationHolder,
         router: Router,
-        keyed: KeyedRuns,
-        desk: JobDesk,
+        idempotent_runner: IdempotentRunner,
+        job_handler: JobHandler,
     ) -> None:
-        """Make the routes; nothing is served yet."""
+        """Initialize without listening; see :meth:`start`."""
         self.port = 0
         self.draining = False
         self._clock = clock
         self._settings = settings
         self._configuration = configuration
         self._router = router
-        self._keyed = keyed
-        self._desk = desk
+        self._idempotent_runner = idempotent_runner
+        self._job_handler = job_handler
         self._in_flight = 0
         self._runner: web.AppRunner | None = None
         self._last_request_s: dict[Any, float] = {}
         self._busy: set[Any] = set()
 
     async def start(self, host: str) -> None:
-        """Listen on the settings' port; 0 takes a free one."""
+        """Listen on the port in the settings, or on any free one if it is 0."""
         settings = self._settings
         app = web.Application(
             client_max_size=settings.max_body_bytes,
-            middlewares=[self._bounded],
+            middlewares=[self._admit],
         )
         app.add_routes(self._routes())
         self._runner = web.AppRunner(
@@ -83,7 +83,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def drain(self) -> None:
-        """Say "not ready", let requests under way end, then stop."""
+        """Report not ready, wait for requests in flight, then stop."""
         self.draining = True
         until_s = self._clock.monotonic_s() + self._settings.drain_s
         while self._in_flight and self._clock.monotonic_s() < until_s:
@@ -92,20 +92,24 @@
             await self._runner.cleanup()
 
     async def sweep(self) -> None:
-        """Close connections that sent no whole request for too long."""
+        """Close idle connections until cancelled.
+
+        A connection is idle if it has not sent a complete request for longer
+        than the idle timeout.
+        """
         idle_s = self._settings.idle_s
         while True:
-            await self._clock.sleep(idle_s / _SWEEPS)
+            await self._clock.sleep(idle_s / _SWEEPS_PER_TIMEOUT)
             if self._runner is None or self._runner.server is None:
                 continue
             now_s = self._clock.monotonic_s()
-            present = set(self._runner.server.connections)
-            for connection in present - self._busy:
+            connections = set(self._runner.server.connections)
+            for connection in connections - self._busy:
                 since_s = self._last_request_s.setdefault(connection, now_s)
                 if now_s - since_s > idle_s:
                     connection.force_close()
-            for gone in set(self._last_request_s) - present:
-                self._last_request_s.pop(gone)
+            for closed in set(self._last_request_s) - connections:
+                self._last_request_s.pop(closed)
 
     def _routes(self) -> list[web.RouteDef]:
         work = '/v1/workspaces/{workspace}/kinds/{kind}/requests'
@@ -119,12 +123,12 @@
         ]
 
     @web.middleware
-    async def _bounded(
+    async def _admit(
         self,
         request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
-        """Bound the requests under way and turn errors into problems."""
+        """Limit concurrent requests and turn errors into problem documents."""
         if request.path in {'/healthy', '/ready'}:
             return await handler(request)
         connection = request.protocol
@@ -135,7 +139,7 @@
             if self._in_flight > self._settings.max_connections:
                 raise refuse(
                     HTTPStatus.SERVICE_UNAVAILABLE,
-                    'Too many requests are under way.',
+                    'Too many requests are in flight.',
                     step='admit',
                     retry_after_s=1,
                 )
@@ -155,45 +159,45 @@
         if self.draining:
             raise refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
-                'This host is leaving; ask another.',
+                'This host is shutting down; use another one.',
                 step='admit',
                 retry_after_s=1,
             )
-        asked = await read_request(
+        caller_request = await read_request(
             request,
             self._configuration,
             self._settings,
         )
-        if asked.wants_job:
-            return _job_response(await self._desk.accept(asked))
-        reply = await self._run_quick(asked)
+        if caller_request.wants_job:
+            return _job_response(await self._job_handler.accept(caller_request))
+        reply = await self._run_quick(caller_request)
         return web.Response(
             body=reply.body,
             content_type=reply.content_type,
             headers={
-                'Request-Id': asked.request_id,
+                'Request-Id': caller_request.request_id,
                 'Content-Digest': content_digest(reply.body),
             },
         )
 
-    async def _run_quick(self, asked: CallerRequest) -> QuickReply:
+    async def _run_quick(self, request: CallerRequest) -> QuickReply:
         work = QuickWork(
-            request_id=asked.request_id,
-            workspace=asked.workspace,
-            service=asked.kind.service,
-            kind=asked.kind_name,
-            idempotent=asked.kind.idempotent,
-            body=asked.body,
-            deadline_s=asked.deadline_s,
+            request_id=request.request_id,
+            workspace=request.workspace,
+            service=request.kind.service,
+            kind=request.kind_name,
+            idempotent=request.kind.idempotent,
+            body=request.body,
+            deadline_s=request.deadline_s,
         )
-        if asked.key:
-            return await self._keyed.run(asked, work)
+        if request.key:
+            return await self._idempotent_runner.run(request, work)
         return await self._router.run(work)
 
     async def _get_job(self, request: web.Request) -> web.StreamResponse:
         workspace, _ = authenticate(request, self._configuration)
         wait_s = _wait_s(request, self._settings.max_wait_s)
-        job = await self._desk.wait(
+        job = await self._job_handler.wait(
             workspace,
             request.match_info['job'],
             wait_s,
@@ -205,11 +209,15 @@
 
     async def _get_result(self, request: web.Request) -> web.StreamResponse:
         workspace, _ = authenticate(request, self._configuration)
-        return await self._desk.result(workspace, request.match_info['job'])
+        return await self._job_handler.result(
+            workspace, request.match_info['job']
+        )
 
     async def _delete_job(self, request: web.Request) -> web.StreamResponse:
         workspace, _ = authenticate(request, self._configuration)
-        job = await self._desk.cancel(workspace, request.match_info['job'])
+        job = await self._job_handler.cancel(
+            workspace, request.match_info['job']
+        )
         return web.Response(
             status=HTTPStatus.ACCEPTED,
             text=job_body(job),
@@ -220,7 +228,7 @@
         return web.Response(text='healthy\n')
 
     async def _ready(self, request: web.Request) -> web.StreamResponse:
-        """Say whether the balancer should send callers here."""
+        """Respond whether the load balancer should send callers here."""
         ready = not self.draining and self._configuration.revision > 0
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         body = {'ready': ready, 'revision': self._configuration.revision}
@@ -240,7 +248,7 @@
     )
 
 
-def _wait_s(request: web.Request, longest_s: float) -> float:
+def _wait_s(request: web.Request, max_s: float) -> float:
     given = request.query.get('wait_s', '0')
     try:
         wait_s = float(given)
@@ -250,7 +258,7 @@
             'wait_s must be a number of seconds.',
             step='read request',
         ) from None
-    return max(0.0, min(longest_s, wait_s))
+    return max(0.0, min(max_s, wait_s))
 
 
 __all__ = ('CallerServer',)
