--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP calls in front of the stand-ins' models."""
+"""HTTP servers with the platform's API over the models of the stand-ins."""
 
 import asyncio
 import base64
@@ -32,41 +32,41 @@
 
 
 class Connections:
-    """The connections of a server, each of which may fall silent for good.
+    """The connections of a server, which can be made unresponsive for good.
 
-    :param paused: whether requests that arrive now are never answered.
+    :ivar paused: whether arriving requests never get a response.
     """
 
     def __init__(self) -> None:
-        """Start without connections."""
+        """Initialize without connections."""
         self.paused = False
         self._open: set[object] = set()
         self._silent: set[object] = set()
 
     def silence(self) -> None:
-        """Let no connection opened so far be answered again."""
+        """Make all connections opened so far unresponsive."""
         self._silent.update(self._open)
 
     async def pass_request(self, request: web.BaseRequest) -> None:
-        """Return if the request's connection is answered; else never."""
+        """Return if the connection is responsive, otherwise never."""
         self._open.add(request.protocol)
         if self.paused or request.protocol in self._silent:
             await asyncio.Event().wait()
 
 
 class StoreServer:
-    """The metadata store as its page says, over a model of rows.
-
-    :param refuse_with: a status that every call is answered with, or 0.
-    :param requests: every path that was called.
-    :param limits: the most rows that each reading of a table asked for.
-    :param feed_s: how long the answer of a feed is on its way.
-    :param silent_tables: tables whose readings are never answered.
-    :param lost_reads: which readings by page, from 1, are never answered.
+    """The metadata store, over a model of rows.
+
+    :ivar refuse_with: a status that all requests get, or 0.
+    :ivar requests: the paths of all requests.
+    :ivar limits: the row limits of all page requests.
+    :ivar feed_s: how long the response to a change feed is delayed, in seconds.
+    :ivar silent_tables: tables for which read requests get no response.
+    :ivar lost_reads: numbers of page requests, from 1, that get no response.
     """
 
     def __init__(self, *, model: RowModel) -> None:
-        """Serve one model."""
+        """Initialize a server without faults."""
         self._model = model
         self.connections = Connections()
         self.refuse_with = 0
@@ -77,7 +77,7 @@
         self.lost_reads: set[int] = set()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Handle one request."""
         self.requests.append(request.path)
         await self.connections.pass_request(request)
         if self.refuse_with:
@@ -96,31 +96,31 @@
         return web.Response(status=404)
 
     def _commit(self, body: dict[str, Any]) -> web.StreamResponse:
-        named = [*body['expected_rev'], *body['put'], *body['remove']]
-        if len({one['part'] for one in named}) > 1:
+        row_ids = [*body['expected_rev'], *body['put'], *body['remove']]
+        if len({row_id['part'] for row_id in row_ids}) > 1:
             return web.Response(status=400)
         try:
             version = self._model.apply(
                 [
-                    RowCheck(one['table'], one['key'], one['schema_ver'])
-                    for one in body['expected_rev']
+                    RowCheck(check['table'], check['key'], check['schema_ver'])
+                    for check in body['expected_rev']
                 ],
                 [
                     RowPut(
-                        one['table'],
-                        one['key'],
-                        base64.b64decode(one['value']),
+                        put['table'],
+                        put['key'],
+                        base64.b64decode(put['value']),
                     )
-                    for one in body['put']
+                    for put in body['put']
                 ],
                 [
-                    RowRemoval(one['table'], one['key'])
-                    for one in body['remove']
+                    RowRemoval(removal['table'], removal['key'])
+                    for removal in body['remove']
                 ],
             )
         except RowConflictError as conflict:
-            return _answer(412, rows=[_row(row) for row in conflict.rows])
-        return _answer(200, schema_ver=version, now_ms=1)
+            return _respond(412, rows=[_row(row) for row in conflict.rows])
+        return _respond(200, schema_ver=version, now_ms=1)
 
     async def _read(self, query: dict[str, str]) -> web.StreamResponse:
         table = query['table']
@@ -129,13 +129,14 @@
         rows = [
             row
             for row in listed.rows
-            if row.key >= start and part_of(table, row.key) == query['part']
+            if row.key >= start
+            and partition_of(table, row.key) == query['part']
         ]
         limit = int(query.get('limit', '500'))
         self.limits.append(limit)
         if len(self.limits) in self.lost_reads:
             await asyncio.Event().wait()
-        return _answer(
+        return _respond(
             200,
             rows=[_row(row) for row in rows[:limit]],
             has_more=len(rows) > limit,
@@ -153,7 +154,7 @@
             )
         except HistoryLostError:
             return web.Response(status=410)
-        return _answer(
+        return _respond(
             200,
             rows=[_row(row) for row in changes.rows],
             schema_ver=changes.version,
@@ -162,25 +163,25 @@
 
 
 class WorkerServer:
-    """A worker as its page says, over a model of a worker."""
+    """A worker, over a model of a worker."""
 
     def __init__(self, *, model: TaskWorkerModel) -> None:
-        """Serve one model."""
+        """Initialize with the model."""
         self.model = model
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Handle one request."""
         if request.headers['Target-Instance'] != self.model.entry.worker_id:
             return web.Response(status=421)
         body = json.loads(await request.read())
         try:
             return await self._act(request.path, body)
         except RejectedError as rejected:
-            return _answer(409, clock_ms=0, reason=rejected.reason)
+            return _respond(409, clock_ms=0, reason=rejected.reason)
         except WorkerGoneError:
             return web.Response(status=421)
         except (WorkerReplyLostError, WorkerUnreachableError):
-            # The caller has given up by now, or the worker starts again.
+            # The client has timed out by now, or the worker is restarting.
             if request.transport is not None:
                 request.transport.abort()
             return web.Response(status=500)
@@ -200,14 +201,14 @@
                 checkpoint=body.get('checkpoint_at', ''),
             )
             clock_s = await self.model.start(order)
-            return _answer(200, clock_ms=int(clock_s * 1000))
+            return _respond(200, clock_ms=int(clock_s * 1000))
         if path.endswith('run-stop'):
             clock_s = await self.model.stop(
                 TaskKey.parse(body['task']),
                 body['attempt'],
                 body['fencing_token'],
             )
-            return _answer(200, clock_ms=int(clock_s * 1000))
+            return _respond(200, clock_ms=int(clock_s * 1000))
         return await self._hold(body)
 
     async def _hold(self, body: dict[str, Any]) -> web.StreamResponse:
@@ -219,30 +220,30 @@
                 wait_s=body.get('wait_ms', 0) / 1000,
             ),
         )
-        return _answer(
+        return _respond(
             200,
             clock_ms=int(report.clock_s * 1000),
             born=report.incarnation,
             running=[
-                [str(one.task), one.attempt, one.checkpoint, one.done_percent]
-                for one in report.runs
+                [str(run.task), run.attempt, run.checkpoint, run.done_percent]
+                for run in report.runs
             ],
             ended=[
-                [one.number, str(one.task), one.attempt, one.kind, '']
-                for one in report.ends
+                [end.number, str(end.task), end.attempt, end.kind, '']
+                for end in report.ends
             ],
         )
 
 
-def part_of(table: str, key: str) -> str:
-    """Return the part in which a row lies; the platform's have none."""
+def partition_of(table: str, key: str) -> str:
+    """Return the partition of a row, empty for the platform's tables."""
     if table in {'op', 'servers', 'status'}:
         return ''
     return tables.partition_of(table, key)
 
 
 def worker_row(entry: WorkerEntry) -> RowPut:
-    """Return the row that a worker writes about itself."""
+    """Return the row that a worker writes to list itself."""
     return RowPut(
         'servers',
         entry.worker_id,
@@ -270,7 +271,7 @@
 
 
 async def serve(handler: Handler) -> tuple[web.ServerRunner, str]:
-    """Serve on a free port of this machine; return its address."""
+    """Serve on a free local port; return the server and its address."""
     runner = web.ServerRunner(web.Server(handler), shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
@@ -281,7 +282,7 @@
 def _row(row: StoredRow) -> dict[str, Any]:
     return {
         'table': row.table,
-        'part': part_of(row.table, row.key),
+        'part': partition_of(row.table, row.key),
         'key': row.key,
         'value': base64.b64encode(row.content).decode(),
         'schema_ver': row.version,
@@ -289,5 +290,5 @@
     }
 
 
-def _answer(status: int, **fields: Any) -> web.Response:
+def _respond(status: int, **fields: Any) -> web.Response:
     return web.json_response(fields, status=status)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What tests share: a clock that tests move, and embedded stand-ins."""
+"""Shared test helpers: a manual clock and in-process stand-ins."""
 
 import asyncio
 import heapq
@@ -32,31 +32,31 @@
 settings.register_profile('deep', deadline=None, max_examples=2000)
 settings.load_profile(os.environ.get('HYPOTHESIS_PROFILE', 'ci'))
 
-#: Steps of the event loop after which tasks count as spinning.
+#: Event loop steps after which the tasks are considered to loop endlessly.
 MAX_LOOP_STEPS = 20_000
 
 Result = TypeVar('Result')
 
 
 class ManualClock:
-    """A clock that only :meth:`advance` moves."""
+    """A clock whose time only :meth:`advance` and :meth:`until` change."""
 
     def __init__(self) -> None:
-        """Start at a thousand seconds."""
+        """Initialize the time to 1000 seconds."""
         self._now_s = 1000.0
         self._order = count()
         self._sleepers: list[tuple[float, int, asyncio.Future[None]]] = []
 
     def monotonic_s(self) -> float:
-        """Return the time."""
+        """Return the current time in seconds."""
         return self._now_s
 
     def wall_s(self) -> float:
-        """Return the time as wall seconds."""
+        """Return the current wall-clock time in seconds."""
         return 1_700_000_000 + self._now_s
 
     async def sleep(self, delay_s: float) -> None:
-        """Wait until the clock has been moved far enough."""
+        """Wait until the clock has been advanced by the delay."""
         future: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
@@ -65,7 +65,7 @@
         await future
 
     async def advance(self, seconds_s: float) -> None:
-        """Move time on, waking each sleeper at its own moment."""
+        """Advance the time, waking each sleeper when it is due."""
         end_s = self._now_s + seconds_s
         await run_until_idle()
         while self._sleepers and self._sleepers[0][0] <= end_s:
@@ -84,28 +84,33 @@
         *,
         within_s: float = 60,
     ) -> None:
-        """Move time on until something holds; fail if it never does."""
+        """Advance the time until a condition holds.
+
+        :raises AssertionError: if it does not hold within the given time.
+        """
         end_s = self._now_s + within_s
         await run_until_idle()
         while not condition():
             if self._now_s >= end_s:
-                raise AssertionError(f'not within {within_s} s')
+                raise AssertionError(
+                    f'the condition did not hold within {within_s} s'
+                )
             await self.advance(0.05)
 
 
 async def run_until_idle() -> None:
-    """Let every task that can run do so."""
+    """Run the event loop until no task is ready."""
     loop: Any = asyncio.get_running_loop()
     for _ in range(MAX_LOOP_STEPS):
         await asyncio.sleep(0)
-        # asyncio offers no other way to see that nothing is left to run.
+        # asyncio has no public way to check that no callback is ready.
         if not loop._ready:  # noqa: SLF001
             return
-    raise AssertionError('the tasks never come to rest')
+    raise AssertionError('the tasks did not become idle')
 
 
 def run(work: Awaitable[Result]) -> Result:
-    """Run a coroutine in an event loop of its own."""
+    """Run a coroutine in a new event loop."""
 
     async def main() -> Result:
         return await work
@@ -114,32 +119,32 @@
 
 
 class EmbeddedTable:
-    """The stand-in's table without a network, with its faults."""
+    """The table of the stand-in, in process and with injected faults."""
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Start empty and without faults."""
+        """Initialize an empty table without faults."""
         self.model = TableModel(
             clock=clock,
             writes_per_s=1e9,
             reads_per_s=1e9,
         )
         self.faults = Faults(clock=clock)
-        #: Called before each transaction; a test may act in between.
+        #: Called before each transaction, so that a test can interleave writes.
         self.before_write: Callable[[Transaction], None] | None = None
 
     async def read(self, key: str) -> Row | None:
         """Return a row."""
-        await self._pass()
+        await self._apply_faults()
         return self.model.read(key)
 
     async def scan(self, prefix: str, after: str, limit: int) -> Page:
         """Return a page."""
-        await self._pass()
+        await self._apply_faults()
         return self.model.scan(prefix, after, limit)
 
     async def transact(self, transaction: Transaction) -> dict[str, int]:
-        """Apply a transaction, and maybe lose the reply."""
-        await self._pass()
+        """Apply a transaction; an injected fault may lose the reply."""
+        await self._apply_faults()
         if self.before_write is not None:
             self.before_write(transaction)
         conflict: ConflictError | None = None
@@ -154,22 +159,22 @@
             raise conflict
         return versions
 
-    async def _pass(self) -> None:
+    async def _apply_faults(self) -> None:
         await asyncio.sleep(0)
         if await self.faults.refuses():
             raise NotSentError('down', step='table')
 
 
 class EmbeddedObjects:
-    """An object store without a network."""
+    """An in-process object store with injected faults."""
 
     def __init__(self, *, clock: ManualClock) -> None:
-        """Start empty."""
+        """Initialize an empty store without faults."""
         self.objects: dict[str, bytes] = {}
         self.faults = Faults(clock=clock)
 
     async def put(self, name: str, body: bytes) -> None:
-        """Keep an object."""
+        """Store an object."""
         if await self.faults.refuses():
             raise NotSentError('down', step='objects')
         if self.objects.setdefault(name, body) != body:
@@ -183,22 +188,22 @@
 
 
 class EmbeddedWorker:
-    """A worker of the stand-in without a network, with its faults."""
+    """A worker of the stand-in, in process and with injected faults."""
 
     def __init__(self, *, model: WorkerModel) -> None:
-        """Keep the model."""
+        """Initialize with the model."""
         self.model = model
 
     def __getattr__(self, name: str) -> Any:
-        """Return the model's method behind its faults."""
+        """Return a method of the model, wrapped with injected faults."""
         method = getattr(self.model, name)
 
-        async def call(*given: Any) -> Any:
+        async def call(*arguments: Any) -> Any:
             await asyncio.sleep(0)
             faults = self.model.faults
             if await faults.refuses():
                 raise WorkerUnreachableError('down', step=name)
-            reply = method(*given)
+            reply = method(*arguments)
             if asyncio.iscoroutine(reply):
                 reply = await reply
             if faults.loses_reply():
@@ -209,8 +214,8 @@
 
 
 def make_job(job_id: str = 'dc-1', **fields: Any) -> Job:
-    """Return a job with common fields filled in."""
-    known: dict[str, Any] = {
+    """Return a job with default values for all fields."""
+    defaults: dict[str, Any] = {
         'job_id': job_id,
         'workspace': 'audit',
         'kind': 'report',
@@ -227,7 +232,7 @@
         'body': '{"run_s": 10}',
         'shape': 'single',
     }
-    return Job(**(known | fields))
+    return Job(**(defaults | fields))
 
 
 def make_board(
@@ -236,7 +241,7 @@
     workers: int = 4,
     slots: int = 8,
 ) -> Board:
-    """Return a board with some racks of equal workers."""
+    """Return a scheduler state with racks of equal workers."""
     board = Board()
     for rack in range(racks):
         for number in range(workers):
@@ -253,14 +258,14 @@
 
 
 def enqueue_job(board: Board, job: Job, since_s: float = 0) -> Waiting:
-    """Let a job wait on a board."""
+    """Add a job to the queue of a scheduler state."""
     waiting = Waiting(job=job, since_s=since_s)
     board.queue.add(waiting)
     return waiting
 
 
 def members_on(*parts: tuple[str, int]) -> tuple[Member, ...]:
-    """Return members by worker name and slots."""
+    """Return gang members from worker names and slots."""
     return tuple(Member(name, name, slots) for name, slots in parts)
 
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""The callers' API over HTTP, against the demo's embedded Tenggara site."""
+"""The callers' HTTP API, against the demo deployment of Tenggara."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
 RERUNS = '/v1/workspaces/spindle/kinds/lubrication-life-rerun/requests'
 
 
-class Answer(NamedTuple):
-    """One HTTP answer."""
+class Response(NamedTuple):
+    """One HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -32,42 +32,42 @@
 
     @property
     def document(self) -> Any:
-        """Return the body's JSON."""
+        """Return the decoded JSON body."""
         return json.loads(self.body)
 
 
 class ApiTest(unittest.TestCase):
-    """One site serves all tests of this class."""
+    """Requests to one deployment that all tests of this class share."""
 
     loop: asyncio.AbstractEventLoop
     thread: threading.Thread
-    site: Deployment
+    deployment: Deployment
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start the site in a thread of its own."""
+        """Start the deployment in a thread."""
         os.environ.setdefault(KEY_VARIABLE, 'test-key')
         cls.loop = asyncio.new_event_loop()
         cls.thread = threading.Thread(target=cls.loop.run_forever)
         cls.thread.start()
         folder = ROOT / 'examples' / 'tenggara' / 'configuration'
-        cls.site = Deployment(folder=folder)
-        cls.on_loop(cls.site.start())
+        cls.deployment = Deployment(folder=folder)
+        cls.on_loop(cls.deployment.start())
 
     @classmethod
     def tearDownClass(cls) -> None:
-        """Stop the site and its thread."""
-        cls.on_loop(cls.site.stop())
+        """Stop the deployment and its thread."""
+        cls.on_loop(cls.deployment.stop())
         cls.loop.call_soon_threadsafe(cls.loop.stop)
         cls.thread.join()
         cls.loop.close()
 
     @classmethod
     def on_loop(cls, work: Any) -> Any:
-        """Run a coroutine on the site's loop."""
+        """Run a coroutine on the event loop of the deployment."""
         return asyncio.run_coroutine_threadsafe(work, cls.loop).result(60)
 
-    def ask(
+    def send(
         self,
         method: str,
         path: str,
@@ -76,9 +76,9 @@
         body: str | None = None,
         gateway: int = 0,
         **headers: Any,
-    ) -> Answer:
-        """Make one request."""
-        parts = urlsplit(self.site.url(gateway))
+    ) -> Response:
+        """Send one request."""
+        parts = urlsplit(self.deployment.url(gateway))
         connection = HTTPConnection(
             parts.hostname or '', parts.port, timeout=60
         )
@@ -89,26 +89,31 @@
             sent['Authorization'] = f'Bearer demo-{token}'
         connection.request(method, path, body=body, headers=sent)
         reply = connection.getresponse()
-        answer = Answer(reply.status, dict(reply.getheaders()), reply.read())
+        response = Response(
+            reply.status, dict(reply.getheaders()), reply.read()
+        )
         connection.close()
-        return answer
+        return response
 
-    def finish(self, job_id: str, token: str, gateway: int = 0) -> Any:
-        """Wait for a job and return it."""
-        answer = self.ask(
+    def wait_for_job(self, job_id: str, token: str, gateway: int = 0) -> Any:
+        """Wait for a job to end and return its document."""
+        response = self.send(
             'GET',
             f'/v1/jobs/{job_id}?wait_s=30',
             token=token,
             gateway=gateway,
         )
-        return answer.document
+        return response.document
 
-    def test_every_curl_line_of_the_page_runs(self) -> None:
-        """docs/api.md says what the server does."""
+    def test_every_curl_command_of_the_api_page_runs(self) -> None:
+        """The commands in docs/api.md have the documented results."""
         text = (ROOT / 'docs' / 'api.md').read_text('utf-8')
         lines = re.findall('```sh\n(.*?)\n```', text, re.DOTALL)
         self.assertGreaterEqual(len(lines), 9)
-        variables = os.environ | {'GATEWAY': self.site.url(0), 'JOB': 'none'}
+        variables = os.environ | {
+            'GATEWAY': self.deployment.url(0),
+            'JOB': 'none',
+        }
         outputs: list[str] = []
         for line in lines:
             done = subprocess.run(  # noqa: S602
@@ -130,12 +135,13 @@
         self.assertIn('"There is no such job."', outputs[7])
         self.assertIn('"ready": true', outputs[8])
 
-    def test_a_gang_runs_on_two_workers_and_any_host_answers(self) -> None:
-        """Accepted by one host, asked for at the others."""
-        answer = self.ask('POST', SWEEPS, token='gearbox', body='{}')
-        job_id = answer.document['id']
-        self.assertEqual(self.finish(job_id, 'gearbox', 1)['state'], 'finished')
-        result = self.ask(
+    def test_a_gang_runs_on_two_workers_and_any_host_serves_it(self) -> None:
+        """One host accepts the job; others return its state and result."""
+        response = self.send('POST', SWEEPS, token='gearbox', body='{}')
+        job_id = response.document['id']
+        job = self.wait_for_job(job_id, 'gearbox', 1)
+        self.assertEqual(job['state'], 'finished')
+        result = self.send(
             'GET',
             f'/v1/jobs/{job_id}/result',
             token='gearbox',
@@ -145,10 +151,10 @@
         self.assertEqual(result.document['members'], 2)
         self.assertIn('sha-256=:', result.headers['Content-Digest'])
 
-    def test_a_key_gives_one_run_whichever_host_it_reaches(self) -> None:
-        """A rerun that arrives twice is not run or invoiced twice."""
-        answers = [
-            self.ask(
+    def test_requests_with_one_key_run_once_across_hosts(self) -> None:
+        """A job that is submitted three times is not run repeatedly."""
+        responses = [
+            self.send(
                 'POST',
                 RERUNS,
                 token='spindle',
@@ -158,22 +164,23 @@
             )
             for gateway in (0, 1, 2)
         ]
-        ids = {answer.document['id'] for answer in answers}
+        ids = {response.document['id'] for response in responses}
         self.assertEqual(len(ids), 1)
         (job_id,) = ids  # noqa: WPS460
-        self.assertEqual(self.finish(job_id, 'spindle')['state'], 'finished')
+        job = self.wait_for_job(job_id, 'spindle')
+        self.assertEqual(job['state'], 'finished')
         starts = [
             start
-            for worker in self.site.standin.workers.values()
+            for worker in self.deployment.standin.workers.values()
             for start in worker.starts
             if start.job == job_id
         ]
         self.assertEqual(len(starts), 1)
 
-    def test_a_quick_key_gives_the_same_answer(self) -> None:
-        """The second answer is the first one's, byte for byte."""
+    def test_quick_requests_with_one_key_get_the_same_response(self) -> None:
+        """The second response equals the first, byte for byte."""
         first, second = (
-            self.ask(
+            self.send(
                 'POST',
                 LOOKUPS,
                 token='distributors',
@@ -187,10 +194,10 @@
         self.assertEqual(first.body, second.body)
 
     def test_a_key_for_another_request_is_refused(self) -> None:
-        """The same key with another body was not run."""
+        """The same key with another body is not run."""
         for path, token in ((SWEEPS, 'gearbox'), (LOOKUPS, 'distributors')):
             for body, status in (('{}', None), ('{"run_s": 0}', 422)):
-                answer = self.ask(
+                response = self.send(
                     'POST',
                     path,
                     token=token,
@@ -198,21 +205,21 @@
                     Idempotency_Key='reused',
                 )
                 if status:
-                    self.assertEqual(answer.status, status)
-                    self.assertEqual(answer.document['outcome'], 'not_run')
+                    self.assertEqual(response.status, status)
+                    self.assertEqual(response.document['outcome'], 'not_run')
 
-    def test_another_workspaces_job_is_no_job(self) -> None:
-        """The answer is the same as for a job that does not exist."""
-        answer = self.ask('POST', SWEEPS, token='gearbox', body='{}')
-        job_id = answer.document['id']
+    def test_jobs_of_other_workspaces_are_not_found(self) -> None:
+        """The response is the same as for a job that does not exist."""
+        response = self.send('POST', SWEEPS, token='gearbox', body='{}')
+        job_id = response.document['id']
         for method in ('GET', 'DELETE'):
-            theirs = self.ask(method, f'/v1/jobs/{job_id}', token='spindle')
-            none = self.ask(method, '/v1/jobs/none', token='spindle')
-            self.assertEqual(theirs.status, 404)
-            self.assertEqual(theirs.body, none.body)
+            foreign = self.send(method, f'/v1/jobs/{job_id}', token='spindle')
+            unknown = self.send(method, '/v1/jobs/none', token='spindle')
+            self.assertEqual(foreign.status, 404)
+            self.assertEqual(foreign.body, unknown.body)
 
-    def test_wrong_requests_are_refused_as_not_run(self) -> None:
-        """Token, kind, deadline, size and key bounds."""
+    def test_invalid_requests_are_refused_as_not_run(self) -> None:
+        """Wrong token, kind, workspace, deadline, body size and key size."""
         cases: list[tuple[int, str, dict[str, Any], str]] = [
             (401, SWEEPS, {}, '{}'),
             (404, LOOKUPS.replace('catalogue', 'no'), {'token': 'gearbox'}, ''),
@@ -227,43 +234,43 @@
             ),
         ]
         for status, path, options, body in cases:
-            answer = self.ask('POST', path, body=body, **options)
-            self.assertEqual(answer.status, status)
-            self.assertEqual(answer.document['outcome'], 'not_run')
-            self.assertIn('problem+json', answer.headers['Content-Type'])
+            response = self.send('POST', path, body=body, **options)
+            self.assertEqual(response.status, status)
+            self.assertEqual(response.document['outcome'], 'not_run')
+            self.assertIn('problem+json', response.headers['Content-Type'])
 
-    def test_a_task_that_fails_says_so(self) -> None:
-        """Quick work that ran and failed is neither retried nor hidden."""
-        answer = self.ask(
+    def test_a_failed_task_is_reported_as_failed(self) -> None:
+        """Quick work that ran and failed is not retried."""
+        response = self.send(
             'POST',
             LOOKUPS,
             token='distributors',
             body='{"fail": true}',
         )
-        self.assertEqual(answer.status, 502)
-        self.assertEqual(answer.document['outcome'], 'failed')
-        self.assertTrue(answer.document['peer'])
+        self.assertEqual(response.status, 502)
+        self.assertEqual(response.document['outcome'], 'failed')
+        self.assertTrue(response.document['peer'])
 
-    def test_without_the_platform_quick_work_goes_on(self) -> None:
-        """What cannot be made durable is refused at once as not run."""
-        faults = self.site.standin.platform_faults
+    def test_quick_work_continues_while_the_platform_is_down(self) -> None:
+        """Jobs cannot be stored and are refused at once as not run."""
+        faults = self.deployment.standin.platform_faults
         faults.settings = FaultSettings(down=True)
         self.addCleanup(setattr, faults, 'settings', FaultSettings())
-        quick = self.ask('POST', LOOKUPS, token='distributors', body='{}')
+        quick = self.send('POST', LOOKUPS, token='distributors', body='{}')
         self.assertEqual(quick.status, 200)
-        job = self.ask('POST', SWEEPS, token='gearbox', body='{}')
+        job = self.send('POST', SWEEPS, token='gearbox', body='{}')
         self.assertEqual(job.status, 503)
         self.assertEqual(job.document['outcome'], 'not_run')
         self.assertEqual(job.headers['Retry-After'], '2')
 
-    def test_a_slow_sender_is_cut_off(self) -> None:
-        """A body that never arrives is answered and the server stays up."""
-        server = self.site.gateways[0].server
+    def test_a_request_with_an_incomplete_body_times_out(self) -> None:
+        """It gets status 408."""
+        server = self.deployment.gateways[0].server
         assert server is not None
         before = server._settings  # noqa: SLF001
         server._settings = before._replace(body_timeout_s=0.2)  # noqa: SLF001
         self.addCleanup(setattr, server, '_settings', before)
-        parts = urlsplit(self.site.url(0))
+        parts = urlsplit(self.deployment.url(0))
         with socket.create_connection((parts.hostname, parts.port), 10) as raw:
             raw.sendall(
                 f'POST {LOOKUPS} HTTP/1.1\r\nHost: x\r\n'
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records that another writer wrote, and answers that can't be read."""
+"""Malformed records of other writers, and malformed responses."""
 
 import asyncio
 import json
@@ -65,8 +65,8 @@
     'labels',
 )
 
-#: Values that stand where another type is wanted.
-STRANGE: Final[tuple[Any, ...]] = (
+#: Values of types that a field may not accept.
+UNEXPECTED: Final[tuple[Any, ...]] = (
     None,
     True,
     [],
@@ -76,7 +76,7 @@
     -1,
     0.5,
     '',
-    'strange',
+    'unexpected',
 )
 
 BYTES: Final = (b'', b'\xff\xfe', b'null', b'7', b'"text"', b'[]', b'[[', b'{')
@@ -96,94 +96,94 @@
     return StoredRow('servers', 'i-1', content, 1)
 
 
-def taken(fields: object) -> WorkerEntry | None:
-    """Return the worker that an entry names, if it names one."""
+def decode_entry(fields: object) -> WorkerEntry | None:
+    """Return the decoded entry, or nothing if it is malformed."""
     try:
         return RegisteredWorkers().decode(row(json.dumps(fields).encode()))
     except MalformedRecordError:
         return None
 
 
-#: Strange values that are of the type which a field wants all the same.
-FITTING: Final[dict[str, tuple[Any, ...]]] = {
-    'service': ('strange',),
-    'zone': ('strange',),
-    'version': ('', 'strange'),
+#: Unexpected values that are nevertheless valid for a field.
+VALID_UNEXPECTED: Final[dict[str, tuple[Any, ...]]] = {
+    'service': ('unexpected',),
+    'zone': ('unexpected',),
+    'version': ('', 'unexpected'),
     'labels': ([],),
     'cold_remaining_ms': (0.5,),
 }
 
 
-def variants() -> Iterator[tuple[str, object]]:
-    """Return entries that lack a field, or have one of another type."""
+def malformed_entries() -> Iterator[tuple[str, object]]:
+    """Yield entries that lack a field or have one of another type."""
     for name in REQUIRED:
         yield (
             f'without {name}',
             {key: field for key, field in ENTRY.items() if key != name},
         )
-        for strange in STRANGE:
-            if strange not in FITTING.get(name, ()):
-                yield f'{name} {strange!r}', {**ENTRY, name: strange}
+        for field in UNEXPECTED:
+            if field not in VALID_UNEXPECTED.get(name, ()):
+                yield f'{name} {field!r}', {**ENTRY, name: field}
     for name in ENTRY['headroom']:
-        room = dict(ENTRY['headroom'])
-        room.pop(name)
-        yield f'room without {name}', {**ENTRY, 'headroom': room}
-        for strange in STRANGE:
+        capacity = dict(ENTRY['headroom'])
+        capacity.pop(name)
+        yield f'capacity without {name}', {**ENTRY, 'headroom': capacity}
+        for field in UNEXPECTED:
             yield (
-                f'room with {name} {strange!r}',
-                {**ENTRY, 'headroom': {**room, name: strange}},
+                f'capacity with {name} {field!r}',
+                {**ENTRY, 'headroom': {**capacity, name: field}},
             )
     for name in ('clock_ms', 'remaining_ms', 'born'):
-        for strange in (None, True, [], {}, -1, '', 'strange'):
-            yield f'{name} {strange!r}', {**ENTRY, name: strange}
-    yield 'state of another name', {**ENTRY, 'state': 'standby'}
-    yield 'a label that is a number', {**ENTRY, 'labels': ['a', 3]}
+        for field in (None, True, [], {}, -1, '', 'unexpected'):
+            yield f'{name} {field!r}', {**ENTRY, name: field}
+    yield 'an unknown state', {**ENTRY, 'state': 'standby'}
+    yield 'a number as a label', {**ENTRY, 'labels': ['a', 3]}
     yield 'an address without a port', {**ENTRY, 'address': '10.1.0.9'}
 
 
 class WorkerEntryTest(unittest.TestCase):
-    """What is not as workers write it names no worker to use."""
+    """Only valid entries of workers are decoded."""
 
-    def test_an_entry_as_workers_write_it_is_taken(self) -> None:
-        """Also one that says more than is known here."""
+    def test_valid_entries_are_accepted(self) -> None:
+        """Entries may also have fields that are unknown here."""
         for entry in (ENTRY, {**ENTRY, 'machine': 'm-1', 'remaining_ms': 20}):
-            found = taken(entry)
+            found = decode_entry(entry)
             assert found is not None
             self.assertEqual(found.incarnation, 1700000000123)
             self.assertEqual(found.room.gpus, 8)
 
-    def test_an_entry_without_what_is_told_at_times_is_taken(self) -> None:
-        """A clock and an incarnation are no condition."""
+    def test_entries_without_optional_fields_are_accepted(self) -> None:
+        """The clock and the incarnation are optional."""
         entry = {name: ENTRY[name] for name in REQUIRED}
-        found = taken(entry)
+        found = decode_entry(entry)
         assert found is not None
         self.assertEqual(found.incarnation, 0)
 
-    def test_no_variant_is_taken(self) -> None:
-        """Fields missing, of another type, or with a name of no page."""
-        for name, entry in variants():
+    def test_malformed_entries_are_refused(self) -> None:
+        """Fields are missing, of another type, or have an unknown value."""
+        for name, entry in malformed_entries():
             with self.subTest(name):
-                self.assertIsNone(taken(entry))
+                self.assertIsNone(decode_entry(entry))
 
-    def test_bytes_that_are_no_object_are_rejected(self) -> None:
-        """As are some that are no text at all."""
+    def test_content_that_is_no_json_object_is_refused(self) -> None:
+        """The content may not even be text."""
         for content in BYTES:
             with self.subTest(repr(content)):
                 with self.assertRaises(MalformedRecordError):
                     RegisteredWorkers().decode(row(content))
 
 
-class FixedAnswer:
-    """Answers every call with one body."""
+class FixedResponse:
+    """An HTTP client whose requests all get the same response."""
 
     def __init__(self, body: bytes, status: int = 200) -> None:
-        """Keep the answer."""
+        """Initialize with the response."""
         self.status = status
-        self._answer = HttpResponse(status, body, 0.0)
+        self._response = HttpResponse(status, body, 0.0)
 
     async def call(self, method: str, url: str, **options: Any) -> HttpResponse:
-        """Return the answer."""
-        return self._answer
+        """Return the response."""
+        return self._response
 
     @asynccontextmanager
     async def open(
@@ -191,13 +191,13 @@
         method: str,
         url: str,
         **options: Any,
-    ) -> AsyncIterator['FixedAnswer']:
-        """Enter at the beginning of the answer, which this object is too."""
+    ) -> AsyncIterator['FixedResponse']:
+        """Enter with the streaming response, which this object is too."""
         yield self
 
     async def read(self) -> HttpResponse:
-        """Return the answer."""
-        return self._answer
+        """Return the complete response."""
+        return self._response
 
 
 ORDER: Final = StartOrder(FIRST, 1, 'text', 5.0, 1)
@@ -205,21 +205,21 @@
 
 
 class AnyBytesTest(unittest.TestCase):
-    """Whatever comes, decoders raise nothing but their own error."""
+    """For arbitrary input, decoders raise only their own error."""
 
     @settings(max_examples=300)
     @given(JSON, st.sampled_from(('', *ENTRY)), JSON)
     def test_entries(self, whole: object, name: str, field: object) -> None:
-        """Any object, and an entry with any field exchanged."""
-        taken(whole)
-        taken({**ENTRY, name: field})
+        """Any JSON value, and an entry with any field replaced."""
+        decode_entry(whole)
+        decode_entry({**ENTRY, name: field})
 
     @settings(max_examples=200)
     @given(
         st.binary(max_size=40) | JSON.map(lambda one: json.dumps(one).encode())
     )
     def test_stored_records(self, content: bytes) -> None:
-        """The configuration, jobs, progress and the leader's row."""
+        """The configuration, jobs, job progress and the leader's row."""
         for kind in (JobSpec, JobProgress):
             with suppress(MalformedRecordError):
                 decode(content, kind)
@@ -237,11 +237,11 @@
         st.binary(max_size=40) | JSON.map(lambda one: json.dumps(one).encode()),
         st.sampled_from((200, 409)),
     )
-    def test_answers(self, body: bytes, status: int) -> None:
-        """Of workers, of the store and of the advisor."""
+    def test_responses(self, body: bytes, status: int) -> None:
+        """Responses of workers, of the store and of the advisor."""
 
         async def case() -> None:
-            client: Any = FixedAnswer(body, status)
+            client: Any = FixedResponse(body, status)
             worker = PlatformWorker(
                 client=client,
                 address='10.0.0.1:80',
@@ -269,10 +269,10 @@
 
 
 class RowValueTest(unittest.TestCase):
-    """A row whose value is no base64."""
+    """A row whose value is not valid base64."""
 
-    def test_the_other_rows_of_its_page_hold(self) -> None:
-        """Its content is empty, which no decoder takes."""
+    def test_the_other_rows_of_its_page_are_returned(self) -> None:
+        """Its own content is empty, which no decoder accepts."""
         rows = [
             {
                 'table': 'servers',
@@ -286,29 +286,29 @@
         body = json.dumps({'rows': rows, 'schema_ver': 6}).encode()
 
         async def case() -> None:
-            client: Any = FixedAnswer(body)
+            client: Any = FixedResponse(body)
             store = PlatformStore(
                 client=client,
                 paths=StorePaths(direct='10.0.0.2:80', peers=tuple),
                 clock=ManualClock(),
             )
             listed = await store.scan('servers')
-            contents = [one.content for one in listed.rows]
+            contents = [stored.content for stored in listed.rows]
             self.assertEqual(contents, [b'{}', b'', b''])
 
         run(case())
 
 
 def write(domain: Domain, key: str, content: bytes) -> None:
-    """Write a worker's row as another writer does."""
+    """Write a worker's row with arbitrary content."""
     domain.rows.apply((), (RowPut(WORKER_TABLE, key, content),), ())
 
 
 class RunningHostsTest(unittest.TestCase):
-    """Bad entries on hosts that serve callers over real ports."""
+    """Malformed entries while hosts serve callers over real ports."""
 
-    def test_callers_notice_nothing_of_bad_entries(self) -> None:
-        """Of another worker all the time, and of the only one for a while."""
+    def test_callers_are_served_despite_malformed_entries(self) -> None:
+        """First those of other workers, then that of the only good worker."""
 
         async def case(testbed: Testbed) -> None:
             hosts = await start_two(testbed, first_leads=True)
@@ -337,10 +337,10 @@
 
 
 class BadEntryTest(unittest.TestCase):
-    """A bad entry among good ones on a leader that works."""
+    """A malformed entry among valid ones, read by a leader."""
 
-    def test_the_others_of_the_same_change_hold(self) -> None:
-        """Work goes to the good worker that comes with the bad entry."""
+    def test_valid_entries_of_the_same_change_are_applied(self) -> None:
+        """Work goes to the worker that is listed with the malformed entry."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -357,7 +357,7 @@
     def test_a_worker_of_a_service_that_no_queue_names_is_not_used(
         self,
     ) -> None:
-        """Its entry is well formed all the same."""
+        """Its entry is nevertheless valid."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -370,8 +370,8 @@
 
         in_domain(case, workers=1)
 
-    def test_a_leader_starts_beside_a_bad_entry(self) -> None:
-        """The entry stands there when the term begins."""
+    def test_a_leader_starts_despite_a_malformed_entry(self) -> None:
+        """The entry is stored before the term begins."""
 
         async def case(domain: Domain) -> None:
             write(domain, 'w8', b'{}')
@@ -382,8 +382,8 @@
 
         in_domain(case, workers=1)
 
-    def test_each_version_of_a_bad_row_is_told_once(self) -> None:
-        """Also when the whole table is read again."""
+    def test_each_version_of_a_malformed_row_is_logged_once(self) -> None:
+        """Reading the whole table again does not log it again."""
 
         async def case(domain: Domain) -> None:
             domain.start_host('h1')
@@ -401,8 +401,8 @@
 
         in_domain(case, workers=1)
 
-    def test_a_known_worker_gets_no_work_until_its_entry_is_good(self) -> None:
-        """What runs there goes on under its lease."""
+    def test_a_known_worker_gets_no_work_until_its_entry_is_valid(self) -> None:
+        """Its current run continues under its lease."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -422,15 +422,19 @@
 
         in_domain(case, workers=1, run_s=20)
 
-    def test_a_worker_that_is_lost_behind_a_bad_entry_is_given_up(self) -> None:
-        """Its task starts again elsewhere once the lease has lapsed."""
+    def test_the_loss_of_a_worker_with_a_malformed_entry_is_noticed(
+        self,
+    ) -> None:
+        """Its task starts again elsewhere once the lease has expired."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
             await host.accept(make_spec('a1'))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            lost = next(one for one in domain.workers.values() if one.runs)
+            lost = next(
+                worker for worker in domain.workers.values() if worker.runs
+            )
             write(domain, lost.entry.worker_id, b'7')
             lost.cut = True
             await domain.clock.until(
@@ -440,8 +444,8 @@
 
         in_domain(case, run_s=30)
 
-    def test_a_job_that_cannot_be_read_holds_up_no_other(self) -> None:
-        """It is told of, and nothing of it starts."""
+    def test_a_malformed_job_does_not_hold_up_others(self) -> None:
+        """It is logged, and none of its tasks starts."""
 
         async def case(domain: Domain) -> None:
             put = RowPut(tables.INTAKE, 'bad', b'\xff')
--- a/tests/test_host_program.py
+++ b/tests/test_host_program.py
@@ -1,4 +1,4 @@
-"""What a host's program loads, and how it says that it cannot start."""
+"""The imports of the host program, and its error for missing settings."""
 
 import os
 import subprocess  # noqa: S404
@@ -10,10 +10,11 @@
 ROOT = Path(__file__).parent.parent
 PROGRAM = ROOT / 'deploy' / 'host.py'
 
-#: Libraries of the command line alone.
+#: Libraries that only the command line needs.
 COMMAND_LINE = {'typer', 'rich', 'pydantic', 'click', 'shellingham'}
 
-#: Runs the program to its refusal of absent settings; tells what is loaded.
+#: Runs the program until it refuses the missing settings, then prints its exit
+#: code and the loaded modules.
 PROBE = """
 import runpy, sys
 sys.argv = [{program!r}, *{options!r}]
@@ -25,7 +26,7 @@
 
 
 def start(*options: str) -> subprocess.CompletedProcess[str]:
-    """Start the program as deployed, on a machine without settings."""
+    """Run the program as deployed, without a settings file."""
     probe = PROBE.format(program=str(PROGRAM), options=options)
     with tempfile.TemporaryDirectory() as folder:
         absent = Path(folder) / 'absent.json'
@@ -39,18 +40,22 @@
 
 
 class StartTest(unittest.TestCase):
-    """The program as the deploy file starts it."""
+    """The program that the deploy file starts."""
 
     def test_no_library_of_the_command_line_is_loaded(self) -> None:
-        """Every host would hold it for good."""
+        """It would stay in the memory of each host."""
         loaded = {name.split('.')[0] for name in start().stdout.split()}
         self.assertIn('aiohttp', loaded)
         self.assertEqual(loaded & COMMAND_LINE, set())
 
-    def test_absent_settings_are_told_with_and_without_options(self) -> None:
-        """One sentence on standard error and the code of wrong use."""
+    def test_missing_settings_are_reported_with_and_without_options(
+        self,
+    ) -> None:
+        """A message on standard error and the exit code of a usage error."""
         for options in ((), ('--without', 'doubt')):
             with self.subTest(options=options):
-                done = start(*options)
-                self.assertEqual(done.stdout.split()[0], '2')
-                self.assertRegex(done.stderr, r'absent\.json cannot be used')
+                completed = start(*options)
+                self.assertEqual(completed.stdout.split()[0], '2')
+                self.assertRegex(
+                    completed.stderr, r'absent\.json cannot be used'
+                )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocols, spoken over real connections to stand-ins."""
+"""The platform adapter over real connections to stand-in servers."""
 
 import asyncio
 import json
@@ -91,20 +91,21 @@
 }
 
 
-#: What the platform leaves for a planned stop in a test, in seconds.
+#: The time that the platform allows for a planned stop in a test, in seconds.
 GRACE_S = 4.0
 
-#: What 2,000 routes take on a link of 5 Mbit/s, in seconds, and by which try
-#: they must have come: three, with their pauses, fit into a change's 3 s.
+#: The transfer time of 2,000 routes on a link of 5 Mbit/s, in seconds, and the
+#: attempt by which they must have arrived. Three attempts, with their delays,
+#: fit into the 3 s within which a change must come into force.
 SLOW_FEED_S = 0.8
-TRIES_OF_A_FEED = 2
+MAX_FEED_ATTEMPTS = 2
 
 
 class Testbed:
-    """A store and one worker behind real ports, and clients of both."""
+    """A store and one worker on real ports, and an HTTP client of them."""
 
     def __init__(self) -> None:
-        """Start nothing yet."""
+        """Initialize an empty store; no server runs yet."""
         self.clock = SystemClock()
         self.rows = RowModel(clock=self.clock)
         self.store_server = StoreServer(model=self.rows)
@@ -129,13 +130,13 @@
         )
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Close the client and stop the servers."""
         for close in reversed(self.closers):
             await close()
 
 
 def on_testbed(case: Callable[[Testbed], Awaitable[None]]) -> None:
-    """Run a test with servers of its own."""
+    """Run a test case with a new testbed."""
 
     async def main() -> None:
         testbed = Testbed()
@@ -149,10 +150,10 @@
 
 
 class StoreTest(unittest.TestCase):
-    """Rows over HTTP."""
+    """The row store over HTTP."""
 
-    def test_commits_are_conditional_and_name_the_winner(self) -> None:
-        """A second insertion meets the first row."""
+    def test_conflicting_commits_return_the_stored_row(self) -> None:
+        """A second insertion conflicts with the first."""
 
         async def case(testbed: Testbed) -> None:
             put = RowPut('t', 'k', b'one')
@@ -168,7 +169,7 @@
         on_testbed(case)
 
     def test_a_table_is_read_page_by_page(self) -> None:
-        """More rows than one page holds."""
+        """The table has more rows than fit in one page."""
 
         async def case(testbed: Testbed) -> None:
             for number in range(250):
@@ -178,8 +179,8 @@
 
         on_testbed(case)
 
-    def test_partitions_read_side_by_side_share_one_page(self) -> None:
-        """A host with a slow link takes one page in time, not sixteen."""
+    def test_concurrent_partition_scans_share_one_page(self) -> None:
+        """Over a slow link one page arrives in time, but sixteen would not."""
 
         async def case(testbed: Testbed) -> None:
             for number in range(250):
@@ -188,14 +189,14 @@
             listed = await testbed.store.scan(tables.INTAKE)
             keys = {row.key for row in listed.rows}
             self.assertEqual((len(keys), len(listed.rows)), (250, 250))
-            together = len(tables.INTAKE_PARTITIONS)
-            in_flight = max(testbed.store_server.limits) * together
+            concurrent = len(tables.INTAKE_PARTITIONS)
+            in_flight = max(testbed.store_server.limits) * concurrent
             self.assertLessEqual(in_flight, PAGE_ROWS)
 
         on_testbed(case)
 
-    def test_feeds_bring_changes_and_tell_of_lost_history(self) -> None:
-        """A change comes at once; an old version is refused."""
+    def test_change_feeds_return_changes_and_report_lost_history(self) -> None:
+        """A change arrives at once; a too old version raises an error."""
 
         async def case(testbed: Testbed) -> None:
             follow = asyncio.ensure_future(testbed.store.changes('t', 0, 2.0))
@@ -210,12 +211,12 @@
         on_testbed(case)
 
     def test_a_large_change_reaches_a_host_with_a_slow_link(self) -> None:
-        """Its answer takes longer than is usual, each time it is asked for."""
+        """Each response takes longer than the first timeout allows."""
 
         async def case(testbed: Testbed) -> None:
             testbed.rows.apply((), (RowPut('op', 'config', b'v'),), ())
             testbed.store_server.feed_s = SLOW_FEED_S
-            for _ in range(TRIES_OF_A_FEED - 1):
+            for _ in range(MAX_FEED_ATTEMPTS - 1):
                 with self.assertRaises(StorageError):
                     await testbed.store.changes('op', 0, 0.0)
             changes = await testbed.store.changes('op', 0, 0.0)
@@ -223,30 +224,30 @@
 
         on_testbed(case)
 
-    def test_refusals_and_closed_ports_did_nothing(self) -> None:
-        """503, 429 and no listener."""
+    def test_refused_requests_and_closed_ports_count_as_not_sent(self) -> None:
+        """Status 429, status 503 and a port without a listener."""
 
         async def case(testbed: Testbed) -> None:
             for status in (429, 503):
                 testbed.store_server.refuse_with = status
                 with self.assertRaises(NotSentError):
                     await testbed.store.commit(puts=(RowPut('t', 'k', b''),))
-            nobody = PlatformStore(
+            closed = PlatformStore(
                 client=testbed.client,
                 paths=StorePaths(direct='127.0.0.1:1', peers=tuple),
                 clock=testbed.clock,
             )
             with self.assertRaises(NotSentError):
-                await nobody.commit(puts=(RowPut('t', 'k', b''),))
+                await closed.commit(puts=(RowPut('t', 'k', b''),))
 
         on_testbed(case)
 
 
-class SilentConnectionTest(unittest.TestCase):
-    """Kept connections that fall silent while new ones work."""
+class UnresponsiveConnectionTest(unittest.TestCase):
+    """Pooled connections that stop responding while new ones work."""
 
-    def test_one_lost_reply_is_enough_to_leave_all_silent_ones(self) -> None:
-        """Three kept connections cost one timeout, not three."""
+    def test_one_lost_reply_retires_all_pooled_connections(self) -> None:
+        """Three unresponsive connections cost one timeout, not three."""
 
         async def case(testbed: Testbed) -> None:
             await read_together(testbed, 3)
@@ -258,8 +259,8 @@
 
         on_testbed(case)
 
-    def test_a_call_under_way_outlives_the_loss_of_another(self) -> None:
-        """A feed that waits is not broken off by another call's timeout."""
+    def test_a_request_in_flight_survives_the_timeout_of_another(self) -> None:
+        """A long poll is not aborted by the timeout of another request."""
 
         async def case(testbed: Testbed) -> None:
             follow = asyncio.ensure_future(testbed.store.changes('t', 0, 2.0))
@@ -276,15 +277,15 @@
 
 
 async def read_together(testbed: Testbed, count: int) -> None:
-    """Make so many readings at once, so that as many connections are kept."""
+    """Read ``count`` times concurrently, to pool as many connections."""
     await asyncio.gather(*(testbed.store.read('t', 'k') for _ in range(count)))
 
 
 class WorkerTest(unittest.TestCase):
-    """Orders over HTTP."""
+    """Start orders, stop orders and lease renewals over HTTP."""
 
-    def test_a_task_is_started_held_and_its_end_acknowledged(self) -> None:
-        """The names of the wire are decoded both ways."""
+    def test_a_task_is_started_renewed_and_its_end_acknowledged(self) -> None:
+        """Requests are encoded and responses decoded with the wire names."""
 
         async def case(testbed: Testbed) -> None:
             worker = PlatformConnector(client=testbed.client).connect(
@@ -294,17 +295,17 @@
             order = StartOrder(TASK, 2, 'text', until_s, token=7)
             await worker.start(order)
             self.assertEqual(testbed.worker.starts, [order])
-            held = await worker.renew(LeaseOrder(7, 0, until_s, 0.0))
-            self.assertEqual([one.task for one in held.runs], [TASK])
-            held = await worker.renew(LeaseOrder(7, 0, until_s, 1.0))
-            self.assertEqual([one.kind for one in held.ends], ['done'])
-            held = await worker.renew(LeaseOrder(7, 1, 0.0, 0.0))
-            self.assertEqual(held.ends, ())
+            report = await worker.renew(LeaseOrder(7, 0, until_s, 0.0))
+            self.assertEqual([run.task for run in report.runs], [TASK])
+            report = await worker.renew(LeaseOrder(7, 0, until_s, 1.0))
+            self.assertEqual([end.kind for end in report.ends], ['done'])
+            report = await worker.renew(LeaseOrder(7, 1, 0.0, 0.0))
+            self.assertEqual(report.ends, ())
 
         on_testbed(case)
 
     def test_rejections_carry_the_workers_reason(self) -> None:
-        """A lower token."""
+        """An order with a lower fencing token is rejected."""
 
         async def case(testbed: Testbed) -> None:
             worker = PlatformConnector(client=testbed.client).connect(
@@ -318,10 +319,10 @@
 
         on_testbed(case)
 
-    def test_another_life_a_closed_port_and_silence_are_told_apart(
+    def test_replaced_unreachable_and_unresponsive_workers_are_distinguished(
         self,
     ) -> None:
-        """Three ways not to be answered."""
+        """Another worker id, a closed port and a lost reply."""
 
         async def case(testbed: Testbed) -> None:
             connector = PlatformConnector(client=testbed.client)
@@ -342,10 +343,10 @@
 
 
 class DecodingTest(unittest.TestCase):
-    """Names of the wire become names of ours."""
+    """Decoding of stored rows, submitted jobs and settings."""
 
     def test_a_worker_entry(self) -> None:
-        """As a worker writes it."""
+        """An entry as a worker writes it."""
         entry = WorkerEntry(
             worker_id='i-1',
             service='calc',
@@ -362,7 +363,7 @@
         self.assertEqual(entry.rack, 'r1-3')
 
     def test_a_configuration(self) -> None:
-        """As the operator writes it; other rows are passed over."""
+        """A configuration as the operator writes it; other rows are ignored."""
         content = json.dumps(CONFIGURATION).encode()
         revision = decode_revision(StoredRow('op', 'config', content, 1))
         assert revision is not None
@@ -376,7 +377,7 @@
         self.assertIsNone(decode_revision(other))
 
     def test_a_step(self) -> None:
-        """Each field that may stand in a job."""
+        """Each field that a submitted step may have."""
         step = step_from(
             msgspec.convert(
                 {
@@ -404,8 +405,8 @@
         self.assertEqual((step.max_per_worker, step.after), (2, (0,)))
         self.assertTrue(step.gang and step.same_rack and step.fills)
 
-    def test_settings_that_cannot_be_used_are_named(self) -> None:
-        """A missing file, and a file that lacks what is needed."""
+    def test_errors_name_the_unusable_settings(self) -> None:
+        """A missing file, and a file without a required field."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'local.json'
             with self.assertRaisesRegex(SettingsError, 'local.json'):
@@ -414,8 +415,8 @@
             with self.assertRaisesRegex(SettingsError, 'bind_addrs'):
                 read_platform_settings(path)
 
-    def test_services_over_tls_are_refused_plainly(self) -> None:
-        """A host loads no certificates, so it must not start to try."""
+    def test_services_over_tls_are_refused(self) -> None:
+        """A host loads no certificates, so it must not start with these."""
         address = '127.0.0.1:1'
         settings = {
             'node_name': 'front-1',
@@ -427,17 +428,17 @@
             'placement_advisor': address,
         }
         over_tls = f'https://{address}'
-        self.assertIn(address, reading_of(settings))
+        self.assertIn(address, address_or_error(settings))
         for wrong in (
             {'platform': {'address': over_tls}},
             {'placement_advisor': over_tls},
         ):
             with self.subTest(wrong=wrong):
-                self.assertIn('plain HTTP', reading_of(settings | wrong))
+                self.assertIn('plain HTTP', address_or_error(settings | wrong))
 
 
-def reading_of(settings: dict[str, Any]) -> str:
-    """Return what becomes of settings: the store's address, or the error."""
+def address_or_error(settings: dict[str, Any]) -> str:
+    """Read settings and return the store's address, or the error message."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / 'local.json'
         path.write_text(json.dumps(settings), 'utf-8')
@@ -448,10 +449,10 @@
 
 
 class HostTest(unittest.TestCase):
-    """One whole host between callers, store and worker."""
+    """A host with callers, a store and a worker."""
 
-    def test_callers_are_served_from_one_end_to_the_other(self) -> None:
-        """Accept, state, queue length, keys, routes, limits, cancel."""
+    def test_callers_are_served_end_to_end(self) -> None:
+        """Acceptance, state, queue length, keys, routes, limits, cancel."""
 
         async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -464,23 +465,23 @@
                     read_settings=lambda: read_platform_settings(path),
                 )
                 with patch.object(events, 'log') as log:
-                    await self.run_host(host, testbed)
-            told = str(log.call_args_list)
-            self.assertIn("'accepted'", told)
-            self.assertNotIn('key-of-alpha', told)
+                    await self.run_requests(host, testbed)
+            logged = str(log.call_args_list)
+            self.assertIn("'accepted'", logged)
+            self.assertNotIn('key-of-alpha', logged)
 
         on_testbed(case)
 
-    async def run_host(self, host: HostDaemon, testbed: Testbed) -> None:
-        """Run a host for as long as it is asked."""
+    async def run_requests(self, host: HostDaemon, testbed: Testbed) -> None:
+        """Start a host, make the requests, and stop it."""
         await host.app.start()
         try:
-            await self.ask(host, testbed)
+            await self.make_requests(host, testbed)
         finally:
             await host.app.stop()
 
-    async def ask(self, host: HostDaemon, testbed: Testbed) -> None:
-        """Ask for everything a caller may ask for."""
+    async def make_requests(self, host: HostDaemon, testbed: Testbed) -> None:
+        """Make every kind of request that a caller may make."""
         await wait_until(lambda: bool(host.is_ready))
         async with aiohttp.ClientSession(
             f'http://{host.callers_address}',
@@ -489,15 +490,15 @@
                 'Authorization': 'Bearer key-of-alpha',
             },
         ) as caller:
-            await self.ask_for_jobs(caller, testbed)
-            await self.ask_wrongly(caller)
+            await self.make_valid_requests(caller, testbed)
+            await self.make_invalid_requests(caller)
 
-    async def ask_for_jobs(
+    async def make_valid_requests(
         self,
         caller: aiohttp.ClientSession,
         testbed: Testbed,
     ) -> None:
-        """A job runs once, however often it is handed in."""
+        """A job runs once, however often it is submitted."""
         job = f'/quick/{TASK.job_id}'
         self.assertEqual(await status(caller.post(job, json=JOB)), 200)
         self.assertEqual(await status(caller.post(job, json=JOB)), 200)
@@ -513,12 +514,15 @@
         async with caller.get('/quick/') as response:
             self.assertEqual(await response.json(), {'pending': 0})
         self.assertEqual(await status(caller.delete(job)), 200)
-        nobody = '/quick/0000000000000000'
-        self.assertEqual(await status(caller.get(nobody)), 410)
-        self.assertEqual(await status(caller.delete(nobody)), 410)
+        unknown = '/quick/0000000000000000'
+        self.assertEqual(await status(caller.get(unknown)), 410)
+        self.assertEqual(await status(caller.delete(unknown)), 410)
 
-    async def ask_wrongly(self, caller: aiohttp.ClientSession) -> None:
-        """Each fault has its status, and nothing is stored."""
+    async def make_invalid_requests(
+        self,
+        caller: aiohttp.ClientSession,
+    ) -> None:
+        """Each kind of invalid request has its status; nothing is stored."""
         job = '/quick/1111111111111111'
         loop = {'spec': '', 'steps': [{'count': 1, 'after': [0]}]}
         wrong = {
@@ -535,10 +539,10 @@
 
 
 class ReloadTest(unittest.TestCase):
-    """SIGHUP has the settings read again; the host serves on."""
+    """SIGHUP reloads the settings while the host keeps serving."""
 
-    def test_good_settings_are_taken_and_bad_ones_refused(self) -> None:
-        """The file is broken, then mended; the old settings hold between."""
+    def test_valid_settings_are_applied_and_invalid_ones_refused(self) -> None:
+        """With an invalid file the previous settings stay in force."""
 
         async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -563,7 +567,7 @@
 
 
 async def reload(path: Path, settings: str, outcome: str) -> None:
-    """Change the settings, send SIGHUP, and wait until its outcome is told."""
+    """Change the settings, send SIGHUP and wait for the logged outcome."""
     path.write_text(settings, 'utf-8')
     with patch.object(events, 'log') as log:
         os.kill(os.getpid(), signal.SIGHUP)
@@ -573,10 +577,10 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    """A leading host that is told to stop."""
+    """A planned stop of the host that leads."""
 
     def test_leadership_is_handed_over_after_a_short_outage(self) -> None:
-        """The store is away when the stop is asked for, and comes back."""
+        """The store is unavailable when the stop begins, then recovers."""
 
         async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -600,8 +604,8 @@
 
         on_testbed(case)
 
-    def test_open_requests_do_not_outlast_the_grace(self) -> None:
-        """The store is silent, a caller and a peer send half of a request."""
+    def test_open_requests_do_not_outlast_the_grace_period(self) -> None:
+        """The store is unresponsive, and clients send partial requests."""
 
         async def case(testbed: Testbed) -> None:
             content = json.dumps(CONFIGURATION).encode()
@@ -618,22 +622,22 @@
                 await wait_until(lambda: bool(leader_of(testbed)))
                 testbed.store_server.connections.paused = True
                 testbed.store_server.connections.silence()
-                halves = [
-                    await send_half(address)
+                partial_requests = [
+                    await send_partial_request(address)
                     for address in (host.callers_address, host.relay_address)
                 ]
                 began_s = testbed.clock.monotonic_s()
                 await host.app.stop()
                 took_s = testbed.clock.monotonic_s() - began_s
-                for writer in halves:
+                for writer in partial_requests:
                     writer.close()
             self.assertLess(took_s, GRACE_S)
 
         on_testbed(case)
 
 
-async def send_half(address: str) -> asyncio.StreamWriter:
-    """Send a request whose body never comes."""
+async def send_partial_request(address: str) -> asyncio.StreamWriter:
+    """Send a request with an incomplete body."""
     ip, port = address.split(':')
     _, writer = await asyncio.open_connection(ip, int(port))
     writer.write(
@@ -647,29 +651,29 @@
 
 
 def leader_of(testbed: Testbed) -> str:
-    """Return who leads as the store says; empty for nobody."""
+    """Return the leader according to the store, or empty."""
     row = testbed.rows.rows.get((tables.LEADER, tables.LEADER_KEY))
     return decode(row.content, LeaderRow).holder if row else ''
 
 
-async def status(call: Any) -> int:
-    """Return the status of a call's answer."""
-    async with call as response:
+async def status(request: Any) -> int:
+    """Return the status of the response to a request."""
+    async with request as response:
         found: int = response.status
         return found
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until something holds, five seconds at most."""
+    """Wait in real time until a condition holds, for at most 5 seconds."""
     for _ in range(500):
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError('not within 5 s')
+    raise AssertionError('the condition did not hold within 5 s')
 
 
 def settings_of(testbed: Testbed) -> dict[str, Any]:
-    """Return a host's settings as the platform writes them."""
+    """Return the settings of a host as the platform writes them."""
     return {
         'node_name': 'front-1',
         'ip': '127.0.0.1',
