--- a/src/curranthill/admission/reasons.py
+++ b/src/curranthill/admission/reasons.py
@@ -7,75 +7,77 @@
 from collections.abc import Sequence
 from typing import Final
 
-from curranthill.placement import ReadyStep, Room
-from curranthill.placement.fitting import choose_rooms, groups_of
-from curranthill.placement.rooms import ServiceRooms, copies
+from curranthill.placement import ReadyStep, WorkerCapacity
+from curranthill.placement.capacity import ServiceCapacity, copies
+from curranthill.placement.fitting import choose_workers, groups_of
 
 #: Why a step does not start now.
 NO_WORKER: Final = 'no worker is large enough'
 NO_ROOM: Final = 'no room'
 BEYOND_GUARANTEE: Final = 'no room, and beyond its guarantee'
 RACK: Final = 'room in one rack'
-KEPT: Final = 'room that is kept for others'
-ALONE: Final = 'an empty worker, as a suspect'
+RESERVED: Final = 'room that is kept for others'
+EXCLUSIVE: Final = 'an empty worker, as a suspect'
 ADVISED: Final = 'workers that its advisor allows'
 TURN: Final = 'its turn, it fits and no room is kept'
 
 
-def waits_for(
+def waiting_reason(
     ready: ReadyStep,
-    rooms: Sequence[Room],
+    workers: Sequence[WorkerCapacity],
     *,
     beyond_guarantee: bool,
-    kept: bool = True,
+    reserved: bool = True,
     advised: bool = False,
-    patient: bool = True,
+    wait_for_rack: bool = True,
 ) -> str:
     """Return what a step waits for that may start by its turn.
 
-    :param rooms: those of the step's service; left as they are.
+    :param workers: those of the step's service; left as they are.
     :param beyond_guarantee: whether it is urgent, and its workspace's
         guarantee is in use.
-    :param kept: whether room is kept for other jobs of the service.
+    :param reserved: whether room is kept for other jobs of the service.
     :param advised: whether only workers that an advisor allows may run it.
-    :param patient: whether it goes on waiting for the right rack.
+    :param wait_for_rack: whether it goes on waiting for the right rack.
     """
     step = ready.step
     wanted = len(ready.tasks) if step.gang else 1
-    if sum(copies(room, step) for room in rooms) < wanted:
+    if sum(copies(worker, step) for worker in workers) < wanted:
         return NO_WORKER
-    groups = groups_of(ready, ServiceRooms(rooms=rooms), patient=patient)
+    groups = groups_of(
+        ready, ServiceCapacity(workers=workers), wait_for_rack=wait_for_rack
+    )
     if any(_fits(ready, group) for group in groups):
-        return _reason_of_fit(kept=kept, advised=advised)
-    if ready.alone and _fits(ready._replace(alone=False), rooms):
-        return ALONE
-    if _fits(ready, rooms):
+        return _reason_of_fit(reserved=reserved, advised=advised)
+    if ready.exclusive and _fits(ready._replace(exclusive=False), workers):
+        return EXCLUSIVE
+    if _fits(ready, workers):
         return RACK
     return BEYOND_GUARANTEE if beyond_guarantee else NO_ROOM
 
 
-def _reason_of_fit(*, kept: bool, advised: bool) -> str:
+def _reason_of_fit(*, reserved: bool, advised: bool) -> str:
     """Return why a step does not start that fits."""
-    if kept:
-        return KEPT
+    if reserved:
+        return RESERVED
     return ADVISED if advised else TURN
 
 
-def _fits(ready: ReadyStep, rooms: Sequence[Room]) -> bool:
-    chosen = choose_rooms(ready, rooms)
-    for key, room in chosen:
-        room.unplace(key, ready.step)
+def _fits(ready: ReadyStep, workers: Sequence[WorkerCapacity]) -> bool:
+    chosen = choose_workers(ready, workers)
+    for key, worker in chosen:
+        worker.unplace(key, ready.step)
     return bool(chosen)
 
 
 __all__ = (
     'ADVISED',
-    'ALONE',
+    'EXCLUSIVE',
     'BEYOND_GUARANTEE',
-    'KEPT',
+    'RESERVED',
     'NO_ROOM',
     'NO_WORKER',
     'RACK',
     'TURN',
-    'waits_for',
+    'waiting_reason',
 )
--- a/src/curranthill/dispatch/work.py
+++ b/src/curranthill/dispatch/work.py
@@ -17,12 +17,12 @@
 from curranthill.dispatch.spawner import Spawner
 from curranthill.dispatch.workers import DONE, RUN_FAILED, EndReport
 from curranthill.placement import (
-    MARKED,
+    ASSIGNED,
     UNKNOWN,
     ActiveJob,
     Run,
     kind_of,
-    room_needed,
+    resources_needed,
 )
 from curranthill.storage.rows import RowRemoval
 from curranthill.tasks import (
@@ -193,7 +193,7 @@
         job = self.jobs.get(key.job_id)
         if job is None or key.step >= len(job.spec.steps):
             return Resources()
-        return room_needed(job.step_of(key))
+        return resources_needed(job.step_of(key))
 
     async def ends_saved(self) -> None:
         """Return once all ends noted so far are stored."""
@@ -266,17 +266,17 @@
             key=key,
             attempt=attempt,
             worker_id=session.worker_id,
-            needs=room_needed(step),
+            needs=resources_needed(step),
             priority=job.spec.queue.priority,
             checkpointable=step.checkpointable,
-            state=MARKED,
+            state=ASSIGNED,
             now_s=self._clock.monotonic_s(),
             estimate_s=step.run_s,
-            lasting=step.perpetual,
+            perpetual=step.perpetual,
             kind=kind_of(step),
             incarnation=session.incarnation,
         )
-        job.end_wait(key)
+        job.reset_wait(key)
         session.runs[run.name] = run
         job.runs[key] = run
         return run
@@ -291,7 +291,7 @@
         task = job.progress.task(key)
         run = self.new_run(job, key, task.attempt, session)
         run.state = UNKNOWN
-        run.alone = job.is_alone(key)
+        run.exclusive = job.is_exclusive(key)
         run.incarnation = task.incarnation
         run.checkpoint = task.checkpoint
         session.wake()
--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -68,7 +68,7 @@
             await self._app.clock.sleep(REPORT_INTERVAL_S)
 
     async def _own_allotment(self, peak: int) -> list[AllottedWorker] | None:
-        scheduler = self._notifier.active(self._view.own.data_centre)
+        scheduler = self._notifier.active_scheduler(self._view.own.data_centre)
         if scheduler is None:
             return None
         return await self._report(scheduler, peak, spill=False)
@@ -88,7 +88,7 @@
             return []
         demand = waiting if own else peak
         for name in self._data_centres_nearby():
-            scheduler = self._notifier.active(name)
+            scheduler = self._notifier.active_scheduler(name)
             if scheduler is None:
                 continue
             workers = await self._report(scheduler, demand, spill=True)
@@ -163,7 +163,7 @@
     def _mark_draining(self) -> None:
         for worker in self._pool:
             if self._is_draining(worker.name):
-                worker.leaving = True
+                worker.draining = True
 
     def _is_draining(self, name: str) -> bool:
         entry = self._directory.entries.get(name)
--- a/src/curranthill/gateway/daemon.py
+++ b/src/curranthill/gateway/daemon.py
@@ -10,14 +10,14 @@
 from curranthill.membership import Node, NodeSettings
 from curranthill.membership.notify import Notifier
 from curranthill.routing import (
-    Ejection,
+    OutlierEjector,
     RetryBudget,
     Router,
     WorkerPool,
     choices,
 )
 from curranthill.settings import GatewaySettings
-from curranthill.storage import WriteBudget
+from curranthill.storage import WriteRateLimiter
 from curranthill.workers import WorkerClients, worker_clients
 
 #: The number of connections that a worker accepts without other configuration.
@@ -97,7 +97,10 @@
             clock=clock,
             pool=pool,
             choice=choices.get(quick.choice)(None),
-            ejection=Ejection(clock=clock, healthy_share=quick.healthy_share),
+            ejector=OutlierEjector(
+                clock=clock,
+                healthy_share=quick.healthy_share,
+            ),
             retries=RetryBudget(clock=clock, share=quick.retry_share),
             worker_at=clients.at,
             queue_bound=quick.queue_per_workspace,
@@ -112,7 +115,7 @@
                 table=table,
                 clock=clock,
                 retention_s=self._settings.callers.key_retention_s,
-                budget=WriteBudget(
+                rate_limiter=WriteRateLimiter(
                     clock=clock,
                     per_s=self._settings.platform.writes_per_s,
                 ),
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -293,7 +293,7 @@
         this one, so that work stays here while others are unreachable.
         """
         own = data_centre == self._data_centre
-        leader = self._notifier.active(data_centre)
+        leader = self._notifier.active_scheduler(data_centre)
         if leader is None:
             return (0 if own else _UNKNOWN_LOAD, not own, data_centre)
         load = (leader.waiting_slots + 1) / (leader.free_slots + 1)
--- a/src/curranthill/jobs/store.py
+++ b/src/curranthill/jobs/store.py
@@ -26,7 +26,7 @@
     Row,
     Table,
     Write,
-    WriteBudget,
+    WriteRateLimiter,
 )
 
 PAGE_ROWS: Final = 200
@@ -57,7 +57,7 @@
     :param clock: for timestamps and for the delay before the effect of a write
         with a lost reply is checked.
     :param retention_s: how long an ended job and its key are kept, in seconds.
-    :param budget: limits the write rate of this process.
+    :param rate_limiter: limits the write rate of this process.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         table: Table,
         clock: Clock,
         retention_s: float = 86400,
-        budget: WriteBudget | None = None,
+        rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
         """Initialize with a committer for conditional writes."""
         self._table = table
@@ -75,7 +75,7 @@
         self._committer = Committer(
             table=table,
             clock=clock,
-            budget=budget,
+            rate_limiter=rate_limiter,
         )
 
     async def accept(self, job: Job, key: KeyRecord | None) -> StoredJob:
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -4,31 +4,35 @@
 """
 
 from curranthill.placement.backlog import BacklogCursor
-from curranthill.placement.durations import DurationBook, Ratio
-from curranthill.placement.earnings import LATE_UNTIL
-from curranthill.placement.fitting import MOST_SKEW_S, waits_for_rack
-from curranthill.placement.jobs import ActiveJob, ReadyStep, checkpoint_of
+from curranthill.placement.capacity import (
+    WorkerCapacity,
+    resources_needed,
+    speed_level,
+)
+from curranthill.placement.durations import DurationEstimator, Ratio
+from curranthill.placement.fitting import MAX_SKEW_S, waits_for_rack
+from curranthill.placement.jobs import ActiveJob, ReadyStep, newest_checkpoint
 from curranthill.placement.mechanisms import (
-    ALL_ON,
-    DOUBT,
+    FAILURE_SCORE,
+    LOAD_SHEDDING,
+    NONE_DISABLED,
     SLOW_MOVES,
     SPEEDS,
     STALLED_MOVES,
-    TURNING_AWAY,
-    checked,
     mechanisms,
+    validate_mechanisms,
 )
 from curranthill.placement.order import (
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     late_jobs,
 )
 from curranthill.placement.planner import Placement, Plan, Planner
-from curranthill.placement.rooms import Room, level_of, room_needed
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.runs import (
+    ASSIGNED,
     FILLING,
-    MARKED,
     ORDERED,
     PLAIN,
     RUNNING,
@@ -40,7 +44,7 @@
     RunState,
     kind_of,
 )
-from curranthill.placement.speeds import Observation, Speed, SpeedBook
+from curranthill.placement.speeds import Observation, Speed, SpeedEstimator
 from curranthill.placement.stragglers import (
     SLOW,
     STALLED,
@@ -48,16 +52,16 @@
     MoveReason,
     move_of,
 )
-from curranthill.placement.turns import ReservationTurns
+from curranthill.placement.timeliness import MAX_LATE_FACTOR
 from curranthill.placement.workers import WorkerEntry
 
 __all__ = (
-    'ALL_ON',
-    'DOUBT',
+    'NONE_DISABLED',
+    'FAILURE_SCORE',
     'FILLING',
-    'LATE_UNTIL',
-    'MARKED',
-    'MOST_SKEW_S',
+    'MAX_LATE_FACTOR',
+    'ASSIGNED',
+    'MAX_SKEW_S',
     'ORDERED',
     'PLAIN',
     'RUNNING',
@@ -67,12 +71,12 @@
     'SPEEDS',
     'STALLED',
     'STALLED_MOVES',
-    'TURNING_AWAY',
+    'LOAD_SHEDDING',
     'UNKNOWN',
     'URGENT',
     'ActiveJob',
     'BacklogCursor',
-    'DurationBook',
+    'DurationEstimator',
     'Move',
     'MoveReason',
     'Observation',
@@ -81,24 +85,24 @@
     'Planner',
     'Ratio',
     'ReadyStep',
-    'ReservationTurns',
-    'Room',
+    'ReservationWindows',
+    'WorkerCapacity',
     'Run',
     'RunKind',
     'RunState',
     'Speed',
-    'SpeedBook',
+    'SpeedEstimator',
     'WorkerEntry',
-    'checked',
-    'checkpoint_of',
+    'validate_mechanisms',
+    'newest_checkpoint',
     'covered_jobs',
-    'hopeless_jobs',
-    'in_order',
+    'infeasible_jobs',
+    'in_service_order',
     'late_jobs',
     'kind_of',
-    'level_of',
+    'speed_level',
     'mechanisms',
     'move_of',
-    'room_needed',
+    'resources_needed',
     'waits_for_rack',
 )
--- a/src/curranthill/placement/rooms.py
+++ b/src/curranthill/placement/capacity.py
@@ -1,4 +1,4 @@
-"""Room on workers while one round of placements is worked out."""
+"""Capacity of workers while one round of placements is worked out."""
 
 import math
 from collections import defaultdict
@@ -13,7 +13,7 @@
     RunKind,
     kind_of,
 )
-from curranthill.placement.suspects import TRIED_S
+from curranthill.placement.suspects import SUSPECT_TRIAL_S
 from curranthill.placement.workers import WorkerEntry
 from curranthill.tasks import Resources, Step, TaskKey
 
@@ -29,20 +29,20 @@
 LEVEL: Final = 0.22
 
 
-class Room:
+class WorkerCapacity:
     """One worker's room in one round.
 
     :param free: what no run takes now.
     :param soon: what will be free once the runs being stopped have ended,
         less what waiting urgent tasks have claimed of it.
-    :param kept: what of that is kept for gangs that do not fit yet.
-    :param doubt: how far tasks here have failed or lagged of late; 0 is none.
+    :param reserved: what of that is kept for gangs that do not fit yet.
+    :param failure_score: recent failures and stalled runs here; 0 if none.
     :param speed: of a typical worker's; 1.0 if it is not known to differ.
     :param level: that speed in levels above the typical one.
-    :param held_alone: whether a suspect has just started here alone, so that
-        only its own gang may start beside it.
-    :param shared_with_suspect: whether a suspect started here alone and may
-        have others beside it by now.
+    :param held_exclusively: whether a suspect has just started here alone, so
+        that only its own gang may start beside it.
+    :param shared_with_suspect: whether a suspect started here alone, so long
+        ago that other tasks may start beside it.
     :param runs: what runs here, less what this round stops.
     :param version: grows with each change of this room.
     """
@@ -50,11 +50,11 @@
     __slots__ = (
         '_keys',
         '_kinds',
-        'doubt',
+        'failure_score',
         'entry',
         'free',
-        'held_alone',
-        'kept',
+        'held_exclusively',
+        'reserved',
         'level',
         'runs',
         'shared_with_suspect',
@@ -68,27 +68,29 @@
         *,
         entry: WorkerEntry,
         runs: Iterable[Run],
-        doubt: float,
+        failure_score: float,
         speed: float = 1.0,
     ) -> None:
         """Add up the runs that take room."""
         self.entry = entry
         self.runs = list(runs)
-        self.doubt = doubt
+        self.failure_score = failure_score
         self.speed = speed
-        self.level = level_of(speed)
+        self.level = speed_level(speed)
         self.version = 0
         self._keys = [run.key for run in self.runs]
-        suspects = [run for run in self.runs if run.alone]
-        self.held_alone = any(run.age_s < TRIED_S for run in suspects)
-        self.shared_with_suspect = bool(suspects) and not self.held_alone
+        suspects = [run for run in self.runs if run.exclusive]
+        self.held_exclusively = any(
+            run.age_s < SUSPECT_TRIAL_S for run in suspects
+        )
+        self.shared_with_suspect = bool(suspects) and not self.held_exclusively
         self._kinds: list[RunKind] = [
             run.kind for run in self.runs if run.kind != PLAIN
         ]
-        self.free = _less(entry.room, self.runs)
+        self.free = _less(entry.capacity, self.runs)
         stopping = [run for run in self.runs if run.stop_wanted]
         self.soon = _plus(self.free, stopping) if stopping else self.free
-        self.kept = Resources()
+        self.reserved = Resources()
 
     def fits_now(self, needs: Resources, *, starving: bool = False) -> bool:
         """Return whether a task fits without taking what others claimed.
@@ -99,7 +101,7 @@
         if free.gpus < needs.gpus:
             # Most rooms of a full cluster end here.
             return False
-        soon = self.soon.plus(self.kept) if starving else self.soon
+        soon = self.soon.plus(self.reserved) if starving else self.soon
         return free.covers(needs) and soon.covers(needs)
 
     def allows(
@@ -107,15 +109,15 @@
         key: TaskKey,
         step: Step,
         *,
-        alone: bool = False,
+        exclusive: bool = False,
         starving: bool = False,
     ) -> bool:
         """Return whether a step's own limits let a task run here.
 
-        :param alone: only beside members of its own gang.
+        :param exclusive: only beside members of its own gang.
         :param starving: also beside a suspect that has just started.
         """
-        closed = alone or (self.held_alone and not starving)
+        closed = exclusive or (self.held_exclusively and not starving)
         if closed and not self._only_gang_of(key, step):
             return False
         if step.label and step.label not in self.entry.labels:
@@ -141,11 +143,11 @@
         key: TaskKey,
         step: Step,
         *,
-        alone: bool = False,
+        exclusive: bool = False,
     ) -> None:
         """Take room for a task that starts now."""
-        self.held_alone = self.held_alone or alone
-        needs = room_needed(step)
+        self.held_exclusively = self.held_exclusively or exclusive
+        needs = resources_needed(step)
         self.version += 1
         self.free = self.free.minus(needs)
         self.soon = self.soon.minus(needs)
@@ -155,13 +157,13 @@
 
     def unplace(self, key: TaskKey, step: Step) -> None:
         """Give back what :meth:`place` took."""
-        needs = room_needed(step)
+        needs = resources_needed(step)
         self.version += 1
         self.free = self.free.plus(needs)
         self.soon = self.soon.plus(needs)
         self._keys.remove(key)
         if not self._keys:
-            self.held_alone = False
+            self.held_exclusively = False
         if kind_of(step) != PLAIN:
             self._kinds.remove(kind_of(step))
 
@@ -170,10 +172,10 @@
         self.version += 1
         self.soon = self.soon.minus(needs)
 
-    def keep(self, needs: Resources) -> None:
+    def reserve(self, needs: Resources) -> None:
         """Claim room for a member of a gang, unless somebody starves."""
         self.claim(needs)
-        self.kept = self.kept.plus(needs)
+        self.reserved = self.reserved.plus(needs)
 
     def evict(self, run: Run) -> None:
         """Count a run's room as becoming free."""
@@ -194,39 +196,43 @@
         return sum(1 for one in self._keys if one[:3] == step)
 
 
-class ServiceRooms:
+class ServiceCapacity:
     """The rooms of one service, and which of them stand together.
 
-    :param rooms: in the order in which equal ones are taken.
+    :param workers: in the order in which equal ones are taken.
     """
 
-    def __init__(self, *, rooms: Sequence[Room]) -> None:
+    def __init__(self, *, workers: Sequence[WorkerCapacity]) -> None:
         """Start with no rack asked for."""
-        self.rooms = rooms
-        self._labelled: dict[str, list[Room]] = {}
+        self.workers = workers
+        self._labelled: dict[str, list[WorkerCapacity]] = {}
         self._racks: list[str] = []
         self._holding: dict[tuple[Step, int], list[str]] = {}
 
-    def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceRooms':
+    def limited_to(self, worker_ids: Iterable[str]) -> 'ServiceCapacity':
         """Return only the rooms of some workers."""
-        kept = set(worker_ids)
-        rooms = [room for room in self.rooms if room.entry.worker_id in kept]
-        return ServiceRooms(rooms=rooms)
+        wanted = set(worker_ids)
+        workers = [
+            worker
+            for worker in self.workers
+            if worker.entry.worker_id in wanted
+        ]
+        return ServiceCapacity(workers=workers)
 
     @property
     def racks(self) -> list[str]:
         """Return the racks in which the workers stand, by name."""
         if not self._racks:
-            self._racks = sorted({room.entry.rack for room in self.rooms})
+            self._racks = sorted({worker.entry.rack for worker in self.workers})
         return self._racks
 
-    def in_rack(self, rack: str) -> list[Room]:
+    def in_rack(self, rack: str) -> list[WorkerCapacity]:
         """Return the rooms of one rack."""
         if not self._labelled:
-            labelled: dict[str, list[Room]] = defaultdict(list)
-            for room in self.rooms:
-                for label in set(room.entry.labels):
-                    labelled[label].append(room)
+            labelled: dict[str, list[WorkerCapacity]] = defaultdict(list)
+            for worker in self.workers:
+                for label in set(worker.entry.labels):
+                    labelled[label].append(worker)
             self._labelled = dict(labelled)
         return self._labelled.get(rack, [])
 
@@ -243,42 +249,44 @@
     def holds_in(self, rack: str, step: Step, wanted: int) -> bool:
         """Return whether a rack holds so many tasks once runs have ended."""
         held = 0
-        for room in self.in_rack(rack):
-            held += copies_once_free(room, step)
+        for worker in self.in_rack(rack):
+            held += copies_once_free(worker, step)
             if held >= wanted:
                 return True
         return False
 
 
-def level_of(speed: float) -> int:
+def speed_level(speed: float) -> int:
     """Return a speed in levels above that of a typical worker."""
     return round(math.log(speed) / LEVEL)
 
 
-def copies(room: Room, step: Step) -> int:
+def copies(worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step an idle room holds."""
-    return _copies_in(room.entry.room, room, step)
+    return _copies_in(worker.entry.capacity, worker, step)
 
 
-def copies_once_free(room: Room, step: Step) -> int:
+def copies_once_free(worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step a room holds once its runs have ended.
 
     Runs that last do not.
     """
-    lasting = [run for run in room.runs if run.lasting]
-    if not lasting:
-        return copies(room, step)
+    perpetual = [run for run in worker.runs if run.perpetual]
+    if not perpetual:
+        return copies(worker, step)
     disturbed = _DISTURBED.get(kind_of(step))
-    if disturbed and any(run.kind == disturbed for run in lasting):
+    if disturbed and any(run.kind == disturbed for run in perpetual):
         return 0
-    return max(_copies_in(_less(room.entry.room, lasting), room, step), 0)
+    return max(
+        _copies_in(_less(worker.entry.capacity, perpetual), worker, step), 0
+    )
 
 
-def _copies_in(free: Resources, room: Room, step: Step) -> int:
+def _copies_in(free: Resources, worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step fit into what is free of a room."""
-    if step.label and step.label not in room.entry.labels:
+    if step.label and step.label not in worker.entry.labels:
         return 0
-    needs = room_needed(step)
+    needs = resources_needed(step)
     most = step.width
     for have, need in zip(free, needs, strict=True):
         if need > 0:
@@ -286,16 +294,16 @@
     return min(most, step.max_per_worker or most)
 
 
-def room_needed(step: Step) -> Resources:
+def resources_needed(step: Step) -> Resources:
     """Return what a task of a step takes of a worker's room."""
     if step.fills:
         return step.needs._replace(cpu_millis=0)
     return step.needs
 
 
-def _less(room: Resources, runs: Iterable[Run]) -> Resources:
-    """Return what some runs leave of a room."""
-    cpu_millis, memory_mb, gpus = room
+def _less(capacity: Resources, runs: Iterable[Run]) -> Resources:
+    """Return what some runs leave of a capacity."""
+    cpu_millis, memory_mb, gpus = capacity
     for run in runs:
         needs = run.needs
         cpu_millis -= needs.cpu_millis
@@ -304,19 +312,19 @@
     return Resources(cpu_millis, memory_mb, gpus)
 
 
-def _plus(room: Resources, runs: Iterable[Run]) -> Resources:
-    """Return a room with what some runs give back."""
+def _plus(free: Resources, runs: Iterable[Run]) -> Resources:
+    """Return free capacity with what some runs release."""
     for run in runs:
-        room = room.plus(run.needs)
-    return room
+        free = free.plus(run.needs)
+    return free
 
 
 __all__ = (
     'LEVEL',
-    'Room',
-    'ServiceRooms',
+    'WorkerCapacity',
+    'ServiceCapacity',
     'copies',
     'copies_once_free',
-    'level_of',
-    'room_needed',
+    'speed_level',
+    'resources_needed',
 )
--- a/src/curranthill/platform/caller_api.py
+++ b/src/curranthill/platform/caller_api.py
@@ -7,7 +7,11 @@
 from aiohttp import web
 
 from curranthill.clock import Clock
-from curranthill.entry import Desk, PauseWatch, RevisionFollower
+from curranthill.entry import (
+    JobHandler,
+    RevisionFollower,
+    SuspensionDetector,
+)
 from curranthill.errors import NOT_RUN, RefusedError
 from curranthill.platform.configuration import SubmittedJob, step_from
 from curranthill.tasks import JobSpec, Queue, Revision, Step, faults_of
@@ -40,21 +44,22 @@
     """Serves callers' HTTP requests.
 
     :param counts_outdated: returns whether the leader's counts may be outdated.
-    :param pauses: checked for a suspension of this host before each request.
+    :param suspension: detects suspensions of this host; it is checked before
+        each request.
     :ivar closing: whether each response closes its connection.
     """
 
     def __init__(
         self,
         *,
-        job_handler: Desk,
+        job_handler: JobHandler,
         revisions: RevisionFollower,
         clock: Clock,
         counts_outdated: Callable[[], bool],
-        pauses: PauseWatch,
+        suspension: SuspensionDetector,
     ) -> None:
         """Initialize as not closing."""
-        self._pauses = pauses
+        self._suspension = suspension
         self._job_handler = job_handler
         self._revisions = revisions
         self._clock = clock
@@ -63,7 +68,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request; refusals are logged and counted."""
-        self._pauses.look()
+        self._suspension.check()
         began_s = self._clock.monotonic_s()
         try:
             response = await self._dispatch(request)
@@ -121,7 +126,7 @@
             than a change may take to come into force.
         """
         revision = self._revisions.current
-        if revision is None or not await self._revisions.checked():
+        if revision is None or not await self._revisions.wait_until_confirmed():
             raise _configuration_unread(
                 'This host has not read its configuration yet.'
             )
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -12,14 +12,14 @@
 from curranthill.application import Application
 from curranthill.dispatch import Election, Leader, Leadership
 from curranthill.entry import (
-    Closures,
-    Desk,
-    PauseWatch,
+    ClosedDataCentres,
+    JobHandler,
     PeerList,
     RevisionFollower,
+    SuspensionDetector,
 )
 from curranthill.errors import SettingsError
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.platform.advisor import PlatformAdvisor
 from curranthill.platform.caller_api import CallerApi
 from curranthill.platform.configuration import (
@@ -63,7 +63,7 @@
         self,
         *,
         read_settings: Callable[[], PlatformSettings],
-        disabled: frozenset[str] = ALL_ON,
+        disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
         """Build the parts; none runs yet."""
         self._disabled = disabled
@@ -115,7 +115,7 @@
         # First: a call that fails asks who the peers are.
         await self._start_relay()
         self._connector = PlatformConnector(client=self._client)
-        self._closures = Closures(
+        self._closed_data_centres = ClosedDataCentres(
             clock=clock,
             decode=decode_closure,
             cease_s=settings.timing.evacuate_s,
@@ -125,23 +125,26 @@
             clock=clock,
             table=TABLE,
             decode=decode_revision,
-            closures=self._closures,
+            closed_data_centres=self._closed_data_centres,
             in_force_s=settings.timing.in_force_s,
         )
         self._health = StoreHealth(clock=clock)
-        self._store.outage.on_end(self._health.answered)
+        self._store.outage.on_end(self._health.record_reply)
         self._election = Election(
             store=self._store,
             clock=clock,
             holder=settings.host,
             lead=self._lead,
             health=self._health,
-            operator_rows=self._closures,
+            operator_rows=self._closed_data_centres,
             others=lambda: len(self._peers.addresses),
         )
-        self._pauses = PauseWatch(clock=clock, on_resume=self._resumed)
+        self._suspension = SuspensionDetector(
+            clock=clock,
+            on_resume=self._resumed,
+        )
         self._caller_api = CallerApi(
-            job_handler=Desk(
+            job_handler=JobHandler(
                 store=self._store,
                 clock=clock,
                 health=self._health,
@@ -150,9 +153,9 @@
             revisions=self._revisions,
             clock=clock,
             counts_outdated=self._counts_may_be_outdated,
-            pauses=self._pauses,
+            suspension=self._suspension,
         )
-        self.app.spawn(self._pauses.run(), name='pauses')
+        self.app.spawn(self._suspension.run(), name='pauses')
         self.app.spawn(self._revisions.run(), name='revisions')
         self._election_task = self.app.spawn(
             self._election.run(),
@@ -234,12 +237,12 @@
             worker_feed=RegisteredWorkers(),
             timing=self._settings.timing,
             revision=self._revisions,
-            closures=self._closures,
+            closures=self._closed_data_centres,
             advisor=PlatformAdvisor(
                 client=self._client,
                 address=self._settings.advisor_address,
             ),
-            without=self._disabled,
+            disabled=self._disabled,
         )
         try:
             await self._leader.run()
@@ -260,8 +263,8 @@
 
         Leases, orders and ages need no help: they count the pause.
         """
-        self._health.doubt()
-        self._revisions.doubt()
+        self._health.invalidate()
+        self._revisions.invalidate()
 
     def _peer_addresses(self) -> tuple[str, ...]:
         return self._peers.addresses
@@ -272,7 +275,7 @@
         return self._election.leader_silent_s > COUNT_AFRESH_S
 
     async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._pauses.look()
+        self._suspension.check()
         return web.Response(status=200 if self.is_ready else 503)
 
 
--- a/src/curranthill/platform/program.py
+++ b/src/curranthill/platform/program.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from curranthill.errors import SettingsError
-from curranthill.placement import ALL_ON
+from curranthill.placement import NONE_DISABLED
 from curranthill.platform.host import HostDaemon
 from curranthill.platform.settings import (
     PATH_VARIABLE,
@@ -31,7 +31,7 @@
 def run_host(
     read_settings: Callable[[], PlatformSettings],
     *,
-    disabled: frozenset[str] = ALL_ON,
+    disabled: frozenset[str] = NONE_DISABLED,
 ) -> None:
     """Run an entry host until SIGTERM, then shut down gracefully.
 
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -19,7 +19,7 @@
     UNANSWERED,
     open_store_request,
 )
-from curranthill.storage.absence import StoreAbsence
+from curranthill.storage.outage import StoreOutage
 from curranthill.storage.paths import StorePaths
 from curranthill.tasks import tables
 from curranthill.telemetry import metrics
@@ -82,12 +82,12 @@
         except _PeerDisconnectedError:
             return _abort(request, response)
         except StorageError as error:
-            self._paths.failed(direct)
+            self._paths.record_failure(direct)
             if response.prepared:
                 return _abort(request, response)
             refused = isinstance(error, NotSentError)
             return web.Response(status=_REFUSED if refused else UNANSWERED)
-        self._paths.answered(direct)
+        self._paths.record_reply(direct)
         return response
 
 
@@ -144,7 +144,7 @@
         client: HttpClient,
         paths: StorePaths,
         clock: Clock,
-        outage: StoreAbsence,
+        outage: StoreOutage,
     ) -> None:
         """Initialize with the client that the host's own requests use."""
         self._client = client
@@ -158,7 +158,7 @@
         try:
             while True:
                 await self._clock.sleep(self._interval_s)
-                if self._outage.is_away or not self._paths.is_direct:
+                if self._outage.is_ongoing or not self._paths.is_direct:
                     # Probes overlap: one that hangs may have been sent just
                     # before the path recovered.
                     probe = asyncio.ensure_future(self._probe_direct())
@@ -170,7 +170,7 @@
 
     @property
     def _interval_s(self) -> float:
-        unavailable = self._outage.is_away
+        unavailable = self._outage.is_ongoing
         return OUTAGE_PROBE_INTERVAL_S if unavailable else PROBE_INTERVAL_S
 
     async def _probe_direct(self) -> None:
@@ -192,8 +192,8 @@
         except StorageError:
             # The path in use stays; its change was logged when it happened.
             return
-        self._paths.answered(direct)
-        self._outage.answered()
+        self._paths.record_reply(direct)
+        self._outage.record_reply()
 
 
 __all__ = ('StoreProbe', 'StoreRelay')
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -25,7 +25,7 @@
     StreamingResponse,
 )
 from curranthill.platform.scan import TablePage, TableScan
-from curranthill.storage.absence import StoreAbsence
+from curranthill.storage.outage import StoreOutage
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import (
     HistoryLostError,
@@ -115,10 +115,10 @@
         """Initialize the timeouts and the outage tracking."""
         self._client = client
         self._paths = paths
-        self.outage = StoreAbsence(clock=clock)
+        self.outage = StoreOutage(clock=clock)
         self._commit_timeout = ReplyTimeout()
         self._read_timeout = ReplyTimeout()
-        self._page_timeout = ReplyTimeout(shortest_s=PAGE_TIMEOUT_S)
+        self._page_timeout = ReplyTimeout(min_s=PAGE_TIMEOUT_S)
         self._feed_slack_s: dict[str, float] = {}
 
     async def commit(
@@ -253,13 +253,13 @@
             response = await self._request(
                 method,
                 path,
-                timeout_s=timeout.seconds_s,
+                timeout_s=timeout.timeout_s,
                 **options,
             )
         except ReplyLostError:
-            timeout.lost()
+            timeout.record_loss()
             raise
-        timeout.replied(response.first_byte_s)
+        timeout.record_reply(response.first_byte_s)
         return response
 
     async def _request(
@@ -278,13 +278,13 @@
         except StoreRecoveredError:
             raise
         except StorageError:
-            self._paths.failed(address)
-            self.outage.failed()
+            self._paths.record_failure(address)
+            self.outage.record_failure()
             raise
         finally:
             request.cancel()
-        self._paths.answered(address)
-        self.outage.answered()
+        self._paths.record_reply(address)
+        self.outage.record_reply()
         return response
 
     async def _receive(
@@ -318,7 +318,7 @@
 
         :raises StoreRecoveredError: if the outage ended first.
         """
-        recovery = asyncio.ensure_future(self.outage.ended())
+        recovery = asyncio.ensure_future(self.outage.wait_for_end())
         try:
             await asyncio.wait(
                 (request, recovery),
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -17,9 +17,9 @@
     TaskWorker,
 )
 from curranthill.dispatch.session import WorkerSession
-from curranthill.entry import Closures, Desk
+from curranthill.entry import ClosedDataCentres, JobHandler
 from curranthill.errors import NotSentError, WorkerReplyLostError
-from curranthill.placement import ALL_ON, WorkerEntry
+from curranthill.placement import NONE_DISABLED, WorkerEntry
 from curranthill.standin.rows import RowModel
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.storage.follower import TableFollower
@@ -154,7 +154,7 @@
     :param renewal_delay_s: how long a renewal takes beyond its wait.
     :param unreadable: hosts that cannot read the operators' rows.
     :param away_s: how long a crashed worker is away.
-    :param without: mechanisms that are switched off.
+    :param disabled: mechanisms that are switched off.
     :param same_id: whether it comes back under its id or under another.
     :param others: how many other hosts each host is told of.
     """
@@ -174,7 +174,7 @@
         self.renewals = RenewalCount()
         self.unreadable: set[str] = set()
         self.same_id = True
-        self.without: frozenset[str] = ALL_ON
+        self.disabled: frozenset[str] = NONE_DISABLED
         self.others = 0
         for number in range(workers):
             self.add_worker(f'w{number}', run_s=run_s)
@@ -192,7 +192,7 @@
             service=SERVICE,
             address=f'10.0.0.{len(self.workers)}:80',
             data_centre=data_centre,
-            room=ROOM,
+            capacity=ROOM,
             labels=('a', 'r1'),
             incarnation=1,
         )
@@ -471,7 +471,7 @@
             clock=self.clock,
         )
         self.health = StoreHealth(clock=self.clock)
-        self.closures = Closures(
+        self.closures = ClosedDataCentres(
             clock=self.clock,
             decode=decode_closure,
             cease_s=Timing().evacuate_s,
@@ -485,7 +485,7 @@
             operator_rows=self.closures,
             others=lambda: domain.others,
         )
-        self.desk = Desk(
+        self.desk = JobHandler(
             store=self._store,
             clock=self.clock,
             health=self.health,
@@ -527,9 +527,9 @@
             ),
             clock=self.clock,
             table=OPERATOR_TABLE,
-            take_all=self.closures.take_all,
-            take_changes=self.closures.take_changes,
-            confirm=self.closures.confirm,
+            on_snapshot=self.closures.replace_all,
+            on_changes=self.closures.apply_changes,
+            on_confirmed=self.closures.confirm,
         )
         await follower.read()
         await follower.follow()
@@ -548,7 +548,7 @@
             revision=FixedRevision(),
             closures=self.closures,
             advisor=self._domain.advisor,
-            without=self._domain.without,
+            disabled=self._domain.disabled,
         )
         try:
             await self.leader.run()
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -150,7 +150,7 @@
             found = decode_entry(entry)
             assert found is not None
             self.assertEqual(found.incarnation, 1700000000123)
-            self.assertEqual(found.room.gpus, 8)
+            self.assertEqual(found.capacity.gpus, 8)
 
     def test_entries_without_optional_fields_are_accepted(self) -> None:
         """The clock and the incarnation are optional."""
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,11 +15,11 @@
     ActiveJob,
     Plan,
     Planner,
-    Room,
     Run,
     RunKind,
+    WorkerCapacity,
     WorkerEntry,
-    checked,
+    validate_mechanisms,
 )
 from curranthill.tasks import JobProgress, JobSpec, Resources, Step, TaskKey
 from tests.domain import ROOM, SERVICE, make_spec
@@ -40,7 +40,7 @@
     age_s: float = 1.0,
     job_id: str = 'other',
     rank: int = 0,
-    lasting: bool = False,
+    perpetual: bool = False,
     kind: RunKind = PLAIN,
 ) -> Run:
     """Return a run that takes accelerators of a worker."""
@@ -53,7 +53,7 @@
         checkpointable=False,
         state=RUNNING,
         now_s=0.0,
-        lasting=lasting,
+        perpetual=perpetual,
         kind=kind,
     )
     run.age_s = age_s
@@ -64,34 +64,34 @@
     worker_id: str,
     rack: str,
     *runs: Run,
-    doubt: float = 0.0,
-) -> Room:
+    failure_score: float = 0.0,
+) -> WorkerCapacity:
     """Return a worker's room."""
     entry = WorkerEntry(
         worker_id=worker_id,
         service=SERVICE,
         address='10.0.0.1:80',
         data_centre='dc',
-        room=ROOM,
+        capacity=ROOM,
         labels=('a', rack),
     )
-    return Room(entry=entry, runs=runs, doubt=doubt)
+    return WorkerCapacity(entry=entry, runs=runs, failure_score=failure_score)
 
 
 def plan(
-    rooms: list[Room],
+    rooms: list[WorkerCapacity],
     *specs: JobSpec,
     guaranteed: dict[str, int] | None = None,
     running: Sequence[ActiveJob] = (),
-    without: Sequence[str] = (),
+    disabled: Sequence[str] = (),
 ) -> Plan:
     """Make one round."""
     planner = Planner(
-        rooms={SERVICE: rooms},
+        workers={SERVICE: rooms},
         guaranteed=guaranteed or {},
         now_s=NOW_S,
         tickets=lambda job, ready: {},
-        without=checked(without),
+        disabled=validate_mechanisms(disabled),
     )
     return planner.plan([*running, *(make_job(spec) for spec in specs)])
 
@@ -120,7 +120,7 @@
     def test_a_gang_goes_to_the_rack_without_doubt(self) -> None:
         """Both racks have room; one worker of the first failed a run."""
         rooms = [
-            make_room('a1', 'r1', doubt=1),
+            make_room('a1', 'r1', failure_score=1),
             make_room('a2', 'r1'),
             make_room('b1', 'r2'),
             make_room('b2', 'r2'),
@@ -130,9 +130,9 @@
         self.assertEqual(placed(decided), {'a': ['b1', 'b2']})
 
     def test_doubt_is_better_than_no_room(self) -> None:
-        """The one rack with room has a worker in doubt."""
+        """The one rack that fits has a worker with failures."""
         rooms = [
-            make_room('a1', 'r1', doubt=1),
+            make_room('a1', 'r1', failure_score=1),
             make_room('a2', 'r1'),
             make_room('b1', 'r2', make_run('b1', 8)),
         ]
@@ -143,7 +143,7 @@
     def test_room_is_made_where_there_is_no_doubt(self) -> None:
         """Two workers would cost the same; one of them failed a run."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 8), doubt=1),
+            make_room('a1', 'r1', make_run('a1', 8), failure_score=1),
             make_room('a2', 'r1', make_run('a2', 8, job_id='b')),
         ]
         step = Step(width=1, needs=needs(8))
@@ -192,7 +192,7 @@
     def test_a_lasting_task_is_never_stopped_for_others(self) -> None:
         """An urgent job waits for the other worker instead."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 8, lasting=True, age_s=0)),
+            make_room('a1', 'r1', make_run('a1', 8, perpetual=True, age_s=0)),
             make_room('a2', 'r1', make_run('a2', 8, job_id='b', age_s=9)),
         ]
         step = Step(width=1, needs=needs(8))
@@ -355,7 +355,7 @@
     def test_a_doubted_worker_comes_last(self) -> None:
         """Its runs have failed of late."""
         rooms = [
-            make_room('a1', 'r1', make_run('a1', 4), doubt=2),
+            make_room('a1', 'r1', make_run('a1', 4), failure_score=2),
             make_room('a2', 'r1'),
         ]
         step = Step(width=1, needs=needs(4))
@@ -480,7 +480,7 @@
             rooms,
             make_spec('j1', gang, priority=1, accepted_at_s=NOW_S - 99),
             make_spec('j2', Step(width=1, needs=needs(1)), priority=2),
-            without=('reservation',),
+            disabled=('reservation',),
         )
         self.assertEqual(placed(decided), {'j2': ['a1']})
 
@@ -491,7 +491,9 @@
             make_room('b1', 'r2'),
         ]
         step = Step(width=1, needs=needs(8), near_rack='r1', estimate_s=10)
-        decided = plan(rooms, make_spec('j1', step), without=('rack-patience',))
+        decided = plan(
+            rooms, make_spec('j1', step), disabled=('rack-patience',)
+        )
         self.assertEqual(placed(decided), {'j1': ['b1']})
 
     def test_an_urgent_job_stops_any_work_without_its_bound(self) -> None:
@@ -501,11 +503,11 @@
         decided = plan(
             rooms,
             make_spec('a', step, priority=0),
-            without=('bounded-loss',),
+            disabled=('bounded-loss',),
         )
         self.assertEqual([one.worker_id for one in decided.victims], ['a1'])
 
     def test_an_unknown_name_is_refused(self) -> None:
         """The error names those that are known."""
         with self.assertRaisesRegex(SettingsError, 'rack-patience'):
-            checked(['rack-patients'])
+            validate_mechanisms(['rack-patients'])
