--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -213,9 +213,7 @@
         document = self._configuration.document
         kind = request.kind
         shape = document.shapes.get(kind.shape, _ONE_SLOT)
-        home = self._choose_home(
-            document, request.workspace, kind.shape, shape
-        )
+        home = self._choose_home(document, request.workspace, kind.shape, shape)
         return Job(
             job_id=new_job_id(home),
             workspace=request.workspace,
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -1,4 +1,8 @@
-"""The one program of an entry host: callers, readiness, and a leader."""
+"""The process of an entry host.
+
+Each host serves callers and health checks, relays requests of peers to the
+store, and may be elected to lead.
+"""
 
 import asyncio
 import signal
@@ -37,23 +41,24 @@
 from curranthill.telemetry import provide
 from curranthill.telemetry.events import events
 
-#: A leader that has been silent for so long may have counted wrongly since.
-COUNT_AFRESH_S: Final = 1.0
+#: The counts of a leader that has been unresponsive for longer may be outdated,
+#: in seconds.
+MAX_LEADER_SILENCE_S: Final = 1.0
 
-#: Of the time that the platform leaves for a planned stop, this share is
-#: used at most, so that the exit itself fits in.
+#: The maximum share of the platform's grace period for a planned stop that is
+#: used before the exit, so that the exit itself also fits in.
 GRACE_SHARE: Final = 0.6
 
-#: How long a stopping host goes on taking requests of open connections, in
-#: seconds: the balancer takes two missed polls of one second to turn away.
-TURN_AWAY_S: Final = 2.5
-
+#: How long a stopping host still serves requests on open connections, in
+#: seconds. The load balancer stops sending requests after two failed health
+#: checks, which are one second apart.
+DRAIN_S: Final = 2.5
 
-RequestAnswer = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+RequestHandler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class HostDaemon:
-    """All parts of one entry host.
+    """The parts of an entry host, started and stopped by one application.
 
     :param read_settings: reads the settings, at start and at each SIGHUP.
     :param disabled: placement mechanisms that are switched off.
@@ -65,7 +70,10 @@
         read_settings: Callable[[], PlatformSettings],
         disabled: frozenset[str] = NONE_DISABLED,
     ) -> None:
-        """Build the parts; none runs yet."""
+        """Read the settings and register start and stop.
+
+        The parts are created at start.
+        """
         self._disabled = disabled
         settings = read_settings()
         self._read_settings = read_settings
@@ -78,11 +86,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the balancer should send callers here.
+        """Return whether the load balancer should send callers here.
 
-        A host that cannot reach the store accepts nothing, and one whose
-        configuration may be outdated refuses, so callers are better served
-        elsewhere; if no host is ready, the balancer uses all.
+        A host that cannot reach the store cannot accept jobs, and one whose
+        configuration may be outdated refuses requests, so other hosts serve
+        callers better. If no host is ready, the load balancer uses all.
         """
         if self._stopping or self._revisions.current is None:
             return False
@@ -90,12 +98,12 @@
 
     @property
     def callers_address(self) -> str:
-        """Return where callers' requests arrive, for a port chosen freely."""
+        """Return the address for callers, with the port that was bound."""
         return _bound_address(self._callers)
 
     @property
     def relay_address(self) -> str:
-        """Return where peers' calls arrive, for a port chosen freely."""
+        """Return the address for peers, with the port that was bound."""
         return _bound_address(self._relay)
 
     async def _start(self) -> None:
@@ -112,7 +120,7 @@
             paths=self._paths,
             clock=clock,
         )
-        # First: a call that fails asks who the peers are.
+        # The relay comes first, because a failed store request looks up peers.
         await self._start_relay()
         self._connector = PlatformConnector(client=self._client)
         self._closed_data_centres = ClosedDataCentres(
@@ -169,12 +177,15 @@
             self._caller_api.handle,
             settings.callers,
         )
-        self._readiness = await _serve(self._ready, settings.readiness)
-        self._metrics = await _serve(_show_metrics, settings.metrics)
+        self._readiness = await _serve(
+            self._handle_readiness,
+            settings.readiness,
+        )
+        self._metrics = await _serve(_handle_metrics, settings.metrics)
         events.log('started', callers=settings.callers)
 
     async def _start_relay(self) -> None:
-        """Pass peers' calls on, and learn who passes on this host's."""
+        """Start to relay peers' requests, and to track available peers."""
         clock = self.app.clock
         relay = StoreRelay(client=self._client, paths=self._paths)
         self._relay = await _serve(relay.handle, self._settings.relay)
@@ -194,17 +205,18 @@
         self.app.spawn(probe.run(), name='probe')
 
     async def _stop(self) -> None:
-        """Turn callers away, hand leadership over, finish what was read."""
+        """Drain callers, hand leadership over and finish open requests."""
         events.log('stopping', leading=self._leader is not None)
         self._stopping = True
         self._caller_api.closing = True
         self._election.resign()
-        most_s = self._settings.timing.grace_s * GRACE_SHARE
+        max_s = self._settings.timing.grace_s * GRACE_SHARE
         await asyncio.gather(
-            self.app.clock.sleep(min(TURN_AWAY_S, most_s)),
-            self._hand_over(most_s),
+            self.app.clock.sleep(min(DRAIN_S, max_s)),
+            self._hand_over(max_s),
         )
-        # Side by side: each waits for what is open, and the grace is one.
+        # Concurrently, because each waits for its open requests and they share
+        # one grace period.
         await asyncio.gather(
             self._callers.cleanup(),
             self._readiness.cleanup(),
@@ -214,19 +226,20 @@
         await self._client.close()
         events.log('stopped')
 
-    async def _hand_over(self, patience_s: float) -> None:
-        """Give leadership away, also through a short outage of the store.
+    async def _hand_over(self, timeout_s: float) -> None:
+        """Step down as leader, retrying through a short outage of the store.
 
-        A successor of a leader that did not say so keeps what it cannot reach
-        for as long as that leader might go on renewing leases.
+        After a leader that did not step down, its successor has to keep the
+        runs on unreachable workers for as long as the previous leader might
+        still renew their leases.
         """
         if self._leader is None:
             return
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 await self._leader.step_down()
         except TimeoutError:
-            events.log('step_down_unanswered', patience_s=patience_s)
+            events.log('step_down_unanswered', patience_s=timeout_s)
 
     async def _lead(self, leadership: Leadership) -> None:
         self._leader = Leader(
@@ -250,7 +263,7 @@
             self._leader = None
 
     def _reload(self) -> None:
-        """Read the settings again; addresses stay until the next start."""
+        """Reload the settings; addresses only change at the next start."""
         try:
             self._settings = self._read_settings()
         except SettingsError as error:
@@ -259,9 +272,10 @@
             events.log('reloaded')
 
     def _resumed(self) -> None:
-        """Go by nothing that was known before a pause until it is read anew.
+        """Invalidate what was known before a suspension until it is read again.
 
-        Leases, orders and ages need no help: they count the pause.
+        Leases, orders and ages need no handling, because the clock includes
+        the time of the suspension.
         """
         self._health.invalidate()
         self._revisions.invalidate()
@@ -272,18 +286,23 @@
     def _counts_may_be_outdated(self) -> bool:
         if self._leader is not None:
             return False
-        return self._election.leader_silent_s > COUNT_AFRESH_S
+        return self._election.leader_silent_s > MAX_LEADER_SILENCE_S
 
-    async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_readiness(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
         self._suspension.check()
         return web.Response(status=200 if self.is_ready else 503)
 
 
-async def _show_metrics(request: web.BaseRequest) -> web.StreamResponse:
+async def _handle_metrics(request: web.BaseRequest) -> web.StreamResponse:
     return web.Response(body=generate_latest(), content_type='text/plain')
 
 
-async def _serve(handler: RequestAnswer, address: Address) -> web.ServerRunner:
+async def _serve(
+    handler: RequestHandler,
+    address: Address,
+) -> web.ServerRunner:
     runner = web.ServerRunner(
         web.Server(handler, access_log=None, keepalive_timeout=300),
         shutdown_timeout=1.0,
@@ -295,7 +314,7 @@
 
 
 def _bound_address(runner: web.ServerRunner) -> str:
-    """Return where a server listens, for a port chosen freely too."""
+    """Return the address that a server is bound to."""
     ip, port = runner.addresses[0][:2]
     return f'{ip}:{port}'
 
