--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -139,8 +139,10 @@
         """One host accepts the job; others return its state and result."""
         response = self.send('POST', SWEEPS, token='gearbox', body='{}')
         job_id = response.document['id']
-        job = self.wait_for_job(job_id, 'gearbox', 1)
-        self.assertEqual(job['state'], 'finished')
+        self.assertEqual(
+            self.wait_for_job(job_id, 'gearbox', 1)['state'],
+            'finished',
+        )
         result = self.send(
             'GET',
             f'/v1/jobs/{job_id}/result',
@@ -167,8 +169,10 @@
         ids = {response.document['id'] for response in responses}
         self.assertEqual(len(ids), 1)
         (job_id,) = ids  # noqa: WPS460
-        job = self.wait_for_job(job_id, 'spindle')
-        self.assertEqual(job['state'], 'finished')
+        self.assertEqual(
+            self.wait_for_job(job_id, 'spindle')['state'],
+            'finished',
+        )
         starts = [
             start
             for worker in self.deployment.standin.workers.values()
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -121,21 +121,21 @@
             f'without {name}',
             {key: field for key, field in ENTRY.items() if key != name},
         )
-        for field in UNEXPECTED:
-            if field not in VALID_UNEXPECTED.get(name, ()):
-                yield f'{name} {field!r}', {**ENTRY, name: field}
+        for value in UNEXPECTED:
+            if value not in VALID_UNEXPECTED.get(name, ()):
+                yield f'{name} {value!r}', {**ENTRY, name: value}
     for name in ENTRY['headroom']:
         capacity = dict(ENTRY['headroom'])
         capacity.pop(name)
         yield f'capacity without {name}', {**ENTRY, 'headroom': capacity}
-        for field in UNEXPECTED:
+        for value in UNEXPECTED:
             yield (
-                f'capacity with {name} {field!r}',
-                {**ENTRY, 'headroom': {**capacity, name: field}},
+                f'capacity with {name} {value!r}',
+                {**ENTRY, 'headroom': {**capacity, name: value}},
             )
     for name in ('clock_ms', 'remaining_ms', 'born'):
-        for field in (None, True, [], {}, -1, '', 'unexpected'):
-            yield f'{name} {field!r}', {**ENTRY, name: field}
+        for value in (None, True, [], {}, -1, '', 'unexpected'):
+            yield f'{name} {value!r}', {**ENTRY, name: value}
     yield 'an unknown state', {**ENTRY, 'state': 'standby'}
     yield 'a number as a label', {**ENTRY, 'labels': ['a', 3]}
     yield 'an address without a port', {**ENTRY, 'address': '10.1.0.9'}
