--- a/src/curranthill/platform/advisor.py
+++ b/src/curranthill/platform/advisor.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from curranthill.dispatch import Advice, AdvisorError
-from curranthill.platform.decoding import Measure, decode_fields
+from curranthill.platform.decoding import NonNegativeFloat, decode_fields
 from curranthill.platform.http_client import (
     HttpClient,
     RequestNotSentError,
@@ -27,7 +27,7 @@
     """The workers that may run a step, each with its ticket."""
 
     good: list[tuple[str, str]]
-    validity_ms: Measure
+    validity_ms: NonNegativeFloat
 
 
 class PlatformAdvisor:
--- a/src/curranthill/platform/configuration.py
+++ b/src/curranthill/platform/configuration.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from curranthill.platform.decoding import (
-    Count,
-    Measure,
     Name,
+    NonNegativeFloat,
+    NonNegativeInt,
     decode_fields,
 )
 from curranthill.storage.rows import MalformedRecordError, StoredRow
@@ -32,7 +32,7 @@
 class LimitFields(msgspec.Struct, frozen=True):
     """Limits on callers' requests."""
 
-    max_body_bytes: Count = Limits().body_bytes
+    max_body_bytes: NonNegativeInt = Limits().body_bytes
 
 
 class RouteFields(msgspec.Struct):
@@ -42,10 +42,10 @@
     host: Name
     path_prefix: Name
     service: Name
-    priority: Count = 0
-    attempts: Count = 1
-    slack_factor: Measure = 1.0
-    target_completion_ms: Measure = 0.0
+    priority: NonNegativeInt = 0
+    attempts: NonNegativeInt = 1
+    slack_factor: NonNegativeFloat = 1.0
+    target_completion_ms: NonNegativeFloat = 0.0
     public: bool = False
     placement_advisor: Any = None
 
@@ -55,13 +55,13 @@
 
     name: Name
     api_keys: list[str] = []
-    guaranteed: dict[str, Measure] = {}
+    guaranteed: dict[str, NonNegativeFloat] = {}
 
 
 class ConfigurationFields(msgspec.Struct):
     """The whole configuration as the operator writes it."""
 
-    version: Count
+    version: NonNegativeInt
     routes: list[RouteFields]
     tenants: list[TenantFields] = []
     limits: LimitFields = LimitFields()
@@ -136,24 +136,24 @@
     :param max_per_server: limit of tasks per worker and occurrence.
     """
 
-    count: Count = 0
-    cpu: Count = 0
-    mem_mb: Count = 0
-    gpu: Count = 0
-    estimate_ms: Measure = 0.0
-    after: list[Count] = []
+    count: NonNegativeInt = 0
+    cpu: NonNegativeInt = 0
+    mem_mb: NonNegativeInt = 0
+    gpu: NonNegativeInt = 0
+    estimate_ms: NonNegativeFloat = 0.0
+    after: list[NonNegativeInt] = []
     gang: bool = False
     same_rack: bool = False
     data_rack: str = ''
     required_label: str = ''
-    max_per_server: Count = 0
+    max_per_server: NonNegativeInt = 0
     checkpointable: bool = False
     speculative: bool = False
     perpetual: bool = False
-    may_miss: Count = 0
+    may_miss: NonNegativeInt = 0
     fill_count: Any = False
     image: str = ''
-    target_ms: Measure = 0.0
+    target_ms: NonNegativeFloat = 0.0
 
 
 class SubmittedJob(msgspec.Struct):
--- a/src/curranthill/platform/decoding.py
+++ b/src/curranthill/platform/decoding.py
@@ -11,11 +11,11 @@
 #: A non-empty name.
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
-#: A non-negative integer.
-Count = Annotated[int, msgspec.Meta(ge=0)]
+#: An integer that is at least 0.
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
-#: A non-negative duration or other quantity.
-Measure = Annotated[float, msgspec.Meta(ge=0)]
+#: A duration or another quantity that is at least 0.
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 
 #: An IPv4 address and a port.
 SocketAddress = Annotated[
@@ -49,4 +49,10 @@
         ) from error
 
 
-__all__ = ('Count', 'Measure', 'Name', 'SocketAddress', 'decode_fields')
+__all__ = (
+    'Name',
+    'NonNegativeFloat',
+    'NonNegativeInt',
+    'SocketAddress',
+    'decode_fields',
+)
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -16,7 +16,7 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.platform.decoding import Count, decode_fields
+from curranthill.platform.decoding import NonNegativeInt, decode_fields
 from curranthill.platform.http_client import (
     HttpClient,
     HttpResponse,
@@ -81,14 +81,14 @@
     table: str
     key: str
     value: str | None = None
-    schema_ver: Count = 0
+    schema_ver: NonNegativeInt = 0
     removed: bool = False
 
 
 class RowsFields(msgspec.Struct):
     """The response to any request about rows."""
 
-    schema_ver: Count = 0
+    schema_ver: NonNegativeInt = 0
     rows: list[RowFields] = []
     has_more: bool = False
 
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -20,10 +20,10 @@
 )
 from curranthill.placement import WorkerEntry
 from curranthill.platform.decoding import (
-    Count,
     Fields,
-    Measure,
     Name,
+    NonNegativeFloat,
+    NonNegativeInt,
     SocketAddress,
     decode_fields,
 )
@@ -54,9 +54,9 @@
 class CapacityFields(msgspec.Struct):
     """The total resources of a worker, used or not."""
 
-    cpu: Count
-    mem_mb: Count
-    gpu: Count
+    cpu: NonNegativeInt
+    mem_mb: NonNegativeInt
+    gpu: NonNegativeInt
 
 
 class EntryFields(msgspec.Struct):
@@ -71,22 +71,22 @@
     address: SocketAddress
     zone: Name
     version: str
-    capacity: Count
+    capacity: NonNegativeInt
     state: Literal['ready', 'draining']
-    cold_remaining_ms: Measure
-    sequence: Count
+    cold_remaining_ms: NonNegativeFloat
+    sequence: NonNegativeInt
     headroom: CapacityFields
     labels: list[str]
-    clock_ms: Measure = 0.0
-    remaining_ms: Measure = 0.0
-    born: Count = 0
+    clock_ms: NonNegativeFloat = 0.0
+    remaining_ms: NonNegativeFloat = 0.0
+    born: NonNegativeInt = 0
 
 
 class RunRow(msgspec.Struct, array_like=True):
     """A run in the response to a renewal; further elements are ignored."""
 
     task: str
-    run: Count
+    run: NonNegativeInt
     saved: str
     percent: float
 
@@ -94,9 +94,9 @@
 class EndRow(msgspec.Struct, array_like=True):
     """A run end in the response to a renewal."""
 
-    number: Count
+    number: NonNegativeInt
     task: str
-    run: Count
+    run: NonNegativeInt
     how: EndKind
     saved: str = ''
 
@@ -104,16 +104,16 @@
 class RenewalFields(msgspec.Struct):
     """A worker's response to a lease renewal."""
 
-    clock_ms: Measure
+    clock_ms: NonNegativeFloat
     running: list[RunRow] = []
     ended: list[EndRow] = []
-    born: Count = 0
+    born: NonNegativeInt = 0
 
 
 class ClockFields(msgspec.Struct):
     """A worker's response to a start or stop."""
 
-    clock_ms: Measure
+    clock_ms: NonNegativeFloat
 
 
 class RejectionFields(msgspec.Struct):
