--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -111,11 +111,11 @@
 @fault
 async def configuration_unread(soak: 'Soak') -> None:
     """Change the configuration while no host can read it."""
-    soak.store.silent_tables.add('op')
+    soak.store.unresponsive_tables.add('op')
     await asyncio.sleep(soak.random.uniform(0.5, 1.5))
     soak.configure()
     await asyncio.sleep(soak.random.uniform(0.5, 6.0))
-    soak.store.silent_tables.clear()
+    soak.store.unresponsive_tables.clear()
 
 
 @fault
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -350,7 +350,7 @@
         self._callers.stopped.set()
         self._gang_callers.slower.set()
         self.closings.open_all()
-        self.store.silent_tables.clear()
+        self.store.unresponsive_tables.clear()
         self.workers.heal()
         for proxy in self.store_proxies:
             proxy.change('pass')
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -41,16 +41,16 @@
         """Initialize without connections."""
         self.paused = False
         self._open: set[object] = set()
-        self._silent: set[object] = set()
+        self._unresponsive: set[object] = set()
 
-    def silence(self) -> None:
+    def stop_responding(self) -> None:
         """Make all connections opened so far unresponsive."""
-        self._silent.update(self._open)
+        self._unresponsive.update(self._open)
 
     async def pass_request(self, request: web.BaseRequest) -> None:
         """Return if the connection is responsive, otherwise never."""
         self._open.add(request.protocol)
-        if self.paused or request.protocol in self._silent:
+        if self.paused or request.protocol in self._unresponsive:
             await asyncio.Event().wait()
 
 
@@ -61,7 +61,7 @@
     :ivar requests: the paths of all requests.
     :ivar limits: the row limits of all page requests.
     :ivar feed_s: how long the response to a change feed is delayed, in seconds.
-    :ivar silent_tables: tables for which read requests get no response.
+    :ivar unresponsive_tables: tables for which read requests get no response.
     :ivar lost_reads: numbers of page requests, from 1, that get no response.
     """
 
@@ -73,7 +73,7 @@
         self.requests: list[str] = []
         self.limits: list[int] = []
         self.feed_s = 0.0
-        self.silent_tables: set[str] = set()
+        self.unresponsive_tables: set[str] = set()
         self.lost_reads: set[int] = set()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -82,7 +82,7 @@
         await self.connections.pass_request(request)
         if self.refuse_with:
             return web.Response(status=self.refuse_with)
-        if request.query.get('table') in self.silent_tables:
+        if request.query.get('table') in self.unresponsive_tables:
             await asyncio.Event().wait()
         name = request.path.removeprefix('/curranthill/')
         if name == 'rows-feed':
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -150,7 +150,7 @@
             hosts = TwoHosts(testbed=testbed)
             await hosts.open()
             await hosts.store.read('t', 'k')
-            hosts.own.connections.silence()
+            hosts.own.connections.stop_responding()
             with self.assertRaises(ReplyLostError):
                 await hosts.store.commit(puts=(PUT,))
             await hosts.store.commit(puts=(PUT,))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -251,7 +251,7 @@
 
         async def case(testbed: Testbed) -> None:
             await read_together(testbed, 3)
-            testbed.store_server.connections.silence()
+            testbed.store_server.connections.stop_responding()
             with self.assertRaises(ReplyLostError):
                 await testbed.store.read('t', 'k')
             for _ in range(3):
@@ -266,7 +266,7 @@
             follow = asyncio.ensure_future(testbed.store.changes('t', 0, 2.0))
             await asyncio.sleep(0.05)
             await read_together(testbed, 2)
-            testbed.store_server.connections.silence()
+            testbed.store_server.connections.stop_responding()
             with self.assertRaises(ReplyLostError):
                 await testbed.store.read('t', 'k')
             testbed.rows.apply((), (RowPut('t', 'k', b'v'),), ())
@@ -621,7 +621,7 @@
                 await host.app.start()
                 await wait_until(lambda: bool(leader_of(testbed)))
                 testbed.store_server.connections.paused = True
-                testbed.store_server.connections.silence()
+                testbed.store_server.connections.stop_responding()
                 partial_requests = [
                     await send_partial_request(address)
                     for address in (host.callers_address, host.relay_address)
--- a/tests/test_stale_configuration.py
+++ b/tests/test_stale_configuration.py
@@ -82,7 +82,7 @@
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
-            testbed.store_server.silent_tables.add(TABLE)
+            testbed.store_server.unresponsive_tables.add(TABLE)
             # The reading under way is still answered.
             await asyncio.sleep(1.2 * FEED_WAIT_S)
             put(testbed, REPLACED)
@@ -100,7 +100,7 @@
                     self.assertTrue(told['not_run'])
             self.assertFalse(host.is_ready)
             self.assertNotIn('1111111111111111', str(testbed.rows.rows))
-            testbed.store_server.silent_tables.clear()
+            testbed.store_server.unresponsive_tables.clear()
             await wait_until(lambda: bool(host.is_ready))
             self.assertEqual(await status(caller.get('/quick/')), 404)
 
@@ -131,7 +131,7 @@
             host: HostDaemon,
             caller: aiohttp.ClientSession,
         ) -> None:
-            testbed.store_server.silent_tables.add(TABLE)
+            testbed.store_server.unresponsive_tables.add(TABLE)
             await asyncio.sleep(IN_FORCE_S)
             self.assertEqual(await status(caller.get('/quick/')), 200)
 
