--- a/src/curranthill/dispatch/ends.py
+++ b/src/curranthill/dispatch/ends.py
@@ -1,4 +1,4 @@
-"""Which ends of a worker are noted, stored, acknowledged and told."""
+"""Tracks which run ends of a worker are recorded, stored and acknowledged."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,87 +7,88 @@
 from curranthill.clock import Clock, wait_at_most
 from curranthill.dispatch.workers import EndReport
 
-#: While ends wait to be stored a renewal is made so often, in seconds: the
-#: worker lists them again at once each time.
-UNSAVED_PAUSE_S: Final = 0.5
+#: While ends wait to be stored a renewal is made this often, in seconds: the
+#: worker lists the same ends again in the response to each one.
+UNSTORED_RETRY_S: Final = 0.5
 
 
-class EndLog:
-    """The numbers of one incarnation's ends, as far as each has come.
+class EndTracker:
+    """How far the numbered run ends of one incarnation have been processed.
 
-    :param noted: ends up to this number were taken note of.
+    :param recorded: ends up to this number are recorded in memory.
     :param acknowledged: ends up to this number are stored; the worker may
         forget them.
-    :param told: the worker has heard that ends up to this number are stored.
+    :param confirmed: the worker knows that ends up to this number are stored.
     """
 
     def __init__(
         self,
         *,
-        saved: Callable[[], Awaitable[None]],
+        wait_stored: Callable[[], Awaitable[None]],
         clock: Clock,
     ) -> None:
-        """Start with a worker that has ended nothing.
+        """Initialize the tracker of a worker without ends.
 
-        :param saved: returns once all that was noted by its call is stored.
+        :param wait_stored: returns once all that was recorded before its call
+            is stored.
         """
-        self.noted = 0
+        self.recorded = 0
         self.acknowledged = 0
-        self.told = 0
-        self._saved = saved
+        self.confirmed = 0
+        self._wait_stored = wait_stored
         self._clock = clock
-        self._saving: asyncio.Future[None] | None = None
-        self._saving_upto = 0
+        self._storing: asyncio.Future[None] | None = None
+        self._storing_through = 0
 
     @property
     def all_stored(self) -> bool:
-        """Return whether all ends that were noted are stored."""
-        return self.acknowledged == self.noted
+        """Return whether all recorded ends are stored."""
+        return self.acknowledged == self.recorded
 
     @property
-    def settled(self) -> bool:
-        """Return whether the worker has heard that all its ends are stored."""
-        return self.told == self.noted
+    def all_confirmed(self) -> bool:
+        """Return whether the worker knows that all its ends are stored."""
+        return self.confirmed == self.recorded
 
-    def new_of(self, ends: tuple[EndReport, ...]) -> list[EndReport]:
-        """Return the ends that are not noted yet."""
-        return [end for end in ends if end.number > self.noted]
+    def unrecorded(self, ends: tuple[EndReport, ...]) -> list[EndReport]:
+        """Return the ends that are not recorded yet."""
+        return [end for end in ends if end.number > self.recorded]
 
-    def note(self, end: EndReport) -> None:
-        """Take note of an end."""
-        self.noted = max(self.noted, end.number)
+    def record(self, end: EndReport) -> None:
+        """Record an end."""
+        self.recorded = max(self.recorded, end.number)
 
-    def tell(self, number: int) -> None:
-        """Take note that the worker has heard of a number."""
-        self.told = max(self.told, number)
+    def confirm(self, number: int) -> None:
+        """Record that the worker knows ends up to a number are stored."""
+        self.confirmed = max(self.confirmed, number)
 
     async def acknowledge(self) -> None:
-        """Acknowledge ends that are stored; wait a while for those noted.
+        """Acknowledge stored ends; wait a bounded time for recorded ones.
 
-        A store that is away must not keep the lease from being renewed: the
-        worker's other runs would lapse.
+        The wait is bounded because an outage of the store must not delay the
+        renewal of the lease: the worker's other runs would be ended.
         """
-        if self._saving is None:
+        if self._storing is None:
             if self.all_stored:
                 return
-            self._saving_upto = self.noted
-            self._saving = asyncio.ensure_future(self._saved())
+            self._storing_through = self.recorded
+            self._storing = asyncio.ensure_future(self._wait_stored())
         if await wait_at_most(
-            self._saving,
-            timeout_s=UNSAVED_PAUSE_S,
+            self._storing,
+            timeout_s=UNSTORED_RETRY_S,
             clock=self._clock,
         ):
-            if self._saving.cancelled():
-                # Closed meanwhile: nobody asks for these numbers any more.
+            if self._storing.cancelled():
+                # The tracker was closed meanwhile; its numbers are obsolete.
                 return
-            self._saving.result()
-            self.acknowledged = self._saving_upto
-            self._saving = None
+            self._storing.result()
+            self.acknowledged = self._storing_through
+            self._storing = None
 
     def close(self) -> None:
-        """Wait for the store no more."""
-        if self._saving is not None:
-            self._saving.cancel()
+        """Stop waiting for the store."""
+        if self._storing is not None:
+            self._storing.cancel()
 
 
-__all__ = ('EndLog',)
+__all__ = ('EndTracker',)
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -1,4 +1,4 @@
-"""Shows operators who waits, for how long and for what."""
+"""Reports which jobs wait, for how long and for what."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -6,8 +6,8 @@
 
 from curranthill.admission import RESERVED, waiting_reason
 from curranthill.clock import Clock
-from curranthill.dispatch.unready import UnreadyJobs
-from curranthill.dispatch.work import Work
+from curranthill.dispatch.term_state import TermState
+from curranthill.dispatch.unready import UnreadyJobReporter
 from curranthill.placement import (
     MAX_SKEW_S,
     ActiveJob,
@@ -20,25 +20,26 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import OTHERS
 
-#: Workspaces with a gauge label of their own, those with the most waiting jobs.
-MOST_WORKSPACE_LABELS: Final = 10
+#: The most workspaces with a gauge label of their own: those with the most
+#: waiting jobs.
+MAX_WORKSPACE_LABELS: Final = 10
 
-#: Waiting jobs logged for each priority and second, the oldest first.
-LOGGED_JOBS: Final = 2
+#: The most waiting jobs logged per priority and second, the oldest first.
+MAX_LOGGED_JOBS: Final = 2
 
 #: Shorter waits are not logged, in seconds.
 LOGGED_FROM_S: Final = 1.0
 
-#: Jobs that one line names as those that room is kept for.
-NAMED_JOBS: Final = 3
+#: The most jobs named in one log line as those with reserved capacity.
+MAX_NAMED_JOBS: Final = 3
 
 
 class WorkerCounts(NamedTuple):
-    """What the workers of one service are.
+    """The workers of one service, counted by state.
 
-    :param usable: accept work.
-    :param empty: of these, run nothing.
-    :param with_suspect: of these, have a suspect beside which nothing starts.
+    :param usable: workers that accept work.
+    :param empty: usable workers without a run.
+    :param with_suspect: usable workers with a suspect that runs exclusively.
     """
 
     listed: int
@@ -47,50 +48,50 @@
     with_suspect: int
 
 
-class WaitingBoard:
+class WaitingReporter:
     """Sets the gauges of workspaces, and logs the oldest waiting jobs.
 
-    A job that could start and finds no room waits; one that could not is not
-    ready.
+    A job waits if it could start but lacks free capacity; a job that could not
+    start is blocked and logged as not ready.
     """
 
-    def __init__(self, *, clock: Clock, work: Work) -> None:
-        """Start with nothing shown."""
+    def __init__(self, *, clock: Clock, term: TermState) -> None:
+        """Initialize the reporter before its first report."""
         self._clock = clock
-        self._work = work
-        self._unready = UnreadyJobs(clock=clock, sessions=work.sessions)
-        self._shown: set[str] = set()
+        self._term = term
+        self._unready = UnreadyJobReporter(clock=clock, sessions=term.sessions)
+        self._labelled: set[str] = set()
 
-    def show(
+    def report(
         self,
         guaranteed: Mapping[str, int],
-        rooms_now: Callable[[], Mapping[str, list[WorkerCapacity]]],
+        current_capacities: Callable[[], Mapping[str, list[WorkerCapacity]]],
         reserved_for: Sequence[str] = (),
     ) -> None:
-        """Show who waits now.
+        """Report the jobs that wait now.
 
         :param guaranteed: guaranteed accelerators by workspace.
-        :param rooms_now: returns the workers that accept work, by service;
-            asked only when a job has waited for long.
-        :param reserved_for: the jobs that the newest round kept room for.
+        :param current_capacities: returns the capacities of the workers that accept
+            work, by service; called only if a job has waited for long.
+        :param reserved_for: the jobs with capacity reserved by the last round.
         """
         open_jobs = sorted(
-            (job for job in self._work.jobs.values() if not job.ended),
+            (job for job in self._term.jobs.values() if not job.ended),
             key=_accepted_at_s,
         )
         self._set_gauges(job for job in open_jobs if not job.begun)
-        self._unready.show(open_jobs)
+        self._unready.report(open_jobs)
         waiting = self._oldest_waiting(open_jobs)
         if waiting:
             covered = covered_jobs(open_jobs, guaranteed)
-            rooms = rooms_now()
+            capacities = current_capacities()
             for job, ready in waiting:
                 urgent = not job.spec.queue.priority
-                service_rooms = rooms.get(job.spec.queue.service, [])
+                service_capacities = capacities.get(job.spec.queue.service, [])
                 kept_for = self._others_of(job, reserved_for)
                 reason = waiting_reason(
                     ready,
-                    service_rooms,
+                    service_capacities,
                     beyond_guarantee=urgent and job.spec.job_id not in covered,
                     reserved=bool(kept_for),
                     advised=job.spec.queue.advisor,
@@ -98,12 +99,12 @@
                         job, ready, self._clock.wall_s()
                     ),
                 )
-                self._tell(
+                self._log(
                     job,
                     ready,
                     reason,
                     kept_for if reason == RESERVED else (),
-                    self._count_workers(job, service_rooms),
+                    self._count_workers(job, service_capacities),
                 )
 
     def _set_gauges(self, waiting: Iterable[ActiveJob]) -> None:
@@ -113,10 +114,10 @@
             waited_s = now_s - job.spec.accepted_at_s
             ages_s[job.spec.workspace].append(waited_s)
         largest = sorted(ages_s, key=lambda name: -len(ages_s[name]))
-        shown: dict[str, list[float]] = dict.fromkeys(self._shown, [])
-        for name in largest[:MOST_WORKSPACE_LABELS]:
+        shown: dict[str, list[float]] = dict.fromkeys(self._labelled, [])
+        for name in largest[:MAX_WORKSPACE_LABELS]:
             shown[name] = ages_s[name]
-        rest = largest[MOST_WORKSPACE_LABELS:]
+        rest = largest[MAX_WORKSPACE_LABELS:]
         if rest:
             shown[OTHERS] = [age for name in rest for age in ages_s[name]]
         for name, ages in shown.items():
@@ -124,8 +125,8 @@
             metrics.workspace_waiting_jobs.set(len(ages), labels)
             oldest_s = max(ages, default=0.0)
             metrics.workspace_oldest_waiting_s.set(oldest_s, labels)
-        # One that waits no more is shown once more, as nothing.
-        self._shown = {name for name, ages in shown.items() if ages}
+        # A workspace where nothing waits any more is set to zero once.
+        self._labelled = {name for name, ages in shown.items() if ages}
 
     def _oldest_waiting(
         self,
@@ -142,7 +143,7 @@
             waited_s = now_s - job.spec.accepted_at_s
             if -MAX_SKEW_S <= waited_s < LOGGED_FROM_S:
                 continue
-            if found[job.spec.queue.priority] >= LOGGED_JOBS:
+            if found[job.spec.queue.priority] >= MAX_LOGGED_JOBS:
                 continue
             ready = next(job.ready_steps(now_s), None)
             if ready is not None and not job.runs:
@@ -155,8 +156,8 @@
         job: ActiveJob,
         reserved_for: Sequence[str],
     ) -> tuple[str, ...]:
-        """Return the other jobs of its service that room is kept for."""
-        others = (self._work.jobs.get(job_id) for job_id in reserved_for)
+        """Return the other jobs of its service with reserved capacity."""
+        others = (self._term.jobs.get(job_id) for job_id in reserved_for)
         return tuple(
             other.spec.job_id
             for other in others
@@ -168,26 +169,28 @@
     def _count_workers(
         self,
         job: ActiveJob,
-        rooms: Sequence[WorkerCapacity],
+        capacities: Sequence[WorkerCapacity],
     ) -> WorkerCounts:
-        """Return what the workers of a job's service are.
+        """Count the workers of a job's service by state.
 
-        :param rooms: those that accept work.
+        :param capacities: those that accept work.
         """
         service = job.spec.queue.service
         listed = [
             session
-            for session in self._work.sessions.values()
+            for session in self._term.sessions.values()
             if session.listed and session.entry.service == service
         ]
         return WorkerCounts(
             listed=len(listed),
-            usable=len(rooms),
-            empty=sum(1 for room in rooms if not room.runs),
-            with_suspect=sum(1 for room in rooms if room.held_exclusively),
+            usable=len(capacities),
+            empty=sum(1 for capacity in capacities if not capacity.runs),
+            with_suspect=sum(
+                1 for capacity in capacities if capacity.held_exclusively
+            ),
         )
 
-    def _tell(
+    def _log(
         self,
         job: ActiveJob,
         ready: ReadyStep,
@@ -204,7 +207,7 @@
             step=ready.number,
             tasks=len(ready.tasks),
             waits_for=reason,
-            kept_for=kept_for[:NAMED_JOBS],
+            kept_for=kept_for[:MAX_NAMED_JOBS],
             workers_listed=counts.listed,
             workers_usable=counts.usable,
             workers_empty=counts.empty,
@@ -218,4 +221,4 @@
     return job.spec.accepted_at_s
 
 
-__all__ = ('WaitingBoard', 'WorkerCounts')
+__all__ = ('WaitingReporter', 'WorkerCounts')
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -11,7 +11,7 @@
     RejectedError,
     RunReport,
     StartOrder,
-    WorkerGoneError,
+    WorkerReplacedError,
 )
 from curranthill.dispatch.workers import EndKind
 from curranthill.errors import (
@@ -310,7 +310,7 @@
 
     def _error_of(self, response: HttpResponse, path: str) -> Exception:
         if response.status == _OTHER_WORKER:
-            return WorkerGoneError(
+            return WorkerReplacedError(
                 'Another worker serves this address.',
                 step=path,
                 peer=self._address,
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -1,8 +1,9 @@
-"""One attempt of one job, from its reservation to its settled end.
+"""One attempt of a job, from its reservation to its final state.
 
-The order is what makes it safe: every member is reserved before the start
-mark, the mark is one transaction over the job's row and the leader's row,
-and no member is started before the mark is known to be written.
+Safety rests on the order of the steps: every member is reserved before the
+start record is written, the start record is one transaction over the job's row
+and the leader row, and no member is started before the start record is known to
+be written.
 """
 
 import asyncio
@@ -29,9 +30,9 @@
     next_state,
 )
 from curranthill.scheduler.context import Context
-from curranthill.scheduler.members import RETRY_S, Members
-from curranthill.scheduler.settle import BackOff, Settlement
-from curranthill.scheduler.watch import LOST, MemberNews, WorkerWatch
+from curranthill.scheduler.finalize import BackOff, Finalization
+from curranthill.scheduler.members import RETRY_S, GangMembers
+from curranthill.scheduler.watch import LOST, MemberUpdate, WorkerWatch
 from curranthill.workers import (
     FINISHED,
     RESERVED,
@@ -41,7 +42,7 @@
     AttemptId,
 )
 
-#: How an attempt ended, or why it was given back unstarted.
+#: How an attempt ended, or why it was released without a start.
 End = Literal[
     'finished',
     'failed',
@@ -56,7 +57,7 @@
 class GangEnd(NamedTuple):
     """The end of one attempt.
 
-    :param stored: the job's row as last written, if this process wrote it.
+    :param stored: the job's row as this process last read or wrote it.
     :param failed_on: the worker on which a member failed.
     """
 
@@ -67,13 +68,14 @@
 
 
 class Gang:
-    """Run one attempt.
+    """Runs one attempt of a job.
 
     :param stored: the job's row as it was read.
     :param members: the workers, with slots.
-    :param attempt: the attempt's number, above all earlier ones.
+    :param attempt: the attempt's number, above all previous ones.
     :param watches: the watch of each worker by name.
-    :param wait_for: what must have stopped before this may reserve.
+    :param wait_for: set when the preempted attempts have stopped; awaited
+        before the members are reserved.
     """
 
     def __init__(
@@ -86,13 +88,13 @@
         watches: dict[str, WorkerWatch],
         wait_for: Iterable[asyncio.Event] = (),
     ) -> None:
-        """Keep the parts; nothing is reserved yet."""
+        """Initialize without reserved members."""
         self.stored = stored
         self.attempt_id = AttemptId(job=stored.job.job_id, attempt=attempt)
         self.stopped = asyncio.Event()
         self.state: str = ACCEPTED
         self._states: dict[str, str] = {}
-        self._members = Members(
+        self._members = GangMembers(
             context=context,
             attempt_id=self.attempt_id,
             members=members,
@@ -103,43 +105,43 @@
         self._wait_for = tuple(wait_for)
         self._reasons: dict[str, str] = {}
         self._changed = asyncio.Event()
-        self._wish: Literal['', 'cancel', 'preempt'] = ''
+        self._stop_request: Literal['', 'cancel', 'preempt'] = ''
 
     @property
     def members(self) -> tuple[Member, ...]:
         """Return the members in the order in which they are reserved."""
         return self._members.members
 
-    def on_news(self, news: MemberNews) -> None:
-        """Take in what a watch learnt of one member."""
-        if self._states.get(news.worker) != news.state:
-            self._states[news.worker] = news.state
-            self._reasons[news.worker] = news.reason
+    def on_update(self, update: MemberUpdate) -> None:
+        """Apply the state of a member as learned by a watch."""
+        if self._states.get(update.worker) != update.state:
+            self._states[update.worker] = update.state
+            self._reasons[update.worker] = update.reason
             self._changed.set()
 
     def cancel(self) -> None:
-        """Stop the attempt as soon as may be; the caller gave the job up."""
-        self._wish = 'cancel'
+        """Request a stop of the attempt: its job has been cancelled."""
+        self._stop_request = 'cancel'
         self._changed.set()
 
     def preempt(self) -> None:
-        """Checkpoint and stop the attempt; the job will wait again."""
-        self._wish = self._wish or 'preempt'
+        """Request a checkpoint and a stop; the job is queued again."""
+        self._stop_request = self._stop_request or 'preempt'
         self._changed.set()
 
     async def run(self) -> GangEnd:
-        """Reserve, mark, start, wait and settle."""
+        """Reserve the members, record the start, start, wait and finalize."""
         try:
-            return await self._run_fresh()
+            return await self._run_new()
         except (FencedError, LeaseLapsedError) as error:
             return self._abandon(error)
         finally:
             self.stopped.set()
 
     async def resume(self, states: dict[str, str]) -> GangEnd:
-        """Go on with an attempt that another scheduler had marked.
+        """Resume an attempt whose start another scheduler recorded.
 
-        :param states: what its workers said when they were fenced.
+        :param states: the states that its workers reported when fenced.
         """
         try:
             return await self._run_adopted(states)
@@ -148,73 +150,73 @@
         finally:
             self.stopped.set()
 
-    async def _run_fresh(self) -> GangEnd:
+    async def _run_new(self) -> GangEnd:
         for stopped in self._wait_for:
             await stopped.wait()
         self.state = RESERVED
         refused = await self._members.reserve()
-        if refused or self._wish:
+        if refused or self._stop_request:
             await self._members.release()
             return self._not_started(f'Refused by {refused}.')
-        if not await self._mark():
+        if not await self._record_start():
             await self._members.release()
-            return self._not_started('The start mark was not written.')
-        return await self._start_and_settle()
+            return self._not_started('The start record was not written.')
+        return await self._start_and_finalize()
 
     async def _run_adopted(self, states: dict[str, str]) -> GangEnd:
         for member in self.members:
             self._states[member.worker] = states.get(member.worker, LOST)
             if self._states[member.worker] in {RESERVED, RUNNING}:
                 self._members.watch(member.worker)
-        if self._broken() and await self._result_is_kept():
-            # The last leader kept the result and died before the row.
+        if self._must_stop() and await self._result_is_stored():
+            # The previous leader stored the result but did not write the row.
             self._states.update(dict.fromkeys(self._states, FINISHED))
-        return await self._start_and_settle()
+        return await self._start_and_finalize()
 
-    async def _result_is_kept(self) -> bool:
+    async def _result_is_stored(self) -> bool:
         job, attempt = self.attempt_id
         back_off = BackOff()
         while True:
             try:
-                kept = await self._context.objects.get(
+                stored_result = await self._context.objects.get(
                     f'results/{job}/{attempt}',
                 )
             except StorageError:
                 await self._context.clock.sleep(back_off.next_s())
                 continue
-            return kept is not None
+            return stored_result is not None
 
-    async def _start_and_settle(self) -> GangEnd:
-        if not self._broken() and await self._members.start(self.stored.job):
+    async def _start_and_finalize(self) -> GangEnd:
+        if not self._must_stop() and await self._members.start(self.stored.job):
             self.state = RUNNING
             await self._wait_end()
-        end = self._verdict()
+        end = self._outcome()
         if end == 'finished':
             self.stopped.set()
-            return await self._settle_result()
+            return await self._finalize_result()
         checkpoint = ''
         if end == 'preempted':
             checkpoint = await self._members.checkpoint()
         started = await self._members.release()
         self.stopped.set()
-        return await self._settle(end, checkpoint=checkpoint, started=started)
+        return await self._finalize(end, checkpoint=checkpoint, started=started)
 
-    async def _mark(self) -> bool:
-        """Write the start mark; return whether it is known to be written.
+    async def _record_start(self) -> bool:
+        """Write the start record; return whether it is known to be written.
 
-        While the reply is lost and the table stays silent nothing is
-        started and nothing is given back: the members stay reserved.
+        While the reply is lost and the table does not respond, nothing is
+        started and nothing is released: the members stay reserved.
         """
         while True:
-            await self._members.own_lease('mark')
+            await self._members.wait_for_lease('mark')
             try:
                 self.stored = await self._context.store.change(
                     self.stored,
-                    self._marked_job(),
+                    self._started_job(),
                     (self._context.election.check(),),
                 )
             except ConflictError:
-                return await self._marked_after_all()
+                return await self._start_is_recorded()
             except NotSentError:
                 return False
             except ReplyLostError:
@@ -222,7 +224,7 @@
                 continue
             return True
 
-    def _marked_job(self) -> Job:
+    def _started_job(self) -> Job:
         token = self._context.election.token
         return self.stored.job._replace(
             state=next_state(RESERVED, 'mark'),
@@ -233,11 +235,11 @@
             started_at_s=self._context.clock.wall_s(),
         )
 
-    async def _marked_after_all(self) -> bool:
-        """Look whether the row holds this attempt's own mark."""
+    async def _start_is_recorded(self) -> bool:
+        """Return whether the row holds this attempt's own start record."""
         found: StoredJob | None = None
         while found is None:
-            await self._members.own_lease('mark')
+            await self._members.wait_for_lease('mark')
             try:
                 found = await self._context.store.load(self.attempt_id.job)
             except StorageError:
@@ -252,13 +254,13 @@
         )
 
     async def _wait_end(self) -> None:
-        while not (self._broken() or self._complete()):
+        while not (self._must_stop() or self._complete()):
             await self._changed.wait()
             self._changed.clear()
 
-    def _broken(self) -> bool:
+    def _must_stop(self) -> bool:
         ended_badly = {TASK_FAILED, STOPPED, LOST}
-        return bool(self._wish) or any(
+        return bool(self._stop_request) or any(
             state in ended_badly for state in self._states.values()
         )
 
@@ -268,30 +270,30 @@
             for member in self.members
         )
 
-    def _verdict(self) -> End:
+    def _outcome(self) -> End:
         if self._complete():
             return 'finished'
         if TASK_FAILED in self._states.values():
             return 'failed'
-        if self._wish == 'cancel':
+        if self._stop_request == 'cancel':
             return 'cancelled'
         if {STOPPED, LOST}.intersection(self._states.values()):
             return 'lost'
-        return 'preempted' if self._wish else 'lost'
+        return 'preempted' if self._stop_request else 'lost'
 
-    async def _settle_result(self) -> GangEnd:
-        """Keep the result, write the row, then let the workers forget."""
-        settlement = self._settlement()
+    async def _finalize_result(self) -> GangEnd:
+        """Store the result, write the row, then release the members."""
+        finalization = self._finalization()
         first = self._members.client(self.members[0])
-        kept_bytes = await settlement.keep_result(first)
-        if kept_bytes is None:
+        result_bytes = await finalization.store_result(first)
+        if result_bytes is None:
             await self._members.release()
-            return await self._settle('lost', checkpoint='', started=True)
-        self.stored = await settlement.finish(kept_bytes)
+            return await self._finalize('lost', checkpoint='', started=True)
+        self.stored = await finalization.finish(result_bytes)
         await self._members.release()
         return GangEnd(end='finished', stored=self.stored)
 
-    async def _settle(
+    async def _finalize(
         self,
         end: End,
         *,
@@ -300,7 +302,7 @@
     ) -> GangEnd:
         failed_on = self._worker_in(TASK_FAILED)
         reason = self._reasons.get(failed_on, '')
-        self.stored = await self._settlement().settle(
+        self.stored = await self._finalization().finalize(
             end,
             reason=reason,
             failed_on=failed_on,
@@ -314,8 +316,8 @@
             failed_on=failed_on,
         )
 
-    def _settlement(self) -> Settlement:
-        return Settlement(
+    def _finalization(self) -> Finalization:
+        return Finalization(
             context=self._context,
             stored=self.stored,
             attempt_id=self.attempt_id,
@@ -328,11 +330,13 @@
         return ''
 
     def _not_started(self, reason: str) -> GangEnd:
-        end: End = 'cancelled' if self._wish == 'cancel' else 'not_started'
+        end: End = (
+            'cancelled' if self._stop_request == 'cancel' else 'not_started'
+        )
         return GangEnd(end=end, stored=self.stored, reason=reason)
 
     def _abandon(self, error: CurranthillError) -> GangEnd:
-        """Leave all as it is: another scheduler decides from here."""
+        """Change nothing further: another scheduler takes over the attempt."""
         logger.bind(
             job=self.attempt_id.job,
             attempt=self.attempt_id.attempt,
@@ -345,8 +349,8 @@
 def next_attempt(job: Job, epoch: int, last: int) -> int:
     """Return an attempt number above all that were used for a job.
 
-    A new leader does not know which numbers an earlier one tried without a
-    mark, so each epoch has a range of its own.
+    A new leader does not know which numbers a previous one used without a
+    start record, so each epoch has a range of its own.
     """
     return max(job.attempt, last, epoch << 20) + 1
 
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -1,8 +1,8 @@
-"""Jobs that wait here while another data centre has room for them now.
+"""Moves of waiting jobs to data centres that have free capacity for them.
 
-Nothing goes away that may still run here soon: a job is given away only
-after it has waited, if no guarantee of its own restores it here, and if its
-shape fits the other place as that place was last heard of.
+A job that may run here soon is not moved: it must have waited for a minimum
+time, no guarantee of its workspace may cover it here, and its shape must fit
+the other data centre according to its last known load.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,24 +10,25 @@
 
 from curranthill.clock import Clock
 from curranthill.jobs import accepting_data_centre
-from curranthill.scheduler.board import Board, Waiting
+from curranthill.scheduler.state import SchedulerState, WaitingJob
 
-#: How long a job waits here before another place is considered, in seconds.
-PATIENCE_S: Final = 1.0
+#: How long a job waits here before it may be moved, in seconds.
+MIN_WAIT_S: Final = 1.0
 
-#: The same for a job that came from elsewhere, lest it go to and fro.
-MOVED_PATIENCE_S: Final = 10.0
+#: The same for a job that was moved here, which keeps it from moving back and
+#: forth.
+MOVED_MIN_WAIT_S: Final = 10.0
 
-#: How long a place counts as fuller by what was sent there, in seconds;
-#: longer than its next news takes.
-MEMORY_S: Final = 3.0
+#: How long the slots of moved jobs count as taken at the neighbour, in seconds;
+#: longer than its next load update takes.
+SENT_RETENTION_S: Final = 3.0
 
-#: Jobs given away in one look.
-MOST: Final = 16
+#: The maximum number of jobs that one check moves.
+MAX_MOVES: Final = 16
 
 
 class Neighbour(Protocol):
-    """What is heard of another data centre's active scheduler."""
+    """The load that another data centre's active scheduler publishes."""
 
     @property
     def data_centre(self) -> str:
@@ -43,11 +44,11 @@
 
     @property
     def waiting_slots(self) -> int:
-        """Return what its own queue asks for."""
+        """Return the slots that its own waiting jobs need."""
 
 
 class Move(NamedTuple):
-    """One job that goes to another data centre."""
+    """The move of one job to another data centre."""
 
     job_id: str
     data_centre: str
@@ -61,7 +62,7 @@
 
 
 class Offload:
-    """Choose jobs to give to neighbours.
+    """Chooses jobs to move to neighbours.
 
     :param neighbours: returns the region's other active schedulers.
     """
@@ -69,89 +70,94 @@
     def __init__(
         self,
         *,
-        board: Board,
+        state: SchedulerState,
         clock: Clock,
         neighbours: Callable[[], Sequence[Neighbour]],
     ) -> None:
-        """Start with nothing sent."""
-        self._board = board
+        """Initialize without recent moves."""
+        self._state = state
         self._clock = clock
         self._neighbours = neighbours
         self._sent: list[_Sent] = []
 
     def choose(self) -> list[Move]:
-        """Return the jobs that should go, the longest waiting first."""
+        """Return the moves to make, longest waiting jobs first."""
         now_s = self._clock.monotonic_s()
         self._sent = [
-            sent for sent in self._sent if now_s - sent.at_s < MEMORY_S
+            sent for sent in self._sent if now_s - sent.at_s < SENT_RETENTION_S
         ]
-        places = self._neighbours()
+        neighbours = self._neighbours()
         moves: list[Move] = []
-        if not places:
+        if not neighbours:
             return moves
-        for waiting in sorted(self._board.queue, key=_age):
-            if len(moves) >= MOST:
+        for waiting in sorted(self._state.queue, key=_waiting_since):
+            if len(moves) >= MAX_MOVES:
                 break
-            if self._stays(waiting, now_s):
+            if self._must_stay(waiting, now_s):
                 continue
-            place = self._place_for(waiting, places)
-            if place is not None:
-                moves.append(self._send(waiting, place, now_s))
+            neighbour = self._target_for(waiting, neighbours)
+            if neighbour is not None:
+                moves.append(self._send(waiting, neighbour, now_s))
         return moves
 
-    def _stays(self, waiting: Waiting, now_s: float) -> bool:
+    def _must_stay(self, waiting: WaitingJob, now_s: float) -> bool:
         job = waiting.job
-        entitled = self._board.plan.free_unit(job.workspace, job.shape)
-        may_borrow = self._board.may_borrow.get(job.workspace, True)
+        entitled = self._state.plan.free_unit(job.workspace, job.shape)
+        may_borrow = self._state.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
         moved = accepting_data_centre(job.job_id) != job.home
-        patience_s = MOVED_PATIENCE_S if moved else PATIENCE_S
-        return entitled is not None or not may_borrow or waited_s < patience_s
+        min_wait_s = MOVED_MIN_WAIT_S if moved else MIN_WAIT_S
+        return entitled is not None or not may_borrow or waited_s < min_wait_s
 
-    def _place_for(
+    def _target_for(
         self,
-        waiting: Waiting,
-        places: Sequence[Neighbour],
+        waiting: WaitingJob,
+        neighbours: Sequence[Neighbour],
     ) -> Neighbour | None:
         slots = waiting.job.slots
-        able = [
-            (self._left(place), place)
-            for place in places
-            if place.widest_free - self._sent_to(place) >= slots
+        eligible = [
+            (self._surplus(neighbour), neighbour)
+            for neighbour in neighbours
+            if neighbour.widest_free - self._sent_to(neighbour) >= slots
         ]
-        if not able:
+        if not eligible:
             return None
-        return max(able, key=_most_left)[1]
+        return max(eligible, key=_surplus_of)[1]
 
-    def _left(self, place: Neighbour) -> int:
-        """Return the slots that its own queue does not ask for either."""
-        taken = place.waiting_slots + self._sent_to(place)
-        return place.free_slots - taken
+    def _surplus(self, neighbour: Neighbour) -> int:
+        """Return the free slots that its own queue does not need."""
+        taken = neighbour.waiting_slots + self._sent_to(neighbour)
+        return neighbour.free_slots - taken
 
-    def _sent_to(self, place: Neighbour) -> int:
+    def _sent_to(self, neighbour: Neighbour) -> int:
         return sum(
             sent.slots
             for sent in self._sent
-            if sent.data_centre == place.data_centre
+            if sent.data_centre == neighbour.data_centre
         )
 
-    def _send(self, waiting: Waiting, place: Neighbour, now_s: float) -> Move:
+    def _send(
+        self,
+        waiting: WaitingJob,
+        neighbour: Neighbour,
+        now_s: float,
+    ) -> Move:
         job = waiting.job
-        left = self._left(place)
-        self._sent.append(_Sent(place.data_centre, job.slots, now_s))
+        surplus = self._surplus(neighbour)
+        self._sent.append(_Sent(neighbour.data_centre, job.slots, now_s))
         return Move(
             job_id=job.job_id,
-            data_centre=place.data_centre,
-            reason=f'{left} slots left there, {job.slots} needed',
+            data_centre=neighbour.data_centre,
+            reason=f'{surplus} slots left there, {job.slots} needed',
         )
 
 
-def _age(waiting: Waiting) -> float:
+def _waiting_since(waiting: WaitingJob) -> float:
     return waiting.since_s
 
 
-def _most_left(place: tuple[int, Neighbour]) -> int:
-    return place[0]
+def _surplus_of(candidate: tuple[int, Neighbour]) -> int:
+    return candidate[0]
 
 
 __all__ = ('Move', 'Neighbour', 'Offload')
--- a/tests/support.py
+++ b/tests/support.py
@@ -17,8 +17,8 @@
     WorkerUnreachableError,
 )
 from curranthill.jobs import Job, Member
-from curranthill.scheduler.board import Board, Waiting
 from curranthill.scheduler.cluster import WorkerState
+from curranthill.scheduler.state import SchedulerState, WaitingJob
 from curranthill.standin import Faults, TableModel, WorkerModel
 from curranthill.storage import Page, Row, Transaction
 
@@ -235,18 +235,18 @@
     return Job(**(defaults | fields))
 
 
-def make_board(
+def make_state(
     *,
     racks: int = 2,
     workers: int = 4,
     slots: int = 8,
-) -> Board:
+) -> SchedulerState:
     """Return a scheduler state with racks of equal workers."""
-    board = Board()
+    state = SchedulerState()
     for rack in range(racks):
         for number in range(workers):
             name = f'r{rack}-w{number}'
-            board.cluster.add(
+            state.cluster.add(
                 WorkerState(
                     name=name,
                     address=name,
@@ -254,13 +254,17 @@
                     slots=slots,
                 ),
             )
-    return board
+    return state
 
 
-def enqueue_job(board: Board, job: Job, since_s: float = 0) -> Waiting:
+def enqueue_job(
+    state: SchedulerState,
+    job: Job,
+    since_s: float = 0,
+) -> WaitingJob:
     """Add a job to the queue of a scheduler state."""
-    waiting = Waiting(job=job, since_s=since_s)
-    board.queue.add(waiting)
+    waiting = WaitingJob(job=job, since_s=since_s)
+    state.queue.add(waiting)
     return waiting
 
 
@@ -275,8 +279,8 @@
     'EmbeddedWorker',
     'ManualClock',
     'enqueue_job',
-    'make_board',
     'make_job',
+    'make_state',
     'members_on',
     'run',
     'run_until_idle',
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -18,7 +18,14 @@
 from curranthill.tasks import JobProgress, Resources, Step, TaskKey
 from curranthill.telemetry import metrics
 from curranthill.telemetry.labels import OTHERS, BoundedLabels
-from tests.domain import ONE_GPU, ROOM, SERVICE, Domain, in_domain, make_spec
+from tests.domain import (
+    ONE_GPU,
+    SERVICE,
+    WORKER_CAPACITY,
+    Domain,
+    in_domain,
+    make_spec,
+)
 from tests.test_door import GANG, RUN_S, gang, is_refused, overload
 
 
@@ -29,7 +36,7 @@
         service=SERVICE,
         address='',
         data_centre='dc',
-        capacity=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', rack),
     )
     run = Run(
@@ -274,7 +281,7 @@
             await domain.clock.advance(1.0)
             leader = host.leader
             assert leader is not None
-            for run in leader.work.jobs['alone'].runs.values():
+            for run in leader.term.jobs['alone'].runs.values():
                 run.exclusive = True
                 name = run.worker_id
             other = next(one for one in domain.workers if one != name)
@@ -316,7 +323,7 @@
                 self.assertEqual(len(gauge.values), 11)
                 self.assertEqual(sum(gauge.values.values()), 16)
                 for number in range(18):
-                    await host.during(host.desk.cancel(f'w{number}'))
+                    await host.during(host.handler.cancel(f'w{number}'))
                 await domain.clock.advance(3.0)
                 self.assertEqual(sum(gauge.values.values()), 0)
 
