--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -37,7 +37,7 @@
         pool: WorkerPool,
         router: Router,
     ) -> None:
-        """Initialize so that without an allotment listed workers are used."""
+        """Initialize to use listed workers until the first allotment."""
         self._app = app
         self._view = view
         self._channels = channels
