--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -1,4 +1,4 @@
-"""A full cluster with jobs that wait: what a round of placement meets.
+"""A full cluster with waiting jobs, as input of a round of placement.
 
 Drawn from a seed, so that the same round can be planned again: gangs and
 plain tasks hold nearly all accelerators, some runs are being stopped, some
@@ -29,7 +29,7 @@
 NOW_S: Final = 1_700_001_000.0
 SERVICE: Final = 'calc'
 WORKERS_PER_RACK: Final = 20
-ROOM: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
+WORKER_CAPACITY: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
 GPU_SIZES: Final = (1, 2, 4, 8, 8)
 SAME_RACK_SHARE: Final = 0.7
 NEAR_RACK_SHARE: Final = 0.1
@@ -38,7 +38,7 @@
 
 
 class Kind(NamedTuple):
-    """A kind of job, as drawn.
+    """A kind of random jobs.
 
     :param widths: the mean number of tasks of a step.
     """
@@ -60,7 +60,7 @@
 
 
 class FullCluster(NamedTuple):
-    """One drawn moment.
+    """The state of a random cluster at one moment.
 
     :param runs: the runs of each worker.
     :param failure_scores: by worker.
@@ -75,7 +75,7 @@
 
 
 def draw(*, workers: int, waiting: int, seed: int) -> FullCluster:
-    """Return a cluster that is nearly full, with so many jobs that wait."""
+    """Return a cluster that is nearly full, with so many waiting jobs."""
     source = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
     free = {entry.worker_id: entry.capacity for entry in entries}
@@ -93,7 +93,7 @@
     while refused < 8:
         job = _job(source, len(cluster.jobs))
         cluster.jobs.append(job)
-        if not _fill(source, cluster, free, job):
+        if not _place(source, cluster, free, job):
             refused += 1
     for _ in range(waiting):
         cluster.jobs.append(_job(source, len(cluster.jobs)))
@@ -101,8 +101,8 @@
 
 
 def plan_round(cluster: FullCluster) -> Plan:
-    """Return what one round decides, from the runs as they are."""
-    rooms = [
+    """Return the decisions of one round."""
+    workers = [
         WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
@@ -111,7 +111,7 @@
         for entry in cluster.entries
     ]
     planner = Planner(
-        workers={SERVICE: rooms},
+        workers={SERVICE: workers},
         guaranteed=cluster.guaranteed,
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -129,7 +129,7 @@
         service=SERVICE,
         address=f'10.0.0.1:{number}',
         data_centre='dc',
-        capacity=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', f'r{number // WORKERS_PER_RACK}'),
     )
 
@@ -174,13 +174,13 @@
     return ActiveJob(spec=spec, progress=JobProgress(queue=spec.queue.name))
 
 
-def _fill(
+def _place(
     source: random.Random,
     cluster: FullCluster,
     free: dict[str, Resources],
     job: ActiveJob,
 ) -> bool:
-    """Let a job run wherever there is room; return whether all of it does."""
+    """Place a job's tasks wherever they fit; return whether all of them do."""
     step = job.spec.steps[0]
     age_s = source.uniform(0, step.estimate_s)
     stopped = _is_drawn(source, STOPPED_SHARE)
--- a/src/curranthill/admission/__init__.py
+++ b/src/curranthill/admission/__init__.py
@@ -1,8 +1,11 @@
-"""How work is turned away: decisions only, no input or output, no clock."""
+"""Admission of jobs: load shedding and the reasons why jobs wait.
+
+Pure decisions: no input or output, no clock.
+"""
 
 from curranthill.admission.forecast import ServiceResources, make_forecast
 from curranthill.admission.reasons import RESERVED, waiting_reason
-from curranthill.admission.retries import retry_delay_s
+from curranthill.admission.retries import retry_after_s
 from curranthill.admission.shedding import (
     FULL,
     MAX_FORECAST_AGE_S,
@@ -18,10 +21,10 @@
 
 __all__ = (
     'FULL',
-    'RESERVED',
-    'MAX_WAITING_PER_WORKSPACE',
-    'MAX_WAITING',
     'MAX_FORECAST_AGE_S',
+    'MAX_WAITING',
+    'MAX_WAITING_PER_WORKSPACE',
+    'RESERVED',
     'TOO_LATE',
     'WORKSPACE_FULL',
     'Forecast',
@@ -30,6 +33,6 @@
     'ServiceResources',
     'check_admission',
     'make_forecast',
-    'retry_delay_s',
+    'retry_after_s',
     'waiting_reason',
 )
--- a/src/curranthill/dispatch/run_estimates.py
+++ b/src/curranthill/dispatch/run_estimates.py
@@ -65,7 +65,7 @@
         self._refreshed_s = now_s
         self.speeds.refresh()
         present = [session for session in sessions if not session.removed]
-        self.speeds.forget_except(one.worker_id for one in present)
+        self.speeds.retain(one.worker_id for one in present)
         self._log_deviating(present)
 
     def ratio_of(self, queue: str) -> float:
@@ -77,7 +77,7 @@
         return self.speeds.speed_of(session.worker_id, session.incarnation)
 
     def _log_deviating(self, sessions: Iterable['WorkerSession']) -> None:
-        """Log each worker that starts or stops to deviate in speed."""
+        """Log each worker that starts or stops deviating in speed."""
         deviating: dict[str, int] = {}
         for session in sessions:
             speed = self.speed_of(session)
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -28,7 +28,7 @@
 
 
 class RunList:
-    """All runs that may exist at a worker, and how far its ends are recorded.
+    """All runs that may exist at a worker, and which of its ends are recorded.
 
     :param runs: by task and attempt.
     :param ends: of the worker's current incarnation.
@@ -71,7 +71,7 @@
                 taken = taken.plus(one.needs)
         return capacity.covers(taken)
 
-    def start_answered(self, run: Run) -> None:
+    def expect_listed(self, run: Run) -> None:
         """Expect a report to list a run, unless one has listed its end."""
         if self.runs.get(run.name) is run:
             self.unconfirmed.add(run.name)
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -17,7 +17,7 @@
     is_lost,
 )
 from curranthill.dispatch.lease import Lease
-from curranthill.dispatch.owner import ClosureSource, SessionOwner
+from curranthill.dispatch.owner import ClosedDataCentreSource, SessionOwner
 from curranthill.dispatch.probing import ProbeLimiter
 from curranthill.dispatch.run_list import RunList
 from curranthill.dispatch.unused import (
@@ -98,7 +98,7 @@
         timing: Timing,
         token: int,
         previous_s: float,
-        closures: ClosureSource,
+        closed_data_centres: ClosedDataCentreSource,
         probe_limiter: ProbeLimiter,
     ) -> None:
         """Initialize the session of a worker that has not responded yet.
@@ -120,7 +120,7 @@
         self.rejected_s = -REJECTION_PAUSE_S
         self._worker = worker
         self._owner = owner
-        self._closures = closures
+        self._closed_data_centres = closed_data_centres
         self._probe_limiter = probe_limiter
         self._clock = clock
         self._token = token
@@ -152,7 +152,9 @@
     def unused_reason(self) -> UnusedReason | None:
         """Return why no new task may be placed here, if so."""
         rejected_s = self._clock.monotonic_s() - self.rejected_s
-        open_here = self._closures.allows_starts(self.entry.data_centre)
+        open_here = self._closed_data_centres.allows_starts(
+            self.entry.data_centre
+        )
         reasons: dict[UnusedReason, bool] = {
             REMOVED: self.removed,
             DRAINING: self.entry.leaving,
@@ -225,11 +227,13 @@
                 return
             if self.entry.leaving or not self.reachable:
                 # This changed while lost responses delayed the start.
-                leaving = self.entry.leaving
-                reason = 'worker leaving' if leaving else 'worker unreachable'
+                draining = self.entry.leaving
+                reason = 'worker leaving' if draining else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
                 return
-            if not self._closures.allows_starts(self.entry.data_centre):
+            if not self._closed_data_centres.allows_starts(
+                self.entry.data_centre
+            ):
                 # The data centre was closed while the start was queued.
                 self._run_list.drop_absent(run, 'data centre closed')
                 return
@@ -298,7 +302,7 @@
             self._read_clock(clock_s, known_clock_s)
             run.confirmed_s = self._clock.monotonic_s()
             run.set_start_clock(clock_s)
-            self._run_list.start_answered(run)
+            self._run_list.expect_listed(run)
             metrics.start_order_s.record(run.confirmed_s - sent_s)
             run.percent_changed_s = run.confirmed_s
             if run.state == ORDERED:
@@ -464,7 +468,7 @@
         if not self._lease.expired:
             return
         for run in self.runs.values():
-            if is_lost(run, LEASE_LAPSED, leaving=self.entry.leaving):
+            if is_lost(run, LEASE_LAPSED, draining=self.entry.leaving):
                 self.unconfirmed_losses.add(run)
         self._run_list.drop_all(LEASE_LAPSED)
         if not self.listed:
--- a/src/curranthill/placement/__init__.py
+++ b/src/curranthill/placement/__init__.py
@@ -1,6 +1,6 @@
-"""What starts where, what is stopped for it, and what moves.
+"""Placement of tasks on workers, preemption, and moves of running tasks.
 
-Decisions only: no input or output, no clock, no event loop, no log lines.
+Pure decisions: no input or output, no clock, no event loop, no logging.
 """
 
 from curranthill.placement.backlog import BacklogCursor
@@ -56,12 +56,13 @@
 from curranthill.placement.workers import WorkerEntry
 
 __all__ = (
-    'NONE_DISABLED',
+    'ASSIGNED',
     'FAILURE_SCORE',
     'FILLING',
+    'LOAD_SHEDDING',
     'MAX_LATE_FACTOR',
-    'ASSIGNED',
     'MAX_SKEW_S',
+    'NONE_DISABLED',
     'ORDERED',
     'PLAIN',
     'RUNNING',
@@ -71,7 +72,6 @@
     'SPEEDS',
     'STALLED',
     'STALLED_MOVES',
-    'LOAD_SHEDDING',
     'UNKNOWN',
     'URGENT',
     'ActiveJob',
@@ -86,23 +86,23 @@
     'Ratio',
     'ReadyStep',
     'ReservationWindows',
-    'WorkerCapacity',
     'Run',
     'RunKind',
     'RunState',
     'Speed',
     'SpeedEstimator',
+    'WorkerCapacity',
     'WorkerEntry',
-    'validate_mechanisms',
-    'newest_checkpoint',
     'covered_jobs',
-    'infeasible_jobs',
     'in_service_order',
-    'late_jobs',
+    'infeasible_jobs',
     'kind_of',
-    'speed_level',
+    'late_jobs',
     'mechanisms',
     'move_of',
+    'newest_checkpoint',
     'resources_needed',
+    'speed_level',
+    'validate_mechanisms',
     'waits_for_rack',
 )
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -156,7 +156,7 @@
                 store=self._store,
                 clock=clock,
                 health=self._health,
-                outlooks=self._election.forecasts,
+                forecasts=self._election.forecasts,
             ),
             revisions=self._revisions,
             clock=clock,
@@ -250,7 +250,7 @@
             worker_feed=RegisteredWorkers(),
             timing=self._settings.timing,
             revision=self._revisions,
-            closures=self._closed_data_centres,
+            closed_data_centres=self._closed_data_centres,
             advisor=PlatformAdvisor(
                 client=self._client,
                 address=self._settings.advisor_address,
