--- a/src/curranthill/scheduler/finalize.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -11,7 +11,7 @@
     StorageError,
     WorkerError,
 )
-from curranthill.jobs import ACCEPTED, ENDED, Job, Stored, next_state
+from curranthill.jobs import ACCEPTED, ENDED, Job, StoredJob, next_state
 from curranthill.scheduler.context import Context
 from curranthill.workers import AttemptId, Worker
 
@@ -47,7 +47,7 @@
         self,
         *,
         context: Context,
-        stored: Stored,
+        stored: StoredJob,
         attempt_id: AttemptId,
     ) -> None:
         """Initialize with the row to be finalized."""
@@ -85,7 +85,7 @@
                 continue
             return len(body)
 
-    async def finish(self, result_bytes: int) -> Stored:
+    async def finish(self, result_bytes: int) -> StoredJob:
         """Write that the job finished."""
         job = self._stored.job
         return await self._write(
@@ -104,7 +104,7 @@
         failed_on: str,
         checkpoint: str,
         started: bool,
-    ) -> Stored:
+    ) -> StoredJob:
         """Write the state of a job whose attempt did not finish."""
         job = self._stored.job
         if end == 'failed':
@@ -168,7 +168,7 @@
                 await self._context.clock.sleep(back_off.next_s())
         return None
 
-    async def _write(self, job: Job) -> Stored:
+    async def _write(self, job: Job) -> StoredJob:
         """Retry until the row is written or another writer decided the job."""
         back_off = BackOff()
         while True:
@@ -190,7 +190,7 @@
                 await self._context.clock.sleep(back_off.next_s())
             self._require_leading()
 
-    async def _reload(self, back_off: BackOff) -> Stored | None:
+    async def _reload(self, back_off: BackOff) -> StoredJob | None:
         while True:
             try:
                 return await self._context.store.load(self._attempt_id.job)
@@ -198,7 +198,7 @@
                 await self._context.clock.sleep(back_off.next_s())
                 self._require_leading()
 
-    def _is_own(self, found: Stored) -> bool:
+    def _is_own(self, found: StoredJob) -> bool:
         """Return whether the row still holds this attempt's start record."""
         return (
             found.job.state not in ENDED
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from curranthill.clock import Clock
-from curranthill.jobs import birth_of
+from curranthill.jobs import accepting_data_centre
 from curranthill.scheduler.state import SchedulerState, WaitingJob
 
 #: How long a job waits here before it may be moved, in seconds.
@@ -107,7 +107,7 @@
         unused_unit = self._state.plan.free_unit(job.workspace, job.shape)
         may_borrow = self._state.may_borrow.get(job.workspace, True)
         waited_s = now_s - waiting.since_s
-        moved = birth_of(job.job_id) != job.home
+        moved = accepting_data_centre(job.job_id) != job.home
         min_wait_s = MOVED_MIN_WAIT_S if moved else MIN_WAIT_S
         return (
             unused_unit is not None or not may_borrow or waited_s < min_wait_s
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from curranthill.errors import FencedError, WorkerError
-from curranthill.jobs import ACCEPTED, Stored
+from curranthill.jobs import ACCEPTED, StoredJob
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.term import Term
 from curranthill.storage import HostEntry
@@ -85,7 +85,7 @@
     return WorkerLeases(leases=leases, unresponsive=frozenset(unresponsive))
 
 
-def member_states(stored: Stored, held: WorkerLeases) -> dict[str, str]:
+def member_states(stored: StoredJob, held: WorkerLeases) -> dict[str, str]:
     """Return the state of each member as far as its worker reported it.
 
     A member on an unresponsive worker counts as running: the watch determines
@@ -105,7 +105,7 @@
 
 def _restore_jobs(
     term: Term,
-    stored_jobs: list[Stored],
+    stored_jobs: list[StoredJob],
     held: WorkerLeases,
 ) -> set[AttemptId]:
     """Queue accepted jobs and resume started attempts; return the latter."""
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -19,12 +19,12 @@
 from curranthill.entry import ClosedDataCentres, RevisionFollower
 from curranthill.errors import ReplyLostError
 from curranthill.placement import ActiveJob
-from curranthill.platform.calls import STALL_TIMEOUT_S
 from curranthill.platform.configuration import (
     TABLE,
     decode_closure,
     decode_revision,
 )
+from curranthill.platform.http_client import STALL_TIMEOUT_S
 from curranthill.platform.relay import StoreRelay
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
 from curranthill.storage.follower import TableFollower
@@ -37,7 +37,7 @@
 from tests.domain import make_spec
 from tests.platform_standin import serve
 from tests.slow_link import SlowLink
-from tests.test_platform import CONFIGURATION, Bench, on_bench, until
+from tests.test_platform import CONFIGURATION, Testbed, on_testbed, wait_until
 
 #: Bandwidth of the slowest link of a host, in bytes per second.
 SLOWEST_LINK_BYTES_PER_S: Final = 5e6 / 8
@@ -74,7 +74,7 @@
 FIRST_VERSION: Final = 7
 
 
-def put_configuration(bench: Bench, routes: int, version: int) -> int:
+def put_configuration(testbed: Testbed, routes: int, version: int) -> int:
     """Have the operator write a configuration; return its size in bytes."""
     grown = [
         {**ROUTE, 'name': f'r-{number}', 'path_prefix': f'/{number:08}/'}
@@ -82,7 +82,7 @@
     ]
     fields = {**CONFIGURATION, 'version': version, 'routes': grown}
     content = json.dumps(fields).encode()
-    bench.rows.apply((), (RowPut(TABLE, 'config', content),), ())
+    testbed.rows.apply((), (RowPut(TABLE, 'config', content),), ())
     return len(content) * 4 // 3
 
 
@@ -94,25 +94,25 @@
 
     def __init__(
         self,
-        bench: Bench,
+        testbed: Testbed,
         rate_bytes_per_s: float,
         *,
         target: str = '',
     ) -> None:
         """Initialize without starting."""
-        self._bench = bench
+        self._testbed = testbed
         self.link = SlowLink(
-            target=target or bench.store_address,
+            target=target or testbed.store_address,
             rate_bytes_per_s=rate_bytes_per_s,
         )
 
     async def start(self) -> None:
         """Read the configuration and follow it."""
         await self.link.open()
-        self._bench.closers.append(self.link.close)
-        clock = self._bench.clock
+        self._testbed.closers.append(self.link.close)
+        clock = self._testbed.clock
         self.store = PlatformStore(
-            caller=self._bench.caller,
+            client=self._testbed.client,
             paths=StorePaths(direct=self.link.address, peers=tuple),
             clock=clock,
         )
@@ -132,7 +132,7 @@
         async def stop() -> None:
             following.cancel()
 
-        self._bench.closers.append(stop)
+        self._testbed.closers.append(stop)
 
     @property
     def version(self) -> int:
@@ -142,19 +142,19 @@
 
     async def seconds_until(self, version: int) -> float:
         """Return in how many seconds a version is in force."""
-        began_s = self._bench.clock.monotonic_s()
-        await until(lambda: self.version == version)
-        return self._bench.clock.monotonic_s() - began_s
+        began_s = self._testbed.clock.monotonic_s()
+        await wait_until(lambda: self.version == version)
+        return self._testbed.clock.monotonic_s() - began_s
 
 
 async def slow_link_hosts(
-    bench: Bench,
+    testbed: Testbed,
     rate_bytes_per_s: float,
     ages_s: Sequence[float] = CHANGE_AFTER_S,
 ) -> list[SlowLinkHost]:
     """Return hosts that began to wait for changes that many seconds ago."""
-    put_configuration(bench, 1, FIRST_VERSION)
-    hosts = [SlowLinkHost(bench, rate_bytes_per_s) for _ in ages_s]
+    put_configuration(testbed, 1, FIRST_VERSION)
+    hosts = [SlowLinkHost(testbed, rate_bytes_per_s) for _ in ages_s]
     waited_s = max(ages_s)
     for host, age_s in zip(hosts, sorted(ages_s, reverse=True)):
         await asyncio.sleep(waited_s - age_s)
@@ -170,9 +170,9 @@
     def grow(self, *, routes: int, rate_bytes_per_s: float) -> None:
         """Check a change at several times of a wait."""
 
-        async def case(bench: Bench) -> None:
-            hosts = await slow_link_hosts(bench, rate_bytes_per_s)
-            size = put_configuration(bench, routes, FIRST_VERSION + 1)
+        async def case(testbed: Testbed) -> None:
+            hosts = await slow_link_hosts(testbed, rate_bytes_per_s)
+            size = put_configuration(testbed, routes, FIRST_VERSION + 1)
             took_s = await asyncio.gather(
                 *(host.seconds_until(FIRST_VERSION + 1) for host in hosts),
             )
@@ -180,7 +180,7 @@
             for host in hosts:
                 self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_large_change_is_in_force_within_its_bound(self) -> None:
         """Its transfer alone takes two thirds of the bound."""
@@ -193,28 +193,28 @@
     def test_a_host_that_starts_reads_a_large_configuration(self) -> None:
         """The first read takes longer than any small one."""
 
-        async def case(bench: Bench) -> None:
-            size = put_configuration(bench, 4200, FIRST_VERSION)
-            host = SlowLinkHost(bench, SLOWEST_LINK_BYTES_PER_S)
+        async def case(testbed: Testbed) -> None:
+            size = put_configuration(testbed, 4200, FIRST_VERSION)
+            host = SlowLinkHost(testbed, SLOWEST_LINK_BYTES_PER_S)
             await host.start()
             took_s = await host.seconds_until(FIRST_VERSION)
             self.assertLess(took_s, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_the_end_of_an_outage_aborts_no_response_in_transfer(self) -> None:
         """Other calls fail meanwhile, until one succeeds again."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             age_s = CHANGE_AFTER_S[0]
             hosts = await slow_link_hosts(
-                bench,
+                testbed,
                 SLOWEST_LINK_BYTES_PER_S,
                 (age_s,),
             )
             host = hosts[0]
-            size = put_configuration(bench, 4200, FIRST_VERSION + 1)
+            size = put_configuration(testbed, 4200, FIRST_VERSION + 1)
             arriving = asyncio.ensure_future(
                 host.seconds_until(FIRST_VERSION + 1),
             )
@@ -225,27 +225,27 @@
             self.assertLess(await arriving, IN_FORCE_S)
             self.assertLess(host.link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_large_change_arrives_in_time_through_a_peer(self) -> None:
         """The link of the relaying peer is as slow and comes first."""
 
-        async def case(bench: Bench) -> None:
-            put_configuration(bench, 1, FIRST_VERSION)
-            link, address = await start_peer(bench)
+        async def case(testbed: Testbed) -> None:
+            put_configuration(testbed, 1, FIRST_VERSION)
+            link, address = await start_peer(testbed)
             host = SlowLinkHost(
-                bench,
+                testbed,
                 SLOWEST_LINK_BYTES_PER_S,
                 target=address,
             )
             await host.start()
             await asyncio.sleep(CHANGE_AFTER_S[-1])
-            size = put_configuration(bench, 4200, FIRST_VERSION + 1)
+            size = put_configuration(testbed, 4200, FIRST_VERSION + 1)
             took_s = await host.seconds_until(FIRST_VERSION + 1)
             self.assertLess(took_s, IN_FORCE_S)
             self.assertLess(link.sent_bytes, size * MAX_TRAFFIC_FACTOR)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class StalledConnectionTest(unittest.TestCase):
@@ -254,61 +254,61 @@
     def test_a_stalled_response_times_out(self) -> None:
         """This holds however much of it has arrived."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             hosts = await slow_link_hosts(
-                bench,
+                testbed,
                 SLOWEST_LINK_BYTES_PER_S,
                 (0.1,),
             )
-            await self.lose_half(bench, hosts[0].store, hosts[0].link)
+            await self.lose_half(testbed, hosts[0].store, hosts[0].link)
 
-        on_bench(case)
+        on_testbed(case)
 
     def test_a_partial_response_through_a_peer_counts_as_lost(self) -> None:
         """The peer cannot withdraw the part that it has relayed."""
 
-        async def case(bench: Bench) -> None:
-            link, address = await start_peer(bench)
+        async def case(testbed: Testbed) -> None:
+            link, address = await start_peer(testbed)
             store = PlatformStore(
-                caller=bench.caller,
+                client=testbed.client,
                 paths=StorePaths(direct=address, peers=tuple),
-                clock=bench.clock,
+                clock=testbed.clock,
             )
-            await self.lose_half(bench, store, link)
+            await self.lose_half(testbed, store, link)
 
-        on_bench(case)
+        on_testbed(case)
 
     async def lose_half(
         self,
-        bench: Bench,
+        testbed: Testbed,
         store: PlatformStore,
         link: SlowLink,
     ) -> None:
         """Stall a link halfway through a response."""
-        put_configuration(bench, 2800, FIRST_VERSION + 1)
-        version = bench.rows.rows[TABLE, 'config'].version
+        put_configuration(testbed, 2800, FIRST_VERSION + 1)
+        version = testbed.rows.rows[TABLE, 'config'].version
         reading = asyncio.ensure_future(store.changes(TABLE, version - 1, 0.0))
         await asyncio.sleep(0.5)
         link.silent = True
-        began_s = bench.clock.monotonic_s()
+        began_s = testbed.clock.monotonic_s()
         with self.assertRaises(ReplyLostError):
             await asyncio.wait_for(reading, 4 * STALL_TIMEOUT_S)
-        took_s = bench.clock.monotonic_s() - began_s
+        took_s = testbed.clock.monotonic_s() - began_s
         self.assertLess(took_s, 2 * STALL_TIMEOUT_S)
 
 
-async def start_peer(bench: Bench) -> tuple[SlowLink, str]:
+async def start_peer(testbed: Testbed) -> tuple[SlowLink, str]:
     """Start a relaying host; return its link and its address."""
     link = SlowLink(
-        target=bench.store_address,
+        target=testbed.store_address,
         rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
     )
     await link.open()
-    bench.closers.append(link.close)
+    testbed.closers.append(link.close)
     paths = StorePaths(direct=link.address, peers=tuple)
-    relay = StoreRelay(caller=bench.caller, paths=paths)
+    relay = StoreRelay(client=testbed.client, paths=paths)
     runner, address = await serve(relay.handle)
-    bench.closers.append(runner.cleanup)
+    testbed.closers.append(runner.cleanup)
     return link, address
 
 
@@ -322,26 +322,26 @@
             headers = {'Content-Digest': content_digest(RESULT)}
             return web.Response(body=RESULT, headers=headers)
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             runner, address = await serve(respond)
-            bench.closers.append(runner.cleanup)
+            testbed.closers.append(runner.cleanup)
             link = SlowLink(
                 target=address,
                 rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
             )
             await link.open()
-            bench.closers.append(link.close)
+            testbed.closers.append(link.close)
             url = f'http://{link.address}'
             platform = http_platform(url)
-            bench.closers.append(platform.close)
+            testbed.closers.append(platform.close)
             clients = http_worker_clients()
-            bench.closers.append(clients.close)
+            testbed.closers.append(clients.close)
             self.assertEqual(await platform.objects.get('name'), RESULT)
             worker = clients.at(url)
             fetched = await worker.fetch_result(AttemptId('job', 1))
             self.assertEqual(fetched, RESULT)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class TableTest(unittest.TestCase):
@@ -350,24 +350,24 @@
     def test_a_lost_page_is_read_again_and_not_those_before_it(self) -> None:
         """The third of four pages is lost once."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             count = 3 * PAGE_ROWS + PAGE_ROWS // 2
             for number in range(count):
-                bench.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
-            bench.store_server.lost_reads = {3}
+                testbed.rows.apply((), (RowPut('t', f'{number:03}', b''),), ())
+            testbed.store_server.lost_reads = {3}
             taken: list[StoredRow] = []
             follower = TableFollower(
-                store=bench.store,
-                clock=bench.clock,
+                store=testbed.store,
+                clock=testbed.clock,
                 table='t',
                 on_snapshot=taken.extend,
                 on_changes=taken.extend,
             )
             await follower.read()
             self.assertEqual(len({row.key for row in taken}), count)
-            self.assertEqual(len(bench.store_server.limits), 5)
+            self.assertEqual(len(testbed.store_server.limits), 5)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 class LeaderTest(unittest.TestCase):
@@ -378,36 +378,36 @@
     ) -> None:
         """Sixty jobs of 120 tasks each change at the same time."""
 
-        async def case(bench: Bench) -> None:
+        async def case(testbed: Testbed) -> None:
             link = SlowLink(
-                target=bench.store_address,
+                target=testbed.store_address,
                 rate_bytes_per_s=SLOWEST_LINK_BYTES_PER_S,
             )
             await link.open()
-            bench.closers.append(link.close)
+            testbed.closers.append(link.close)
             store = PlatformStore(
-                caller=bench.caller,
+                client=testbed.client,
                 paths=StorePaths(direct=link.address, peers=tuple),
-                clock=bench.clock,
+                clock=testbed.clock,
             )
             leadership = await take_over(
                 store=store,
-                clock=bench.clock,
+                clock=testbed.clock,
                 holder='h',
                 seen=None,
                 seen_for_s=0.0,
             )
             assert leadership is not None
-            writer = ProgressWriter(leadership=leadership, clock=bench.clock)
+            writer = ProgressWriter(leadership=leadership, clock=testbed.clock)
             writing = asyncio.ensure_future(writer.run())
             for number in range(60):
                 writer.record(large_job(f'{number:016x}'))
             saved = asyncio.ensure_future(writer.stored())
-            silent_s = await longest_silence_s(bench, saved)
+            silent_s = await longest_silence_s(testbed, saved)
             writing.cancel()
             self.assertLess(silent_s, SILENCE_S)
 
-        on_bench(case)
+        on_testbed(case)
 
 
 def large_job(job_id: str) -> ActiveJob:
@@ -423,17 +423,17 @@
 
 
 async def longest_silence_s(
-    bench: Bench,
+    testbed: Testbed,
     saved: asyncio.Future[None],
 ) -> float:
     """Return the longest time without a change of the leader's row."""
     longest_s = 0.0
     version = 0
-    changed_s = bench.clock.monotonic_s()
+    changed_s = testbed.clock.monotonic_s()
     while not saved.done():
         await asyncio.sleep(0.01)
-        row = bench.rows.rows[tables.LEADER, tables.LEADER_KEY]
-        now_s = bench.clock.monotonic_s()
+        row = testbed.rows.rows[tables.LEADER, tables.LEADER_KEY]
+        now_s = testbed.clock.monotonic_s()
         longest_s = max(longest_s, now_s - changed_s)
         if row.version != version:
             version = row.version
