--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -17,7 +17,7 @@
 )
 from curranthill.commands.tables import print_table
 from curranthill.errors import CurranthillError, PeerError
-from curranthill.jobs import JobStore, birth_of
+from curranthill.jobs import JobStore, accepting_data_centre
 from curranthill.protocol import Channels, inner_pb2
 from curranthill.protocol.calls import call_drain, call_explain, call_status
 from curranthill.settings import OperatorSettings, shared_key
@@ -102,7 +102,7 @@
     async def read_lines(context: OperatorContext) -> list[str]:  # noqa: WPS430
         store = JobStore(table=context.platform.table, clock=SystemClock())
         stored = await store.load(job)
-        home = stored.job.home if stored else birth_of(job)
+        home = stored.job.home if stored else accepting_data_centre(job)
         scheduler = await _find_leader(context, home)
         reply = await context.channels.call(
             scheduler.address,
--- a/src/curranthill/platform/configuration.py
+++ b/src/curranthill/platform/configuration.py
@@ -1,13 +1,13 @@
-"""The operator's configuration and callers' jobs, decoded."""
+"""Decodes the operator's configuration and submitted jobs."""
 
 from typing import Any, Final
 
 import msgspec
 
 from curranthill.platform.decoding import (
-    Count,
-    Measure,
     Name,
+    NonNegativeFloat,
+    NonNegativeInt,
     decode_fields,
 )
 from curranthill.storage.rows import MalformedRecordError, StoredRow
@@ -20,57 +20,57 @@
     WorkspacePromise,
 )
 
-#: Where the operator writes.
+#: The table that the operator writes to.
 TABLE: Final = 'op'
 
 _KEY: Final = 'config'
 
-#: Before the name of a data centre whose workers are to get nothing new.
+#: The key prefix of rows that close a data centre: no task starts there.
 _CLOSED_PREFIX: Final = 'evacuate/'
 
 
 class LimitFields(msgspec.Struct, frozen=True):
-    """What callers' requests may measure."""
+    """Limits on callers' requests."""
 
-    max_body_bytes: Count = Limits().body_bytes
+    max_body_bytes: NonNegativeInt = Limits().body_bytes
 
 
 class RouteFields(msgspec.Struct):
-    """One queue."""
+    """A queue as the operator writes it."""
 
     name: Name
     host: Name
     path_prefix: Name
     service: Name
-    priority: Count = 0
-    attempts: Count = 1
-    slack_factor: Measure = 1.0
-    target_completion_ms: Measure = 0.0
+    priority: NonNegativeInt = 0
+    attempts: NonNegativeInt = 1
+    slack_factor: NonNegativeFloat = 1.0
+    target_completion_ms: NonNegativeFloat = 0.0
     public: bool = False
     placement_advisor: Any = None
 
 
 class TenantFields(msgspec.Struct):
-    """One workspace."""
+    """A workspace as the operator writes it."""
 
     name: Name
     api_keys: list[str] = []
-    guaranteed: dict[str, Measure] = {}
+    guaranteed: dict[str, NonNegativeFloat] = {}
 
 
 class ConfigurationFields(msgspec.Struct):
-    """The operator's configuration."""
+    """The whole configuration as the operator writes it."""
 
-    version: Count
+    version: NonNegativeInt
     routes: list[RouteFields]
     tenants: list[TenantFields] = []
     limits: LimitFields = LimitFields()
 
 
 def decode_revision(row: StoredRow) -> Revision | None:
-    """Return the configuration of a row, or nothing for other rows.
+    """Return the configuration in a row, or nothing for other rows.
 
-    :raises MalformedRecordError: if it is not one.
+    :raises MalformedRecordError: if the configuration is malformed.
     """
     if row.key != _KEY or row.removed:
         return None
@@ -83,7 +83,7 @@
     return Revision(
         number=fields.version,
         queues=tuple(_queue(route) for route in fields.routes),
-        workspaces=tuple(_workspace(one) for one in fields.tenants),
+        workspaces=tuple(_workspace(tenant) for tenant in fields.tenants),
         limits=Limits(body_bytes=fields.limits.max_body_bytes),
     )
 
@@ -91,9 +91,9 @@
 def decode_closure(row: StoredRow) -> str | None:
     """Return the data centre that a row closes, or nothing for other rows.
 
-    The key says it all: whatever its content is, the row closes.
+    Only the key matters; the row closes the data centre whatever its content.
 
-    :raises MalformedRecordError: if it names none.
+    :raises MalformedRecordError: if the key names no data centre.
     """
     if not row.key.startswith(_CLOSED_PREFIX):
         return None
@@ -131,33 +131,33 @@
 
 
 class StepFields(msgspec.Struct):
-    """One step of a caller's job; absent fields are 0, false or empty.
+    """A step of a submitted job; absent fields are 0, false or empty.
 
-    :param max_per_server: for each worker and occurrence.
+    :param max_per_server: limit of tasks per worker and occurrence.
     """
 
-    count: Count = 0
-    cpu: Count = 0
-    mem_mb: Count = 0
-    gpu: Count = 0
-    estimate_ms: Measure = 0.0
-    after: list[Count] = []
+    count: NonNegativeInt = 0
+    cpu: NonNegativeInt = 0
+    mem_mb: NonNegativeInt = 0
+    gpu: NonNegativeInt = 0
+    estimate_ms: NonNegativeFloat = 0.0
+    after: list[NonNegativeInt] = []
     gang: bool = False
     same_rack: bool = False
     data_rack: str = ''
     required_label: str = ''
-    max_per_server: Count = 0
+    max_per_server: NonNegativeInt = 0
     checkpointable: bool = False
     speculative: bool = False
     perpetual: bool = False
-    may_miss: Count = 0
+    may_miss: NonNegativeInt = 0
     fill_count: Any = False
     image: str = ''
-    target_ms: Measure = 0.0
+    target_ms: NonNegativeFloat = 0.0
 
 
 class SubmittedJob(msgspec.Struct):
-    """A caller's job as it comes; absent fields are 0, false or empty."""
+    """A job as a caller submits it; absent fields are 0, false or empty."""
 
     spec: str = ''
     steps: list[StepFields] = []
@@ -167,7 +167,7 @@
 
 
 def step_from(fields: StepFields) -> Step:
-    """Return a step from its fields."""
+    """Return a step from its submitted fields."""
     return Step(
         width=fields.count,
         needs=Resources(
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers: their entries in the store and their calls."""
+"""The platform's workers: their entries in the store and their HTTP API."""
 
 from typing import Any, Final, Literal
 
@@ -19,30 +19,31 @@
     WorkerUnreachableError,
 )
 from curranthill.placement import WorkerEntry
-from curranthill.platform.calls import (
-    Answer,
-    CallNotSentError,
-    CallUnansweredError,
-    Caller,
-)
 from curranthill.platform.decoding import (
-    Count,
     Fields,
-    Measure,
     Name,
+    NonNegativeFloat,
+    NonNegativeInt,
     SocketAddress,
     decode_fields,
 )
+from curranthill.platform.http_client import (
+    HttpClient,
+    HttpResponse,
+    RequestNotSentError,
+    ResponseLostError,
+)
 from curranthill.storage.rows import MalformedRecordError, StoredRow
 from curranthill.tasks import Resources, TaskKey
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: A start or stop is answered in milliseconds; a slow host or worker takes
-#: some tens of them, so that a reply this late is taken as lost.
+#: The timeout of a start or stop, in seconds. Responses take milliseconds, or
+#: some tens of milliseconds from a slow host or worker, so that a response is
+#: taken as lost after this time.
 ORDER_TIMEOUT_S: Final = 0.6
 
-#: What a renewal may take beyond the wait that was asked for, in seconds.
+#: The timeout of a lease renewal beyond the requested wait, in seconds.
 RENEWAL_SLACK_S: Final = 0.7
 
 _OK: Final = 200
@@ -50,85 +51,86 @@
 _OTHER_WORKER: Final = 421
 
 
-class RoomFields(msgspec.Struct):
-    """What a worker has, used or not."""
+class CapacityFields(msgspec.Struct):
+    """The total resources of a worker, used or not."""
 
-    cpu: Count
-    mem_mb: Count
-    gpu: Count
+    cpu: NonNegativeInt
+    mem_mb: NonNegativeInt
+    gpu: NonNegativeInt
 
 
 class EntryFields(msgspec.Struct):
-    """A worker's entry: what it always says, and what it says at times.
+    """A worker's entry, with its required and optional fields.
 
-    :param headroom: all that the worker has, though named like what is left.
-    :param born: when it started; not told by all platforms.
+    :param headroom: the total capacity of the worker, not what is free as the
+        name suggests.
+    :param born: when the worker started; some platforms do not report it.
     """
 
     service: Name
     address: SocketAddress
     zone: Name
     version: str
-    capacity: Count
+    capacity: NonNegativeInt
     state: Literal['ready', 'draining']
-    cold_remaining_ms: Measure
-    sequence: Count
-    headroom: RoomFields
+    cold_remaining_ms: NonNegativeFloat
+    sequence: NonNegativeInt
+    headroom: CapacityFields
     labels: list[str]
-    clock_ms: Measure = 0.0
-    remaining_ms: Measure = 0.0
-    born: Count = 0
+    clock_ms: NonNegativeFloat = 0.0
+    remaining_ms: NonNegativeFloat = 0.0
+    born: NonNegativeInt = 0
 
 
 class RunRow(msgspec.Struct, array_like=True):
-    """One run in a list; what may follow is not read."""
+    """A run in the response to a renewal; further elements are ignored."""
 
     task: str
-    run: Count
+    run: NonNegativeInt
     saved: str
     percent: float
 
 
 class EndRow(msgspec.Struct, array_like=True):
-    """One end in a list."""
+    """A run end in the response to a renewal."""
 
-    number: Count
+    number: NonNegativeInt
     task: str
-    run: Count
+    run: NonNegativeInt
     how: EndKind
     saved: str = ''
 
 
-class ListFields(msgspec.Struct):
-    """A worker's answer to a renewal."""
+class RenewalFields(msgspec.Struct):
+    """A worker's response to a lease renewal."""
 
-    clock_ms: Measure
+    clock_ms: NonNegativeFloat
     running: list[RunRow] = []
     ended: list[EndRow] = []
-    born: Count = 0
+    born: NonNegativeInt = 0
 
 
 class ClockFields(msgspec.Struct):
-    """A worker's answer to an order."""
+    """A worker's response to a start or stop."""
 
-    clock_ms: Measure
+    clock_ms: NonNegativeFloat
 
 
 class RejectionFields(msgspec.Struct):
-    """Why a worker did nothing."""
+    """A worker's reason for rejecting a request."""
 
     reason: str = ''
 
 
 class RegisteredWorkers:
-    """Entries that the workers write under their ids."""
+    """Decodes the entries that workers write under their ids."""
 
     table = 'servers'
 
     def decode(self, row: StoredRow) -> WorkerEntry:
         """Return a worker's entry.
 
-        :raises MalformedRecordError: if it is not as workers write them.
+        :raises MalformedRecordError: if the row is not a valid entry.
         """
         fields = decode_fields(
             row.content,
@@ -155,33 +157,33 @@
 
 
 class PlatformConnector:
-    """Makes clients of the platform's workers."""
+    """Creates clients of the platform's workers."""
 
-    def __init__(self, *, caller: Caller) -> None:
-        """Share the connections."""
-        self._caller = caller
+    def __init__(self, *, client: HttpClient) -> None:
+        """Initialize with the HTTP client that all workers share."""
+        self._client = client
 
     def connect(self, entry: WorkerEntry) -> 'PlatformWorker':
         """Return a client of a worker."""
         return PlatformWorker(
-            caller=self._caller,
+            client=self._client,
             address=entry.address,
             worker_id=entry.worker_id,
         )
 
 
 class PlatformWorker:
-    """One worker over HTTP."""
+    """A client of one worker over HTTP."""
 
     def __init__(
         self,
         *,
-        caller: Caller,
+        client: HttpClient,
         address: str,
         worker_id: str,
     ) -> None:
-        """Name the worker that every call is meant for."""
-        self._caller = caller
+        """Initialize with the worker id that each request is addressed to."""
+        self._client = client
         self._address = address
         self._headers = {'Target-Instance': worker_id}
 
@@ -201,7 +203,7 @@
         return await self._order('run-start', fields)
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> float:
-        """Stop a run."""
+        """Stop a run and return the worker's clock in seconds."""
         fields = {
             'task': str(task),
             'attempt': attempt,
@@ -210,7 +212,7 @@
         return await self._order('run-stop', fields)
 
     async def renew(self, order: LeaseOrder) -> LeaseReport:
-        """Renew the lease and return what runs and what ended."""
+        """Renew the lease and return the current runs and the run ends."""
         fields = {
             'fencing_token': order.token,
             'acked_through': order.acknowledged,
@@ -219,17 +221,17 @@
             fields['deadline_ms'] = int(order.deadline_s * 1000)
         if order.wait_s:
             fields['wait_ms'] = int(order.wait_s * 1000)
-        answer = await self._call(
+        response = await self._request(
             'hold',
             fields,
             order.wait_s + RENEWAL_SLACK_S,
         )
-        report = self._read(answer, ListFields, 'hold')
+        report = self._decode(response, RenewalFields, 'hold')
         try:
             runs = tuple(_run(row) for row in report.running)
             ends = tuple(_end(row) for row in report.ended)
         except ValueError as error:
-            raise self._unreadable('hold', error) from error
+            raise self._malformed('hold', error) from error
         return LeaseReport(
             clock_s=report.clock_ms / 1000,
             runs=runs,
@@ -238,23 +240,32 @@
         )
 
     async def _order(self, path: str, fields: dict[str, Any]) -> float:
-        """Give an order and return the worker's clock in seconds."""
-        answer = await self._call(path, fields, ORDER_TIMEOUT_S)
-        return self._read(answer, ClockFields, path).clock_ms / 1000
+        """Send an order and return the worker's clock in seconds."""
+        response = await self._request(path, fields, ORDER_TIMEOUT_S)
+        return self._decode(response, ClockFields, path).clock_ms / 1000
+
+    def _decode(
+        self,
+        response: HttpResponse,
+        kind: type[Fields],
+        path: str,
+    ) -> Fields:
+        """Return the decoded body of a response.
 
-    def _read(self, answer: Answer, kind: type[Fields], path: str) -> Fields:
-        """Return an answer's fields; one that can't be read tells nothing."""
+        :raises WorkerReplyLostError: if the body is malformed, because the
+            effect of the request is then unknown.
+        """
         try:
             return decode_fields(
-                answer.body,
+                response.body,
                 kind,
                 step=path,
                 peer=self._address,
             )
         except MalformedRecordError as error:
-            raise self._unreadable(path, error) from error
+            raise self._malformed(path, error) from error
 
-    def _unreadable(
+    def _malformed(
         self,
         path: str,
         error: Exception,
@@ -262,54 +273,54 @@
         events.log('reply_bad', peer=self._address, step=path, error=str(error))
         metrics.records_bad.add(1, {'kind': 'reply'})
         return WorkerReplyLostError(
-            f'The answer cannot be read: {error}',
+            f'The response of the worker is malformed: {error}',
             step=path,
             peer=self._address,
         )
 
-    async def _call(
+    async def _request(
         self,
         path: str,
         fields: dict[str, Any],
         timeout_s: float,
-    ) -> Answer:
+    ) -> HttpResponse:
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 'POST',
                 f'http://{self._address}/curranthill/{path}',
                 timeout_s=timeout_s,
                 fields=fields,
                 headers=self._headers,
             )
-        except CallNotSentError as error:
+        except RequestNotSentError as error:
             raise WorkerUnreachableError(
                 f'The worker cannot be reached: {error}.',
                 step=path,
                 peer=self._address,
             ) from error
-        except CallUnansweredError as error:
+        except ResponseLostError as error:
             raise WorkerReplyLostError(
                 f'The worker did not answer: {error}.',
                 step=path,
                 peer=self._address,
             ) from error
-        if answer.status == _OK:
-            return answer
-        raise self._error_of(answer, path)
+        if response.status == _OK:
+            return response
+        raise self._error_of(response, path)
 
-    def _error_of(self, answer: Answer, path: str) -> Exception:
-        if answer.status == _OTHER_WORKER:
+    def _error_of(self, response: HttpResponse, path: str) -> Exception:
+        if response.status == _OTHER_WORKER:
             return WorkerReplacedError(
-                'Another worker answered.',
+                'Another worker serves this address.',
                 step=path,
                 peer=self._address,
             )
-        reason = str(answer.status)
-        if answer.status == _CONFLICT:
-            told = self._read(answer, RejectionFields, path).reason
-            reason = told or reason
+        reason = str(response.status)
+        if response.status == _CONFLICT:
+            given_reason = self._decode(response, RejectionFields, path).reason
+            reason = given_reason or reason
         return RejectedError(
-            f'The worker rejected the call: {reason}.',
+            f'The worker rejected the request: {reason}.',
             step=path,
             peer=self._address,
             reason=reason,
