--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -91,7 +91,7 @@
 
     def test_a_waiting_job_is_shown_with_its_reasons(self) -> None:
         """What blocks it, whose reservation it waits for, unused workers."""
-        held = {
+        blocking_task = {
             'task': f'{JOB}.0.0.1',
             'attempt': 2,
             'worker': 'w1',
@@ -123,7 +123,7 @@
             'held_s': 6.0,
             'waited_s': 30.0,
             'held_tasks': 3,
-            'held': [held],
+            'held': [blocking_task],
             'later_steps': 1,
             'due_in_s': 0.0,
         }
