--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -23,10 +23,10 @@
 )
 from curranthill.jobs import (
     ACCEPTED,
-    MARKED,
+    START_RECORDED,
     Job,
     Member,
-    Stored,
+    StoredJob,
     next_state,
 )
 from curranthill.scheduler.context import Context
@@ -62,7 +62,7 @@
     """
 
     end: End
-    stored: Stored
+    stored: StoredJob
     reason: str = ''
     failed_on: str = ''
 
@@ -82,7 +82,7 @@
         self,
         *,
         context: Context,
-        stored: Stored,
+        stored: StoredJob,
         members: Iterable[Member],
         attempt: int,
         watches: dict[str, WorkerWatch],
@@ -237,7 +237,7 @@
 
     async def _start_is_recorded(self) -> bool:
         """Return whether the row holds this attempt's own start record."""
-        found: Stored | None = None
+        found: StoredJob | None = None
         while found is None:
             await self._members.wait_for_lease('mark')
             try:
@@ -249,7 +249,7 @@
                 return False
         self.stored = found
         return (
-            found.job.state == MARKED
+            found.job.state == START_RECORDED
             and found.job.attempt == self.attempt_id.attempt
         )
 
--- a/src/curranthill/scheduler/loader.py
+++ b/src/curranthill/scheduler/loader.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from curranthill.errors import StorageError
-from curranthill.jobs import JobStore, Stored
+from curranthill.jobs import JobStore, StoredJob
 
 #: The number of rows that are read concurrently.
 MAX_PARALLEL_READS: Final = 16
@@ -28,7 +28,7 @@
         *,
         store: JobStore,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
-        on_row: Callable[[Stored], None],
+        on_row: Callable[[StoredJob], None],
     ) -> None:
         """Initialize without pending reads."""
         self._store = store
--- a/src/curranthill/scheduler/term.py
+++ b/src/curranthill/scheduler/term.py
@@ -13,7 +13,7 @@
 
 from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import StorageError, WorkerError
-from curranthill.jobs import ACCEPTED, ENDED, Job, Member, Stored
+from curranthill.jobs import ACCEPTED, ENDED, Job, Member, StoredJob
 from curranthill.scheduler.context import Context
 from curranthill.scheduler.gang import Gang, GangEnd, next_attempt
 from curranthill.scheduler.loader import RowLoader
@@ -87,7 +87,7 @@
         self._directory = directory
         self._configuration = configuration
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._waiting_rows: dict[str, Stored] = {}
+        self._waiting_rows: dict[str, StoredJob] = {}
         self._last_attempt: dict[str, int] = {}
         self._loader = RowLoader(
             store=context.store,
@@ -128,7 +128,7 @@
         self.state.plan.configure(document, self._data_centre)
         self._wake.set()
 
-    def submit(self, stored: Stored) -> None:
+    def submit(self, stored: StoredJob) -> None:
         """Queue an accepted job."""
         job = stored.job
         if job.job_id in self.gangs or job.job_id in self.state.queue:
@@ -148,7 +148,7 @@
         for stored in await self._context.store.scan_open(self._data_centre):
             self._process_row(stored)
 
-    def resume(self, stored: Stored, states: dict[str, str]) -> None:
+    def resume(self, stored: StoredJob, states: dict[str, str]) -> None:
         """Resume an attempt whose start a previous leader recorded."""
         job = stored.job
         self.state.adopt(job, self._context.clock.monotonic_s())
@@ -182,7 +182,7 @@
         gang.on_update(update)
         return True
 
-    def _process_row(self, stored: Stored) -> None:
+    def _process_row(self, stored: StoredJob) -> None:
         job = stored.job
         gang = self.gangs.get(job.job_id)
         if gang is not None:
@@ -302,7 +302,7 @@
 
     def _gang(
         self,
-        stored: Stored,
+        stored: StoredJob,
         members: Iterable[Member],
         attempt: int,
         stopped_events: Iterable[asyncio.Event] = (),
@@ -346,7 +346,7 @@
         else:
             self.submit(end.stored)
 
-    async def _submit_later(self, stored: Stored) -> None:
+    async def _submit_later(self, stored: StoredJob) -> None:
         """Queue a job again after a delay, with its row read again."""
         job_id = stored.job.job_id
         while job_id not in self.state.queue and job_id not in self.gangs:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -26,10 +26,10 @@
 from curranthill.scheduler.victims import choose_victims
 from tests.support import (
     ManualClock,
+    enqueue_job,
     make_job,
     make_state,
     members_on,
-    wait_on,
 )
 
 SHAPES = {
@@ -142,7 +142,7 @@
             checkpointable=checkpointable,
             preemptions=preemptions,
         )
-        wait_on(self.state, job, self.now_s)
+        enqueue_job(self.state, job, self.now_s)
         self.decide()
 
     @rule(index=st.integers(min_value=0, max_value=99))
@@ -175,7 +175,7 @@
             before[decision.job.job_id] = decision.job
             for victim in decision.victims:
                 job = before[victim]
-                wait_on(
+                enqueue_job(
                     self.state,
                     job._replace(preemptions=job.preemptions + 1),
                     self.now_s,
@@ -282,9 +282,9 @@
         state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(8):
-            wait_on(state, shaped(f'dc-{number}', 'casework', 'block'))
+            enqueue_job(state, shaped(f'dc-{number}', 'casework', 'block'))
         self.assertEqual(len(policy.decide(state, 1)), 8)
-        wait_on(state, shaped('dc-audit', 'audit', 'pair'))
+        enqueue_job(state, shaped('dc-audit', 'audit', 'pair'))
         (decision,) = policy.decide(state, 2)  # noqa: WPS460
         self.assertTrue(decision.guaranteed)
         self.assertEqual(len(decision.victims), 2)
@@ -294,12 +294,12 @@
         state = guaranteed_state()
         policy = policies.get('guarantees')(5)
         for number in range(64):
-            wait_on(state, shaped(f'dc-{number}', 'casework', 'single'))
+            enqueue_job(state, shaped(f'dc-{number}', 'casework', 'single'))
         policy.decide(state, 1)
         for number, (workspace, shape) in enumerate(
             [('audit', 'pair'), ('audit', 'quad'), ('ledger', 'rack')],
         ):
-            wait_on(state, shaped(f'dc-g{number}', workspace, shape))
+            enqueue_job(state, shaped(f'dc-g{number}', workspace, shape))
         restored = {
             decision.job.job_id
             for decision in policy.decide(state, 2)
@@ -313,7 +313,7 @@
         policy = policies.get('guarantees')(5)
         for number in range(64):
             job = shaped(f'dc-{number}', 'casework', 'single', idempotent=False)
-            wait_on(state, job)
+            enqueue_job(state, job)
         # 64 slots less 16, 8 and 32 guaranteed ones.
         self.assertEqual(len(policy.decide(state, 1)), 8)
 
@@ -321,8 +321,10 @@
         """A checkpointable job is preempted before one that loses work."""
         state = make_state(racks=1, workers=1)
         policy = policies.get('guarantees')(5)
-        wait_on(state, shaped('dc-1', 'casework', 'quad'))
-        wait_on(state, shaped('dc-2', 'casework', 'quad', checkpointable=True))
+        enqueue_job(state, shaped('dc-1', 'casework', 'quad'))
+        enqueue_job(
+            state, shaped('dc-2', 'casework', 'quad', checkpointable=True)
+        )
         policy.decide(state, 1)
         victims = choose_victims(state, members_on(('r0-w0', 4)), 100)
         self.assertEqual(victims, ('dc-2',))
@@ -347,7 +349,7 @@
         """Borrowed non-preemptible work ends and frees slots for it."""
         state = guaranteed_state({'ledger': [('rack', 1)]})
         policy = policies.get('guarantees')(5)
-        wait_on(state, shaped('dc-1', 'audit', 'rack', idempotent=False))
+        enqueue_job(state, shaped('dc-1', 'audit', 'rack', idempotent=False))
         policy.decide(state, 1)
         lost = next(
             worker
@@ -366,7 +368,7 @@
         policy = policies.get('guarantees')(2)
         for number in range(8):
             job = shaped(f'dc-{number}', 'casework', 'block', preemptions=2)
-            wait_on(state, job)
+            enqueue_job(state, job)
         placed = policy.decide(state, 1)
         self.assertEqual(len(placed), 8)
         non_preemptible = [
@@ -388,10 +390,10 @@
             for _ in range(3):
                 number += 1
                 job = shaped(f'dc-{number}', 'casework', 'single')
-                wait_on(state, job._replace(run_time_s=10), second)
+                enqueue_job(state, job._replace(run_time_s=10), second)
             if second == 20:
                 gang = shaped('dc-gang', 'foundations', 'rack')
-                wait_on(state, gang._replace(run_time_s=5), second)
+                enqueue_job(state, gang._replace(run_time_s=5), second)
             for job_id, end in list(ends.items()):
                 if end <= second:
                     state.release(job_id)
@@ -410,11 +412,11 @@
         """A job that ends before the gang is expected to start runs."""
         state = make_state(racks=1)
         policy = policies.get('guarantees')(5)
-        wait_on(state, shaped('dc-1', 'a', 'block', run_time_s=1000))
+        enqueue_job(state, shaped('dc-1', 'a', 'block', run_time_s=1000))
         policy.decide(state, 0)
-        wait_on(state, shaped('dc-2', 'b', 'rack', run_time_s=10))
-        wait_on(state, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
-        wait_on(state, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
+        enqueue_job(state, shaped('dc-2', 'b', 'rack', run_time_s=10))
+        enqueue_job(state, shaped('dc-3', 'c', 'single', run_time_s=10), 1)
+        enqueue_job(state, shaped('dc-4', 'd', 'single', run_time_s=9000), 1)
         placed = {decision.job.job_id for decision in policy.decide(state, 161)}
         self.assertEqual(placed, {'dc-3'})
 
@@ -424,11 +426,11 @@
         one_rack = document({'ledger': [('pair', 1)]})
         state.plan.configure(one_rack, 'dc')
         policy = policies.get('guarantees')(5)
-        wait_on(state, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
+        enqueue_job(state, shaped('dc-1', 'ledger', 'pair', run_time_s=1000))
         policy.decide(state, 1)
-        wait_on(state, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
+        enqueue_job(state, shaped('dc-2', 'audit', 'rack', run_time_s=1), 1)
         policy.decide(state, 500)
-        wait_on(state, shaped('dc-3', 'casework', 'block'), 500)
+        enqueue_job(state, shaped('dc-3', 'casework', 'block'), 500)
         placed = [one.job.job_id for one in policy.decide(state, 502)]
         self.assertEqual(placed, ['dc-3'])
 
@@ -444,9 +446,9 @@
     def test_fifo_first_fit_lets_the_head_block(self) -> None:
         """Later jobs pass one that does not fit only with skipping."""
         state = make_state(racks=1, workers=1)
-        wait_on(state, shaped('dc-1', 'a', 'quad'), 1)
-        wait_on(state, shaped('dc-2', 'a', 'block'), 2)
-        wait_on(state, shaped('dc-3', 'a', 'quad'), 3)
+        enqueue_job(state, shaped('dc-1', 'a', 'quad'), 1)
+        enqueue_job(state, shaped('dc-2', 'a', 'block'), 2)
+        enqueue_job(state, shaped('dc-3', 'a', 'quad'), 3)
         strict = policies.get('fifo_first_fit')(5)
         self.assertEqual(len(strict.decide(state, 4)), 1)
         skipping = policies.get('fifo_skipping')(5)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from curranthill.errors import ConflictError, FencedError, NotSentError
-from curranthill.jobs import ENDED, KeyRecord, birth_of, new_job_id
+from curranthill.jobs import ENDED, KeyRecord, accepting_data_centre, new_job_id
 from curranthill.standin import FaultSettings
 from curranthill.storage import Transaction, WriteRateLimiter
 from curranthill.workers import AttemptId, FencingToken, LeaseRequest, Task
@@ -417,7 +417,9 @@
         data_centre: str,
     ) -> None:
         """Data centre names may hold dashes."""
-        self.assertEqual(birth_of(new_job_id(data_centre)), data_centre)
+        self.assertEqual(
+            accepting_data_centre(new_job_id(data_centre)), data_centre
+        )
 
 
 class CancellationTest(unittest.TestCase):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,10 +9,10 @@
 from curranthill.storage import HostEntry
 from tests.support import (
     ManualClock,
+    enqueue_job,
     make_job,
     make_state,
     members_on,
-    wait_on,
 )
 
 ACTIVE = HostEntry('w', 'worker', 'dc', 'a', 'r', 8)
@@ -48,7 +48,7 @@
 
     def hold(self) -> None:
         """Place a job on the worker, so that it is not removed."""
-        waiting = wait_on(self.state, make_job('held'))
+        waiting = enqueue_job(self.state, make_job('held'))
         self.state.place(
             waiting,
             members_on(('w', 1)),
--- a/tests/test_scheduler_starvation.py
+++ b/tests/test_scheduler_starvation.py
@@ -5,7 +5,7 @@
 from curranthill.jobs import Job
 from curranthill.scheduler import policies
 from curranthill.scheduler.reservation_windows import MIN_WINDOW_S
-from tests.support import make_job, make_state, members_on, wait_on
+from tests.support import enqueue_job, make_job, make_state, members_on
 
 #: How long a job that fits may wait while workers are reserved for a gang that
 #: waits for overdue work, in seconds.
@@ -34,7 +34,7 @@
     def occupy(self, job: Job, worker: str) -> None:
         """Run a job on a worker until it is released."""
         self.state.place(
-            wait_on(self.state, job, self.now_s),
+            enqueue_job(self.state, job, self.now_s),
             members_on((worker, job.slots)),
             non_preemptible=True,
             now_s=self.now_s,
@@ -46,7 +46,7 @@
         self._number += 1
         name = f'stream-{self._number}'
         job = make_job(name, workspace='b', run_time_s=10.0)
-        wait_on(self.state, job, self.now_s)
+        enqueue_job(self.state, job, self.now_s)
 
     def step(self) -> set[str]:
         """Advance time by a second; return the jobs that start."""
@@ -93,7 +93,7 @@
     simulation = SchedulerSimulation()
     simulation.occupy(make_job('long', slots=8, run_time_s=run_s), 'r0-w0')
     gang = make_job('gang', slots=BOTH_WORKERS, run_time_s=gang_s)
-    wait_on(simulation.state, gang, 1.0)
+    enqueue_job(simulation.state, gang, 1.0)
     simulation.now_s = 400.0
     simulation.step()
     return simulation
@@ -106,7 +106,7 @@
         """The idle worker is reserved for a window only."""
         simulation = simulate_overdue_job(run_s=10.0)
         small = make_job('small', run_time_s=1.0)
-        wait_on(simulation.state, small, simulation.now_s)
+        enqueue_job(simulation.state, small, simulation.now_s)
         self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_each_later_job_starts_in_time_as_well(self) -> None:
@@ -115,7 +115,7 @@
         for number in range(20):
             job_id = f'small-{number}'
             small = make_job(job_id, run_time_s=1000.0)
-            wait_on(simulation.state, small, simulation.now_s)
+            enqueue_job(simulation.state, small, simulation.now_s)
             self.assertIsNotNone(simulation.started_s(job_id, MAX_WAIT_S))
             simulation.state.release(job_id)
 
@@ -125,28 +125,30 @@
         for number in range(3):
             workspace = f'other-{number}'
             gang = make_job(workspace, slots=BOTH_WORKERS, workspace=workspace)
-            wait_on(simulation.state, gang, -1000.0)
+            enqueue_job(simulation.state, gang, -1000.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(simulation.state, small, simulation.now_s)
+        enqueue_job(simulation.state, small, simulation.now_s)
         self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_the_run_time_of_a_gang_does_not_extend_its_window(self) -> None:
         """The window depends on the expected wait only."""
         simulation = simulate_overdue_job(run_s=10.0, gang_s=20.0)
         small = make_job('small', run_time_s=1000.0)
-        wait_on(simulation.state, small, simulation.now_s)
+        enqueue_job(simulation.state, small, simulation.now_s)
         self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_before_long_work_starts_beside_it(self) -> None:
         """A job that ends before the gang is expected to start runs."""
         simulation = simulate_overdue_job(run_s=9000.0)
-        wait_on(simulation.state, make_job('small', run_time_s=1.0), 400.0)
+        enqueue_job(simulation.state, make_job('small', run_time_s=1.0), 400.0)
         self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
 
     def test_what_ends_after_long_work_waits(self) -> None:
         """The worker stays reserved while the estimate holds."""
         simulation = simulate_overdue_job(run_s=2000.0)
-        wait_on(simulation.state, make_job('small', run_time_s=5000.0), 400.0)
+        enqueue_job(
+            simulation.state, make_job('small', run_time_s=5000.0), 400.0
+        )
         self.assertIsNone(simulation.started_s('small', 1500.0))
 
     def test_a_gang_starts_soon_after_the_overdue_job_has_ended(self) -> None:
@@ -186,7 +188,7 @@
             run_time_s=1.0,
             preemptions=preemptions,
         )
-        wait_on(simulation.state, gang, simulation.now_s)
+        enqueue_job(simulation.state, gang, simulation.now_s)
         started_s = simulation.started_s('gang', within_s, streaming=True)
         self.assertIsNotNone(started_s)
 
