--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -10,11 +10,11 @@
 import time
 from collections.abc import Callable
 
-from curranthill.telemetry.events import LINES_PER_KIND_PER_S, EventLog
+from curranthill.telemetry.events import MAX_LINES_PER_KIND_PER_S, EventLog
 
 #: Kinds that are written in turn, so that none passes its budget.
 KINDS = 100
-LINES = KINDS * LINES_PER_KIND_PER_S
+LINES = KINDS * MAX_LINES_PER_KIND_PER_S
 RUNS = 5
 
 
@@ -55,7 +55,7 @@
         'runs': RUNS,
         'written_us': round(written_us, 2),
         'closed_us': round(closed_us, 2),
-        'left_out': log.left_out,
+        'left_out': log.dropped_lines,
     }
     sys.stderr.write(f'{json.dumps(figures)}\n')
 
--- a/src/curranthill/commands/inspect.py
+++ b/src/curranthill/commands/inspect.py
@@ -19,8 +19,12 @@
 from curranthill.errors import CurranthillError, PeerError
 from curranthill.jobs import JobStore, accepting_data_centre
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_drain, call_explain, call_status
-from curranthill.settings import OperatorSettings, shared_key
+from curranthill.protocol.methods import (
+    drain_method,
+    explain_method,
+    status_method,
+)
+from curranthill.settings import OperatorSettings, read_shared_key
 from curranthill.storage import Platform, platforms
 
 CALL_TIMEOUT_S = 2.0
@@ -106,7 +110,7 @@
         scheduler = await _find_leader(context, home)
         reply = await context.channels.call(
             scheduler.address,
-            call_explain,
+            explain_method,
             inner_pb2.ExplainRequest(job_id=job),
             CALL_TIMEOUT_S,
         )
@@ -135,7 +139,7 @@
         scheduler = await _find_leader(context, data_centre)
         reply = await context.channels.call(
             scheduler.address,
-            call_drain,
+            drain_method,
             inner_pb2.DrainRequest(host=worker),
             CALL_TIMEOUT_S,
         )
@@ -151,7 +155,7 @@
         try:
             reply = await context.channels.call(
                 address,
-                call_status,
+                status_method,
                 inner_pb2.StatusRequest(),
                 CALL_TIMEOUT_S,
             )
@@ -192,7 +196,7 @@
             platform=platforms.get(settings.platform.client)(
                 settings.platform.url,
             ),
-            channels=Channels(key=shared_key(settings.key_file)),
+            channels=Channels(key=read_shared_key(settings.key_file)),
         )
         try:
             return await operation(context)
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -115,14 +115,14 @@
         task.losses += 1
         if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
-        metrics.runs_lost.add(1)
+        metrics.runs_lost_with_worker.add(1)
         job.record_losses(run.key)
         self._log_and_check(job, run, reason)
 
     def resolve(self, run: Run, *, crashed: bool) -> None:
         """Count a run with an expired lease as a crash, or not as a loss."""
         job = self._jobs.get(run.key.job_id)
-        task = None if job is None else job.progress.peek(run.key)
+        task = None if job is None else job.progress.find_task(run.key)
         if job is None or job.ended or task is None or task.done:
             return
         if not crashed:
--- a/src/curranthill/platform/caller_api.py
+++ b/src/curranthill/platform/caller_api.py
@@ -14,7 +14,7 @@
 )
 from curranthill.errors import NOT_RUN, RefusedError
 from curranthill.platform.configuration import SubmittedJob, step_from
-from curranthill.tasks import JobSpec, Queue, Revision, Step, faults_of
+from curranthill.tasks import JobSpec, Queue, Revision, Step, validation_errors
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
@@ -147,7 +147,7 @@
         began_s = self._clock.monotonic_s()
         await self._job_handler.accept(spec, _timeout_s(request))
         took_s = self._clock.monotonic_s() - began_s
-        metrics.accepted.add(1, {'queue': target.queue.name})
+        metrics.jobs_accepted.add(1, {'queue': target.queue.name})
         metrics.accept_s.record(took_s)
         events.log(
             'accepted',
@@ -168,7 +168,9 @@
             steps = tuple(step_from(fields) for fields in submitted.steps)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             raise _invalid_job(target, str(error)) from error
-        problems = faults_of(submitted.spec, steps, times=submitted.times)
+        problems = validation_errors(
+            submitted.spec, steps, times=submitted.times
+        )
         if problems:
             raise _invalid_job(target, ' '.join(problems))
         return JobSpec(
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -38,7 +38,7 @@
 from curranthill.platform.workers import PlatformConnector, RegisteredWorkers
 from curranthill.storage.health import StoreHealth
 from curranthill.storage.paths import StorePaths
-from curranthill.telemetry import provide
+from curranthill.telemetry import install_metric_reader
 from curranthill.telemetry.events import events
 
 #: The counts of a leader that has been unresponsive for longer may be outdated,
@@ -109,7 +109,7 @@
     async def _start(self) -> None:
         settings = self._settings
         clock = self.app.clock
-        provide(PrometheusMetricReader())
+        install_metric_reader(PrometheusMetricReader())
         self._client = HttpClient()
         self._paths = StorePaths(
             direct=settings.store_address,
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -64,7 +64,7 @@
         """Relay one request and stream the response back."""
         if not self._paths.is_direct:
             return web.Response(status=_REFUSED)
-        metrics.calls_relayed.add(1)
+        metrics.store_calls_relayed.add(1)
         body = await request.read()
         direct = self._paths.direct
         response = web.StreamResponse()
@@ -105,7 +105,7 @@
     response.content_length = store_response.length_bytes
     await _send(response.prepare(request))
     async for chunk in store_response.chunks():
-        metrics.bytes_relayed.add(len(chunk))
+        metrics.store_bytes_relayed.add(len(chunk))
         await _send(response.write(chunk))
     await _send(response.write_eof())
 
@@ -184,7 +184,7 @@
                 timeout_s=PROBE_TIMEOUT_S,
                 params={
                     'table': tables.LEADER,
-                    'part': tables.LEADERS_PARTITION,
+                    'part': tables.LEADER_PARTITION,
                     'limit': '1',
                 },
             ) as response:
--- /dev/null
+++ b/src/curranthill/tasks/validation.py
@@ -0,0 +1,59 @@
+"""Validates a submitted job before it is stored."""
+
+from collections.abc import Iterator
+
+from curranthill.tasks.records import Step
+
+#: The maximum length of the text that a job passes to its tasks, in characters.
+MAX_PAYLOAD_CHARS = 4000
+
+#: The maximum number of tasks in one occurrence of a job: with a checkpoint
+#: each, their progress fits into the 64 KB of a row (tested with random
+#: checkpoints).
+MAX_TASKS = 3000
+
+#: The maximum number of steps of a job: with the longest text they fit into the
+#: 64 KB of a row.
+MAX_STEPS = 400
+
+
+def validation_errors(
+    payload: str,
+    steps: tuple[Step, ...],
+    *,
+    times: int,
+) -> tuple[str, ...]:
+    """Return every validation error of a job as a sentence.
+
+    :param payload: the text that the job passes to its tasks.
+    :param times: the number of occurrences; 0 for a job that is not periodic.
+    """
+    errors = []
+    if sum(step.width for step in steps) > MAX_TASKS:
+        errors.append(f'The job has more than {MAX_TASKS} tasks.')
+    if len(steps) > MAX_STEPS:
+        errors.append(f'The job has more than {MAX_STEPS} steps.')
+    if times < 0:
+        errors.append('The job runs a negative number of times.')
+    if len(payload) > MAX_PAYLOAD_CHARS:
+        errors.append(
+            f'The text is longer than {MAX_PAYLOAD_CHARS} characters.'
+        )
+    if not steps:
+        errors.append('The job has no steps.')
+    for number, step in enumerate(steps):
+        errors.extend(_step_errors(number, step))
+    return tuple(errors)
+
+
+def _step_errors(number: int, step: Step) -> Iterator[str]:
+    if step.width < 1:
+        yield f'Step {number} has no tasks.'
+    if min(step.needs) < 0:
+        yield f'Step {number} requests a negative amount of a resource.'
+    for earlier in step.after:
+        if not 0 <= earlier < number:
+            yield f'Step {number} requires step {earlier}, not an earlier one.'
+
+
+__all__ = ('MAX_PAYLOAD_CHARS', 'MAX_STEPS', 'MAX_TASKS', 'validation_errors')
