--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -12,7 +12,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from bench.full_cluster import draw, plan_round
+from bench.full_cluster import draw_cluster, plan_round
 from bench.processes import ROOT
 from curranthill.jobs import Job
 from curranthill.load import percentile
@@ -143,7 +143,7 @@
 
 def measure_rounds(workers: int, waiting: int) -> dict[str, Any]:
     """Return the processor time of rounds over a full cluster."""
-    cluster = draw(workers=workers, waiting=waiting, seed=1)
+    cluster = draw_cluster(workers=workers, waiting=waiting, seed=1)
     times_s: list[float] = []
     for _ in range(ROUNDS):
         begun_s = time.process_time()
--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -74,7 +74,7 @@
     guaranteed: dict[str, int]
 
 
-def draw(*, workers: int, waiting: int, seed: int) -> FullCluster:
+def draw_cluster(*, workers: int, waiting: int, seed: int) -> FullCluster:
     """Return a cluster that is nearly full, with so many waiting jobs."""
     source = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
--- a/bench/record_rounds.py
+++ b/bench/record_rounds.py
@@ -8,14 +8,14 @@
 import json
 from typing import Any, Final
 
-from bench.full_cluster import draw, plan_round
+from bench.full_cluster import draw_cluster, plan_round
 from bench.processes import ROOT
 from curranthill.placement import Plan
 
 RECORD: Final = ROOT / 'tests' / 'data' / 'recorded_rounds.json'
 
 
-def digest_of(plan: Plan) -> str:
+def plan_digest(plan: Plan) -> str:
     """Return a digest of all starts and stops, in order."""
     starts = [
         [
@@ -30,7 +30,7 @@
     return hashlib.sha256(content.encode()).hexdigest()
 
 
-def recorded() -> list[dict[str, Any]]:
+def read_recorded_rounds() -> list[dict[str, Any]]:
     """Return the recorded rounds."""
     rounds: list[dict[str, Any]] = json.loads(RECORD.read_text('utf-8'))
     return rounds
@@ -39,14 +39,14 @@
 def main() -> None:
     """Plan each recorded round again and write its present decisions."""
     lines = []
-    for one in recorded():
+    for one in read_recorded_rounds():
         drawn = {name: one[name] for name in ('workers', 'waiting', 'seed')}
-        plan = plan_round(draw(**drawn))
+        plan = plan_round(draw_cluster(**drawn))
         line = {
             **drawn,
             'placed_steps': len(plan.placements),
             'victims': len(plan.victims),
-            'sha256': digest_of(plan),
+            'sha256': plan_digest(plan),
         }
         print(line, 'as before' if line == one else 'differs')
         lines.append(json.dumps(line))
--- a/bench/soak_closings.py
+++ b/bench/soak_closures.py
@@ -13,7 +13,7 @@
 HELD_UP_S: Final = 5.0
 
 
-class SoakClosings:
+class SoakClosures:
     """Closes and opens data centres and watches what starts there.
 
     :param late: starts past the bound, a sentence each.
@@ -74,4 +74,4 @@
                 )
 
 
-__all__ = ('SoakClosings',)
+__all__ = ('SoakClosures',)
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -195,9 +195,9 @@
 async def data_centre_closes(soak: 'Soak') -> None:
     """Evacuate a data centre for a while, at times past the bound."""
     name = soak.random.choice(DATA_CENTRES)
-    soak.closings.close(name)
+    soak.closures.close(name)
     await asyncio.sleep(soak.random.uniform(0.1, 9.0))
-    soak.closings.open(name)
+    soak.closures.open(name)
 
 
 @fault
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -31,7 +31,7 @@
 from bench.processes import free_port
 from bench.proxy import Proxy
 from bench.soak_callers import SoakCallers
-from bench.soak_closings import SoakClosings
+from bench.soak_closures import SoakClosures
 from bench.soak_faults import FAULTS, crash_workers, lose_power
 from bench.soak_gangs import MOST_IMPOSSIBLE, GangCallers
 from bench.soak_revisions import IN_FORCE_S, QUEUE, SoakRevisions
@@ -137,7 +137,7 @@
             count=GANG_WORKERS if gangs else WORKERS,
             run_times_s=GANG_RUN_TIMES_S if gangs else RUN_TIMES_S,
         )
-        self.closings = SoakClosings(
+        self.closures = SoakClosures(
             rows=self.rows,
             workers=self.workers,
             clock=SystemClock(),
@@ -208,7 +208,7 @@
             'faults': sorted(
                 {
                     *self._watch.violations,
-                    *self.closings.late,
+                    *self.closures.late,
                     *self.revisions.outdated,
                     *self._waits.faults,
                 },
@@ -349,7 +349,7 @@
     async def _heal(self) -> None:
         self._callers.stopped.set()
         self._gang_callers.slower.set()
-        self.closings.open_all()
+        self.closures.open_all()
         self.store.unresponsive_tables.clear()
         self.workers.heal()
         for proxy in self.store_proxies:
@@ -374,7 +374,7 @@
     async def _look(self) -> None:
         while True:
             self._watch.check()
-            self.closings.look()
+            self.closures.look()
             await asyncio.sleep(0.02)
 
     async def _await_ends(self) -> None:
--- a/bench/promises.py
+++ b/bench/time_bounds.py
@@ -1,6 +1,6 @@
 """Urgent work within its bound, and configuration in force within its own.
 
-``python -m bench.promises`` writes ``bench/results/promises.json``.
+``python -m bench.time_bounds`` writes ``bench/results/promises.json``.
 """
 
 import asyncio
--- a/tests/test_recorded_rounds.py
+++ b/tests/test_recorded_rounds.py
@@ -3,8 +3,8 @@
 import unittest
 from unittest.mock import PropertyMock, patch
 
-from bench.full_cluster import draw, plan_round
-from bench.record_rounds import digest_of, recorded
+from bench.full_cluster import draw_cluster, plan_round
+from bench.record_rounds import plan_digest, read_recorded_rounds
 from curranthill.placement import Run
 
 
@@ -17,14 +17,14 @@
 
     def test_plans_equal_the_recorded_ones(self) -> None:
         """Clusters of 24, 60 and 176 workers, 10 to 40 waiting jobs."""
-        for one in recorded():
+        for one in read_recorded_rounds():
             drawn = [one[name] for name in ('workers', 'waiting', 'seed')]
             with self.subTest(drawn=drawn):
                 workers, waiting, seed = drawn
                 plan = plan_round(
-                    draw(workers=workers, waiting=waiting, seed=seed),
+                    draw_cluster(workers=workers, waiting=waiting, seed=seed),
                 )
-                self.assertEqual(digest_of(plan), one['sha256'])
+                self.assertEqual(plan_digest(plan), one['sha256'])
 
 
 class CostTest(unittest.TestCase):
@@ -32,7 +32,7 @@
 
     def test_the_loss_of_a_run_is_computed_a_few_times_only(self) -> None:
         """40 jobs wait for 176 workers; 59,000 sums took 265 ms."""
-        cluster = draw(workers=176, waiting=40, seed=1)
+        cluster = draw_cluster(workers=176, waiting=40, seed=1)
         runs = sum(len(worker_runs) for worker_runs in cluster.runs.values())
         with patch.object(
             Run,
