--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -1,12 +1,13 @@
-"""What tasks that crash their workers cost everybody else.
+"""Measures what tasks that crash their workers cost the other jobs.
 
     python -m bench.crashes [--seed N] [--no-limit]
 
-Drawn jobs of one task each on 24 workers of eight accelerators, some of them
-crashing each worker that starts them, over the real leader and the stand-in's
-workers, under a clock that is moved by hand. Prints, for 1, 3 and 10 such
-tasks among 200 others: workers crashed for each, seconds of others' work that
-were lost, others given up, and others that were completed in time.
+Random jobs of one task each run on 24 workers of eight accelerators, with the
+real leader, the stand-in's workers and a manual clock. Some of the tasks crash
+each worker that starts them. For 1, 3 and 10 such tasks among 200 other jobs it
+prints the workers that each of them crashed, the seconds of the other jobs'
+runs that were lost, how many of the other jobs were given up, and how many were
+completed by their objective.
 """
 
 import argparse
@@ -19,30 +20,30 @@
 from tests.domain import Domain, in_domain, make_spec
 
 WORKERS: Final = 24
-OTHERS: Final = 200
+OTHER_JOBS: Final = 200
 
-#: Jobs come over so long, in seconds: the cluster is then some half full.
+#: How long jobs arrive, in seconds: this fills about half of the cluster.
 ARRIVALS_S: Final = 30.0
 
-#: What tasks take, in seconds.
+#: The run time of each task, in seconds.
 RUN_S: Final = 4.0
 
-#: How long is looked on after the last arrival, in seconds.
-AFTER_S: Final = 60.0
+#: How long the simulation continues after the last arrival, in seconds.
+TAIL_S: Final = 60.0
 
-#: More losses than any day has, for figures without a limit.
+#: More losses than can occur, to measure without a limit.
 NO_LIMIT: Final = 1_000_000
 
-#: Accelerators of a task, as drawn.
-SIZES: Final = (1, 1, 2, 4, 8)
+#: What a task's number of accelerators is drawn from.
+GPU_COUNTS: Final = (1, 1, 2, 4, 8)
 
 
-class Case(NamedTuple):
-    """One load.
+class Scenario(NamedTuple):
+    """The crashes of one simulation.
 
-    :param crashing: tasks that crash each worker that starts them.
-    :param same_id: whether workers come back under their ids.
-    :param after_s: how long after the start.
+    :param crashing: how many tasks crash each worker that starts them.
+    :param same_id: whether crashed workers restart under their old id.
+    :param after_s: the time from a task's start to the crash, in seconds.
     """
 
     crashing: int
@@ -50,13 +51,13 @@
     after_s: float
 
 
-class Cost(NamedTuple):
-    """What it cost.
+class CrashCost(NamedTuple):
+    """The cost of the crashes.
 
-    :param crashed: workers crashed, for each crashing task.
-    :param lost_s: seconds of others' runs that were lost.
-    :param given_up: others that were shown as failed.
-    :param on_time: others that were completed by their objective.
+    :param crashed: the crashes of workers per crashing task.
+    :param lost_s: the lost run time of the other jobs, in seconds.
+    :param given_up: how many of the other jobs failed.
+    :param on_time: how many of the other jobs completed by their objective.
     """
 
     crashed: float
@@ -65,58 +66,60 @@
     on_time: int
 
 
-def measure(case: Case, seed: int) -> Cost:
-    """Play one load."""
-    found: list[Cost] = []
+def measure(scenario: Scenario, seed: int) -> CrashCost:
+    """Simulate one scenario."""
+    costs: list[CrashCost] = []
 
-    async def play(domain: Domain) -> None:
-        found.append(await _play(domain, case, random.Random(seed)))
+    async def run(domain: Domain) -> None:
+        costs.append(await _run_jobs(domain, scenario, random.Random(seed)))
 
-    in_domain(play, workers=WORKERS, run_s=RUN_S)
-    return found[0]
+    in_domain(run, workers=WORKERS, run_s=RUN_S)
+    return costs[0]
 
 
-async def _play(domain: Domain, case: Case, drawn: random.Random) -> Cost:
+async def _run_jobs(
+    domain: Domain, scenario: Scenario, rng: random.Random
+) -> CrashCost:
     host = domain.start_host('h1')
     await domain.leader()
-    domain.same_id = case.same_id
+    domain.same_id = scenario.same_id
     for worker in domain.workers.values():
-        worker.crash_after_s = case.after_s
-    names = [f'bad{number}' for number in range(case.crashing)]
+        worker.crash_after_s = scenario.after_s
+    names = [f'bad{number}' for number in range(scenario.crashing)]
     domain.crashing.update(TaskKey(name, 0, 0, 0) for name in names)
-    names += [f'job{number}' for number in range(OTHERS)]
-    drawn.shuffle(names)
+    names += [f'job{number}' for number in range(OTHER_JOBS)]
+    rng.shuffle(names)
     objectives_s = {}
     for name in names:
-        needs = Resources(4000, 1024, drawn.choice(SIZES))
+        needs = Resources(4000, 1024, rng.choice(GPU_COUNTS))
         spec = make_spec(
             name,
             Step(width=1, needs=needs, estimate_s=RUN_S),
-            priority=drawn.choice((0, 1, 2)),
+            priority=rng.choice((0, 1, 2)),
             accepted_at_s=domain.clock.wall_s(),
         )
         objectives_s[name] = spec.objective_s
         await host.accept(spec)
         await domain.clock.advance(ARRIVALS_S / len(names))
-    await domain.clock.advance(AFTER_S)
-    return _cost(domain, case, objectives_s)
+    await domain.clock.advance(TAIL_S)
+    return _crash_cost(domain, scenario, objectives_s)
 
 
-def _cost(
+def _crash_cost(
     domain: Domain,
-    case: Case,
+    scenario: Scenario,
     objectives_s: dict[str, float],
-) -> Cost:
+) -> CrashCost:
     others = [name for name in objectives_s if name.startswith('job')]
     crashed = sum(len(one.crashes) for one in domain.workers.values())
-    ended = {name: domain.progress(name) for name in others}
-    return Cost(
-        crashed=crashed / case.crashing,
+    progress = {name: domain.progress(name) for name in others}
+    return CrashCost(
+        crashed=crashed / scenario.crashing,
         lost_s=sum(one.lost_s for one in domain.workers.values()),
-        given_up=sum(one.state == 'failed' for one in ended.values()),
+        given_up=sum(one.state == 'failed' for one in progress.values()),
         on_time=sum(
             one.state == 'completed' and one.ended_at_s <= objectives_s[name]
-            for name, one in ended.items()
+            for name, one in progress.items()
         ),
     )
 
@@ -127,27 +130,29 @@
     parser.add_argument('--seeds', type=int, default=3)
     parser.add_argument('--no-limit', action='store_true')
     options = parser.parse_args()
-    most = NO_LIMIT if options.no_limit else crashes.MAX_LOSSES
-    prompt = NO_LIMIT if options.no_limit else crashes.MAX_PROMPT_CRASHES
+    max_losses = NO_LIMIT if options.no_limit else crashes.MAX_LOSSES
+    max_prompt_crashes = (
+        NO_LIMIT if options.no_limit else crashes.MAX_PROMPT_CRASHES
+    )
     print('crashing  id     after_s  crashed_each  lost_s  given_up  on_time')
     with (
-        patch.object(crashes, 'MAX_LOSSES', most),
-        patch.object(crashes, 'MAX_PROMPT_CRASHES', prompt),
+        patch.object(crashes, 'MAX_LOSSES', max_losses),
+        patch.object(crashes, 'MAX_PROMPT_CRASHES', max_prompt_crashes),
     ):
         for crashing in (1, 3, 10):
             for same_id in (True, False):
                 for after_s in (0.01, 1.0, RUN_S - 0.1):
-                    case = Case(crashing, same_id, after_s)
-                    _show(case, options.seed, options.seeds)
+                    scenario = Scenario(crashing, same_id, after_s)
+                    _print_mean(scenario, options.seed, options.seeds)
 
 
-def _show(case: Case, seed: int, seeds: int) -> None:
-    costs = [measure(case, seed + number) for number in range(seeds)]
+def _print_mean(scenario: Scenario, seed: int, seeds: int) -> None:
+    costs = [measure(scenario, seed + number) for number in range(seeds)]
     mean = [sum(parts) / seeds for parts in zip(*costs, strict=True)]
-    kind = 'same' if case.same_id else 'other'
+    id_kind = 'same' if scenario.same_id else 'other'
     print(
-        f'{case.crashing:8}  {kind:5}  {case.after_s:7.2f}  {mean[0]:12.2f}'
-        f'  {mean[1]:6.1f}  {mean[2]:8.2f}  {mean[3]:7.1f}',
+        f'{scenario.crashing:8}  {id_kind:5}  {scenario.after_s:7.2f}'
+        f'  {mean[0]:12.2f}  {mean[1]:6.1f}  {mean[2]:8.2f}  {mean[3]:7.1f}',
     )
 
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,9 +1,9 @@
-"""How long one placement decision takes, and its slope.
+"""Measures the time of a placement decision for several cluster sizes.
 
-``python -m bench.decisions`` fills a cluster of each size, then times the
-decision that follows each arrival and each end, and writes
-``bench/results/decisions.json``. It then times whole rounds of ``placement``
-over full clusters, in processor time, and writes ``rounds.json``.
+``python -m bench.decisions`` fills a cluster of each size, measures the time of
+the decision after each arrival and each end of a job, and writes
+``bench/results/decisions.json``. It then measures the processor time of whole
+rounds of ``placement`` over full clusters and writes ``rounds.json``.
 """
 
 import json
@@ -21,19 +21,22 @@
 from curranthill.scheduler.guarantees import GuaranteeUnit, GuaranteeUnitId
 
 RESULTS = ROOT / 'bench' / 'results'
-EVENTS = 400
+EVENTS_PER_SIZE = 400
 SLOTS = 8
-SIZES = (1, 2, 4, 8, 16, 32, 64)
+SLOT_COUNTS = (1, 2, 4, 8, 16, 32, 64)
 
-#: Workers of the full clusters, jobs that wait for them, and how often each
-#: round is timed.
-CLUSTERS = (24, 176, 350, 1200)
-BACKLOGS = (10, 40, 120)
-ROUNDS = 5
+#: The workers and the waiting jobs of the full clusters, and how often each
+#: round is measured.
+ROUND_WORKERS = (24, 176, 350, 1200)
+ROUND_WAITING_JOBS = (10, 40, 120)
+ROUND_REPEATS = 5
 
 
 class Size(NamedTuple):
-    """One size of a cluster and its work."""
+    """The size of a cluster, of its load and of its queue.
+
+    :param teams: how many workspaces submit jobs.
+    """
 
     workers: int
     running: int
@@ -41,16 +44,16 @@
     teams: int
 
 
-TARGETS = (
+CLUSTER_SIZES = (
     Size(workers=24, running=144, waiting=50, teams=4),
     Size(workers=150, running=900, waiting=312, teams=28),
     Size(workers=1200, running=7200, waiting=2500, teams=220),
 )
 
 
-def make_job(source: random.Random, number: int, teams: int, slots: int) -> Job:
+def make_job(rng: random.Random, number: int, teams: int, slots: int) -> Job:
     """Return one job of a random team."""
-    team = f'team-{source.randrange(teams)}'
+    team = f'team-{rng.randrange(teams)}'
     return Job(
         job_id=f'dc-{number}',
         workspace=team,
@@ -60,17 +63,17 @@
         state='accepted',
         slots=slots,
         adjacent='worker' if slots <= SLOTS else 'rack',
-        idempotent=source.randrange(10) > 0,
+        idempotent=rng.randrange(10) > 0,
         checkpointable=True,
-        run_time_s=source.uniform(600, 7200),
+        run_time_s=rng.uniform(600, 7200),
         accepted_at_s=0,
         revision=1,
         shape=f'shape-{slots}',
     )
 
 
-def make_state(size: Size, source: random.Random) -> SchedulerState:
-    """Return the state of a full cluster, with a long queue."""
+def make_state(size: Size, rng: random.Random) -> SchedulerState:
+    """Return the state of a full cluster with a long queue."""
     state = SchedulerState()
     for number in range(size.workers):
         name = f'w{number:04d}'
@@ -88,21 +91,24 @@
     while len(state.placed) < size.running:
         for _ in range(size.running // 4 + 1):
             number += 1
-            slots = 4 if source.randrange(50) == 0 else 1
-            job = make_job(source, number, size.teams, slots)
+            slots = 4 if rng.randrange(50) == 0 else 1
+            job = make_job(rng, number, size.teams, slots)
             state.queue.add(WaitingJob(job, float(number)))
         if not policy.decide(state, float(number)):
             break
     while len(state.queue) < size.waiting:
         number += 1
-        slots = source.choice(SIZES)
-        job = make_job(source, number, size.teams, slots)
+        slots = rng.choice(SLOT_COUNTS)
+        job = make_job(rng, number, size.teams, slots)
         state.queue.add(WaitingJob(job, float(number)))
     return state
 
 
 def set_guarantees(state: SchedulerState, size: Size) -> None:
-    """Guarantee each team a block of four as far as half the slots go."""
+    """Guarantee a block of four slots to each team.
+
+    At most half of all slots are guaranteed.
+    """
     units = {}
     for team in range(min(size.teams, size.workers * SLOTS // 8)):
         unit_id = GuaranteeUnitId(f'team-{team}', 'shape-4', 0)
@@ -115,22 +121,22 @@
 
 
 def measure(size: Size) -> dict[str, Any]:
-    """Return the time of the decision after each of many events."""
-    source = random.Random(size.workers)  # noqa: S311
-    state = make_state(size, source)
+    """Measure the time of the decision after each of many events."""
+    rng = random.Random(size.workers)  # noqa: S311
+    state = make_state(size, rng)
     policy = policies.get('guarantees')(5)
     times_s: list[float] = []
     placed = 0
-    for event in range(EVENTS):
+    for event in range(EVENTS_PER_SIZE):
         if event % 2:
-            state.release(source.choice(sorted(state.placed)))
+            state.release(rng.choice(sorted(state.placed)))
         else:
-            slots = source.choice(SIZES)
-            job = make_job(source, 10**6 + event, size.teams, slots)
+            slots = rng.choice(SLOT_COUNTS)
+            job = make_job(rng, 10**6 + event, size.teams, slots)
             state.queue.add(WaitingJob(job, 10.0**6 + event))
-        begun_s = time.perf_counter()
+        began_s = time.perf_counter()
         placed += len(policy.decide(state, 10.0**6 + event))
-        times_s.append(time.perf_counter() - begun_s)
+        times_s.append(time.perf_counter() - began_s)
     return {
         **size._asdict(),
         'running_at_end': len(state.placed),
@@ -142,13 +148,13 @@
 
 
 def measure_rounds(workers: int, waiting: int) -> dict[str, Any]:
-    """Return the processor time of rounds over a full cluster."""
+    """Measure the processor time of a round over a full cluster."""
     cluster = draw_cluster(workers=workers, waiting=waiting, seed=1)
     times_s: list[float] = []
-    for _ in range(ROUNDS):
-        begun_s = time.process_time()
+    for _ in range(ROUND_REPEATS):
+        began_s = time.process_time()
         plan = plan_round(cluster)
-        times_s.append(time.process_time() - begun_s)
+        times_s.append(time.process_time() - began_s)
     return {
         'workers': workers,
         'waiting': waiting,
@@ -159,8 +165,8 @@
     }
 
 
-def write(name: str, results: list[dict[str, Any]]) -> None:
-    """Keep and show the results of one kind."""
+def write_results(name: str, results: list[dict[str, Any]]) -> None:
+    """Write the results of one kind to a file and print them."""
     RESULTS.mkdir(parents=True, exist_ok=True)
     (RESULTS / name).write_text(json.dumps(results, indent=2) + '\n')
     for result in results:
@@ -169,10 +175,13 @@
 
 def main() -> None:
     """Measure each size and write the results."""
-    write('decisions.json', [measure(size) for size in TARGETS])
-    write(
+    write_results('decisions.json', [measure(size) for size in CLUSTER_SIZES])
+    write_results(
         'rounds.json',
-        [measure_rounds(*size) for size in product(CLUSTERS, BACKLOGS)],
+        [
+            measure_rounds(*size)
+            for size in product(ROUND_WORKERS, ROUND_WAITING_JOBS)
+        ],
     )
 
 
--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -1,8 +1,9 @@
-"""A full cluster with waiting jobs, as input of a round of placement.
+"""Random full clusters with waiting jobs, as input of a round of placement.
 
-Drawn from a seed, so that the same round can be planned again: gangs and
-plain tasks hold nearly all accelerators, some runs are being stopped, some
-workers have failures, and urgent gangs, long gangs and wide steps wait.
+They are drawn from a seed, so that the same round can be planned again. Gangs
+and independent tasks use nearly all accelerators, some runs are being stopped,
+some workers have a failure score, and urgent gangs, long gangs and wide steps
+wait.
 """
 
 import random
@@ -34,17 +35,19 @@
 SAME_RACK_SHARE: Final = 0.7
 NEAR_RACK_SHARE: Final = 0.1
 CHECKPOINT_SHARE: Final = 0.4
-STOPPED_SHARE: Final = 0.05
+STOPPING_SHARE: Final = 0.05
 
 
 class Kind(NamedTuple):
     """A kind of random jobs.
 
-    :param widths: the mean number of tasks of a step.
+    :param mean_width: the mean number of tasks of a step.
+    :param run_s: estimates are half of this to twice this, in seconds.
+    :param gang_share: the share of the jobs that are gangs.
     """
 
     priority: int
-    widths: float
+    mean_width: float
     run_s: float
     cpu_millis: int
     memory_mb: int
@@ -75,28 +78,31 @@
 
 
 def draw_cluster(*, workers: int, waiting: int, seed: int) -> FullCluster:
-    """Return a cluster that is nearly full, with so many waiting jobs."""
-    source = random.Random(seed)  # noqa: S311
+    """Return a cluster that is nearly full.
+
+    :param waiting: how many jobs wait besides those that do not fit.
+    """
+    rng = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
     free = {entry.worker_id: entry.capacity for entry in entries}
     cluster = FullCluster(
         entries=entries,
         runs={entry.worker_id: [] for entry in entries},
         failure_scores={
-            entry.worker_id: float(source.choice((0, 0, 0, 0, 0, 0, 1, 2)))
+            entry.worker_id: float(rng.choice((0, 0, 0, 0, 0, 0, 1, 2)))
             for entry in entries
         },
         jobs=[],
         guaranteed={f'team-{team}': 8 * team for team in range(5)},
     )
-    refused = 0
-    while refused < 8:
-        job = _job(source, len(cluster.jobs))
+    unplaced = 0
+    while unplaced < 8:
+        job = _job(rng, len(cluster.jobs))
         cluster.jobs.append(job)
-        if not _place(source, cluster, free, job):
-            refused += 1
+        if not _place(rng, cluster, free, job):
+            unplaced += 1
     for _ in range(waiting):
-        cluster.jobs.append(_job(source, len(cluster.jobs)))
+        cluster.jobs.append(_job(rng, len(cluster.jobs)))
     return cluster
 
 
@@ -119,8 +125,8 @@
     return planner.plan(cluster.jobs)
 
 
-def _is_drawn(source: random.Random, share: float) -> bool:
-    return source.random() < share
+def _draw_bool(rng: random.Random, share: float) -> bool:
+    return rng.random() < share
 
 
 def _entry(number: int) -> WorkerEntry:
@@ -134,25 +140,23 @@
     )
 
 
-def _job(source: random.Random, number: int) -> ActiveJob:
-    kind = source.choices(KINDS, (8.8, 2.1, 2.0))[0]
-    width = max(1, min(int(source.expovariate(1 / kind.widths)), 60))
-    gang = _is_drawn(source, kind.gang_share)
+def _job(rng: random.Random, number: int) -> ActiveJob:
+    kind = rng.choices(KINDS, (8.8, 2.1, 2.0))[0]
+    width = max(1, min(int(rng.expovariate(1 / kind.mean_width)), 60))
+    gang = _draw_bool(rng, kind.gang_share)
     step = Step(
         width=width,
         needs=Resources(
             kind.cpu_millis,
             kind.memory_mb,
-            source.choice(kind.gpu_sizes),
+            rng.choice(kind.gpu_sizes),
         ),
-        estimate_s=kind.run_s * source.uniform(0.5, 2),
+        estimate_s=kind.run_s * rng.uniform(0.5, 2),
         gang=gang,
-        same_rack=gang and _is_drawn(source, SAME_RACK_SHARE),
-        near_rack='r0'
-        if not gang and _is_drawn(source, NEAR_RACK_SHARE)
-        else '',
-        max_per_worker=source.choice((0, 0, 0, 2)),
-        checkpointable=_is_drawn(source, CHECKPOINT_SHARE),
+        same_rack=gang and _draw_bool(rng, SAME_RACK_SHARE),
+        near_rack='r0' if not gang and _draw_bool(rng, NEAR_RACK_SHARE) else '',
+        max_per_worker=rng.choice((0, 0, 0, 2)),
+        checkpointable=_draw_bool(rng, CHECKPOINT_SHARE),
     )
     spec = JobSpec(
         job_id=f'job-{number}',
@@ -166,27 +170,30 @@
             slack_factor=2.0,
             target_s=1.0,
         ),
-        workspace=f'team-{source.randrange(10)}',
+        workspace=f'team-{rng.randrange(10)}',
         payload='text',
         steps=(step,),
-        accepted_at_s=NOW_S - source.uniform(0, 20),
+        accepted_at_s=NOW_S - rng.uniform(0, 20),
     )
     return ActiveJob(spec=spec, progress=JobProgress(queue=spec.queue.name))
 
 
 def _place(
-    source: random.Random,
+    rng: random.Random,
     cluster: FullCluster,
     free: dict[str, Resources],
     job: ActiveJob,
 ) -> bool:
-    """Place a job's tasks wherever they fit; return whether all of them do."""
+    """Place a job's tasks on random workers; return whether all of them fit.
+
+    Tasks that fit before the first that does not stay placed.
+    """
     step = job.spec.steps[0]
-    age_s = source.uniform(0, step.estimate_s)
-    stopped = _is_drawn(source, STOPPED_SHARE)
+    age_s = rng.uniform(0, step.estimate_s)
+    stopping = _draw_bool(rng, STOPPING_SHARE)
     workers = list(free)
     for key in job.keys_of(0, 0):
-        start = source.randrange(len(workers))
+        start = rng.randrange(len(workers))
         order = workers[start:] + workers[:start]
         worker = next(
             (one for one in order if free[one].covers(step.needs)), ''
@@ -196,7 +203,7 @@
         free[worker] = free[worker].minus(step.needs)
         run = _run(job, key, worker)
         run.age_s = age_s
-        run.stop_wanted = stopped
+        run.stop_wanted = stopping
         job.runs[key] = run
         task = job.progress.task(key)
         task.worker = worker
--- a/bench/load_shedding.py
+++ b/bench/load_shedding.py
@@ -1,8 +1,8 @@
-"""Replays the same day with and without load shedding.
+"""Simulates the same days with and without load shedding.
 
 ``python -m bench.load_shedding --rate 3 --seeds 10`` prints how many jobs were
-refused, what these earned on the same day without load shedding, and what the
-days earned.
+refused, what these jobs earned on the same day without load shedding, and the
+worth of the days.
 """
 
 import statistics
@@ -11,7 +11,15 @@
 
 import typer
 
-from bench.replay import NOW_S, ROOM, SERVICE, Day, Load, Outcome, difference
+from bench.replay import (
+    NOW_S,
+    SERVICE,
+    WORKER_CAPACITY,
+    Day,
+    Load,
+    Outcome,
+    difference,
+)
 from curranthill.admission import (
     Forecast,
     ServiceResources,
@@ -51,10 +59,10 @@
         self.refused: set[str] = set()
         self.refusals = 0
         self._forecast: Forecast | None = None
-        self._read_s = 0.0
+        self._forecast_read_s = 0.0
         self._forecast_number = 0
-        self._tries: dict[str, int] = {}
-        self._at(0, self._make_forecast)
+        self._attempts: dict[str, int] = {}
+        self._schedule(0, self._make_forecast)
 
     def _make_forecast(self) -> None:
         self._forecast_number += 1
@@ -65,18 +73,18 @@
             now_s=NOW_S + self._now_s,
             number=self._forecast_number,
         )
-        self._at(
+        self._schedule(
             self._now_s + FORECAST_DELAY_S, partial(self._read_forecast, made)
         )
-        self._at(self._now_s + FORECAST_INTERVAL_S, self._make_forecast)
+        self._schedule(self._now_s + FORECAST_INTERVAL_S, self._make_forecast)
 
     def _read_forecast(self, forecast: Forecast | None) -> None:
         self._forecast = forecast
-        self._read_s = self._now_s
+        self._forecast_read_s = self._now_s
 
     def _resources(self) -> ServiceResources:
-        held = len(self._runs) - len(self._leaving)
-        total = Resources(*(held * part for part in ROOM))
+        active_workers = len(self._runs) - len(self._draining)
+        total = Resources(*(active_workers * part for part in WORKER_CAPACITY))
         return ServiceResources(total, self._largest_free)
 
     def _largest_free(self) -> Resources:
@@ -85,26 +93,26 @@
                 entry=self._entries[name], runs=runs, failure_score=0.0
             ).free
             for name, runs in self._runs.items()
-            if name not in self._leaving
+            if name not in self._draining
         ]
         return Resources(*(max(parts) for parts in zip(*free, strict=True)))
 
     def _accept(self, spec: JobSpec) -> None:
-        asked = spec._replace(accepted_at_s=NOW_S + self._now_s)
-        age_s = self._now_s - self._read_s
-        refusal = check_admission(asked, self._forecast, age_s)
+        submitted = spec._replace(accepted_at_s=NOW_S + self._now_s)
+        age_s = self._now_s - self._forecast_read_s
+        refusal = check_admission(submitted, self._forecast, age_s)
         if refusal is None:
             self.refused.discard(spec.job_id)
-            super()._accept(asked)
+            super()._accept(submitted)
             return
         self.refusals += 1
         self.refused.add(spec.job_id)
-        tries = self._tries.get(spec.job_id, 0) + 1
-        self._tries[spec.job_id] = tries
-        if tries <= RETRIES:
-            jitter_s = refusal.jitter_s * self._source.random()
+        attempts = self._attempts.get(spec.job_id, 0) + 1
+        self._attempts[spec.job_id] = attempts
+        if attempts <= RETRIES:
+            jitter_s = refusal.jitter_s * self._rng.random()
             retry_at_s = self._now_s + refusal.retry_after_s + jitter_s
-            self._at(retry_at_s, partial(self._accept, spec))
+            self._schedule(retry_at_s, partial(self._accept, spec))
 
 
 class PlainDay(Day):
@@ -112,11 +120,11 @@
 
     def earned(self, job_id: str) -> float:
         """Return what a job earned."""
-        return self._earned(job_id, self._drawn[job_id])
+        return self._earned(job_id, self._drawn_jobs[job_id])
 
     def infeasible(self) -> int:
         """Return how many jobs earned nothing."""
-        return sum(1 for job_id in self._drawn if not self.earned(job_id))
+        return sum(1 for job_id in self._drawn_jobs if not self.earned(job_id))
 
 
 class SheddingOutcome(NamedTuple):
@@ -136,7 +144,7 @@
 
 
 def play(load: Load, workers: int, seed: int) -> SheddingOutcome:
-    """Replay a day twice."""
+    """Simulate a day with and without load shedding."""
     shedding = SheddingDay(load=load, workers=workers, seed=seed)
     plain = PlainDay(
         load=load, workers=workers, seed=seed, disabled=NONE_DISABLED
@@ -159,7 +167,7 @@
     workers: int = 24,
     seeds: int = 10,
 ) -> None:
-    """Replay days with and without load shedding."""
+    """Simulate days with and without load shedding."""
     load = Load(rate=rate, bursts=((5, 13, burst),))
     days = [play(load, workers, seed) for seed in range(seeds)]
     mean, error = difference(
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,7 +1,7 @@
-"""Processor time of one log line: written, and with the log closed.
+"""Measures the processor time of a log line, with the log open and closed.
 
-Lines go to standard output, which is best a null device; figures go to
-standard error: ``python -m bench.log_cost > /dev/null``.
+The lines go to standard output, which should be the null device, and the
+results to standard error: ``python -m bench.log_cost > /dev/null``.
 """
 
 import json
@@ -12,17 +12,17 @@
 
 from curranthill.telemetry.events import MAX_LINES_PER_KIND_PER_S, EventLog
 
-#: Kinds that are written in turn, so that none passes its budget.
-KINDS = 100
-LINES = KINDS * MAX_LINES_PER_KIND_PER_S
+#: Event kinds that are used in turn, so that none exceeds its rate limit.
+EVENT_KINDS = 100
+LINES_PER_RUN = EVENT_KINDS * MAX_LINES_PER_KIND_PER_S
 RUNS = 5
 
 
 def write_lines(log: EventLog) -> None:
-    """Write lines like that of a placement."""
-    for number in range(LINES):
+    """Write lines as long as that of a placement."""
+    for number in range(LINES_PER_RUN):
         log.log(
-            f'kind-{number % KINDS}',
+            f'kind-{number % EVENT_KINDS}',
             job='36d1a8d4ede4975b',
             step=0,
             occurrence=0,
@@ -31,15 +31,18 @@
         )
 
 
-def cost_us(work: Callable[[], None]) -> float:
-    """Return the median processor time of a line, in microseconds."""
+def cost_us(write_all: Callable[[], None]) -> float:
+    """Return the median processor time per line, in microseconds.
+
+    :param write_all: writes all lines of a run.
+    """
     costs_us = []
     for _ in range(RUNS):
         began_s = time.process_time()
-        work()
+        write_all()
         spent_s = time.process_time() - began_s
-        costs_us.append(spent_s / LINES * 1_000_000)
-        # A new second for the budgets of all kinds.
+        costs_us.append(spent_s / LINES_PER_RUN * 1_000_000)
+        # The rate limit of each kind counts lines per second.
         time.sleep(1)
     return statistics.median(costs_us)
 
@@ -51,7 +54,7 @@
     log.open(host='host-1', data_centre='dc')
     written_us = cost_us(lambda: write_lines(log))
     figures = {
-        'lines': LINES,
+        'lines': LINES_PER_RUN,
         'runs': RUNS,
         'written_us': round(written_us, 2),
         'closed_us': round(closed_us, 2),
--- a/bench/record_rounds.py
+++ b/bench/record_rounds.py
@@ -1,7 +1,8 @@
 """Records the decisions of rounds over random full clusters.
 
-``python -m bench.record_rounds`` writes ``tests/data/recorded_rounds.json``
-again, after a change of policy; the commit says which plans differ and why.
+After a change of policy, ``python -m bench.record_rounds`` writes
+``tests/data/recorded_rounds.json`` again; the commit says which plans differ
+and why.
 """
 
 import hashlib
@@ -12,11 +13,11 @@
 from bench.processes import ROOT
 from curranthill.placement import Plan
 
-RECORD: Final = ROOT / 'tests' / 'data' / 'recorded_rounds.json'
+RECORDED_ROUNDS: Final = ROOT / 'tests' / 'data' / 'recorded_rounds.json'
 
 
 def plan_digest(plan: Plan) -> str:
-    """Return a digest of all starts and stops, in order."""
+    """Return a digest of a plan's starts and stops, in their order."""
     starts = [
         [
             one.job.spec.job_id,
@@ -32,18 +33,22 @@
 
 def read_recorded_rounds() -> list[dict[str, Any]]:
     """Return the recorded rounds."""
-    rounds: list[dict[str, Any]] = json.loads(RECORD.read_text('utf-8'))
+    rounds: list[dict[str, Any]] = json.loads(
+        RECORDED_ROUNDS.read_text('utf-8')
+    )
     return rounds
 
 
 def main() -> None:
-    """Plan each recorded round again and write its present decisions."""
+    """Plan each recorded round again and record its current decisions."""
     lines = []
     for one in read_recorded_rounds():
-        drawn = {name: one[name] for name in ('workers', 'waiting', 'seed')}
-        plan = plan_round(draw_cluster(**drawn))
+        parameters = {
+            name: one[name] for name in ('workers', 'waiting', 'seed')
+        }
+        plan = plan_round(draw_cluster(**parameters))
         line = {
-            **drawn,
+            **parameters,
             'placed_steps': len(plan.placements),
             'victims': len(plan.victims),
             'sha256': plan_digest(plan),
@@ -51,7 +56,7 @@
         print(line, 'as before' if line == one else 'differs')
         lines.append(json.dumps(line))
     rows = ',\n  '.join(lines)
-    RECORD.write_text(f'[\n  {rows}\n]\n', 'utf-8')
+    RECORDED_ROUNDS.write_text(f'[\n  {rows}\n]\n', 'utf-8')
 
 
 if __name__ == '__main__':
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,13 +1,14 @@
-"""Plays loads against the real decisions of ``placement`` on a fake clock.
+"""Simulates loads with the real decisions of ``placement`` on a fake clock.
 
 ``python -m bench.replay --load burst --seeds 20`` draws days of jobs with
-bursts, wrong estimates, failing runs and workers that leave, and prints what
-callers earn by the users' measures, what was thrown away, and how often jobs
-started. ``--without NAME`` plays each day once more without one mechanism and
-prints the difference of the pairs with its standard error.
-
-No store, no network and no leader: what takes time between a decision and its
-effect is one constant each.
+bursts, wrong estimates, failing runs and draining workers. It prints the credit
+that callers earn by the users' measures, the work that was wasted, and how
+often jobs started. ``--without NAME`` simulates each day again with one
+mechanism disabled, and prints the mean of the paired differences with its
+standard error.
+
+The simulation has no store, no network and no leader: each delay between a
+decision and its effect is a constant.
 """
 
 import heapq
@@ -45,60 +46,67 @@
 
 SERVICE: Final = 'calc'
 NOW_S: Final = 1_700_001_000.0
-ROOM: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
+WORKER_CAPACITY: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
 
-#: From a decision to the start, and from a stop to the news of the end, in
-#: seconds: a commit and a call; a stop that takes its time and a report.
-START_S: Final = 0.02
-STOP_S: Final = 0.2
+#: From a decision to the start of its run (a commit and a call), and from a
+#: stop order to the report of the run's end (the stop itself and a report), in
+#: seconds.
+START_DELAY_S: Final = 0.02
+STOP_DELAY_S: Final = 0.2
 
-#: The shortest time between two rounds, in seconds.
-ROUND_S: Final = 0.02
+#: The shortest time between two rounds of placement, in seconds.
+MIN_ROUND_INTERVAL_S: Final = 0.02
 
-#: How soon a round is made again while a job waits, in seconds.
-WAITING_ROUND_S: Final = 0.25
+#: The interval between rounds while a job waits, in seconds.
+WAITING_ROUND_INTERVAL_S: Final = 0.25
 
-#: What a run takes to resume from a checkpoint, in seconds, and how much
-#: longer tasks run apart from their rack.
+#: The time that a run needs to resume from a checkpoint, in seconds, and the
+#: factor by which tasks that need one rack run longer across several.
 RESTORE_S: Final = 0.6
-FAR_FACTOR: Final = 3.0
+CROSS_RACK_FACTOR: Final = 3.0
 
-#: A late job earns until this multiple of its objective.
-LATE_UNTIL: Final = 3.0
+#: A late job earns credit up to this multiple of its objective.
+LATE_CREDIT_FACTOR: Final = 3.0
 
-#: What a core-second thrown away costs, in the worth of jobs.
-WASTE_PRICE: Final = 0.0017
+#: The penalty for a wasted core-second, in the unit of the jobs' worth.
+WASTE_PENALTY: Final = 0.0017
 
-#: The widest steps, the most accelerators of one job (a rack has 48), and how
-#: far estimates are off, as a logarithm.
-MOST_WIDE: Final = 40
-MOST_GPUS_TOGETHER: Final = 40
-ESTIMATE_SPREAD: Final = 0.6
+#: The most tasks of a step, the most accelerators of one job (a rack has 48),
+#: and the standard deviation of the logarithm of an estimate's error.
+MAX_WIDTH: Final = 40
+MAX_GPUS_PER_JOB: Final = 40
+ESTIMATE_SIGMA: Final = 0.6
 
-#: Jobs arrive for so long, and what is left then may end, in seconds.
+#: How long jobs arrive, and how long the remaining ones may then take to
+#: complete, in seconds.
 DAY_S: Final = 40.0
-DRAIN_S: Final = 40.0
+COMPLETION_S: Final = 40.0
 
 
 class Kind(NamedTuple):
-    """One kind of job.
-
-    :param per_worker_s: arrivals a second, a worker.
-    :param late_worth: what a late job earns.
+    """A kind of jobs and the distributions that it is drawn from.
+
+    :param per_worker_s: arrivals per second and worker.
+    :param mean_width: the mean number of tasks.
+    :param run_s: the median run time, in seconds.
+    :param run_s_sigma: the standard deviation of its logarithm.
+    :param failing_share: the share of jobs of which the first run fails.
+    :param worth: the credit of a job that completes by its objective.
+    :param late_worth: the credit of a late job.
     """
 
     priority: int
     per_worker_s: float
-    width: float
+    mean_width: float
     run_s: float
-    spread: float
+    run_s_sigma: float
     cpu_millis: int
     memory_mb: int
     gpus: tuple[int, ...]
     gang: bool
     same_rack_share: float
     checkpoint_share: float
-    fails_share: float
+    failing_share: float
     slack_factor: float
     target_s: float
     worth: float
@@ -164,7 +172,7 @@
 )
 
 
-#: Work that memory binds more often than accelerators do.
+#: Jobs for which memory is scarcer than accelerators.
 WIDE_KINDS: Final = (
     KINDS[0]._replace(
         per_worker_s=0.0167, cpu_millis=7500, memory_mb=31_000
@@ -181,31 +189,34 @@
         per_worker_s=0.005, run_s=9.5, cpu_millis=5600, memory_mb=16_000
     ),  # fmt: skip
 )
-WIDE_ROOM: Final = Resources(cpu_millis=64_000, memory_mb=262_144, gpus=8)
+WIDE_WORKER_CAPACITY: Final = Resources(
+    cpu_millis=64_000, memory_mb=262_144, gpus=8
+)
 
 
 class Load(NamedTuple):
-    """What happens on a day besides the usual arrivals.
-
-    :param rate: multiplies all arrivals.
-    :param bursts: begin, end and factor of more urgent arrivals.
-    :param leaving: when and which share of the workers leaves, and how long
-        before it says so, in seconds.
-    :param takeovers: when a new leader begins, and how long it looks at
-        workers before it may use the last of them, in seconds.
-    :param room: what each worker has.
-    :param together: the most accelerators of one job.
-    :param workspaces: the share of the jobs that each workspace hands in.
-    :param speeds: those of the workers, in turn.
+    """The load and the events of a simulated day.
+
+    :param rate: the factor of all arrival rates.
+    :param bursts: start and end, in seconds, of each burst of urgent jobs, and
+        the factor of their arrival rate.
+    :param drains: when workers begin to drain, which share of them, and how
+        long after that they are removed; times in seconds.
+    :param takeovers: when a new leader's term begins, and how long it takes to
+        probe the last worker, in seconds.
+    :param worker_capacity: the capacity of each worker.
+    :param max_gpus: the most accelerators of one job.
+    :param workspaces: the share of the jobs that each workspace submits.
+    :param speeds: the speeds of the workers, repeated cyclically.
     """
 
     rate: float = 1.0
     bursts: tuple[tuple[float, float, float], ...] = ()
-    leaving: tuple[tuple[float, float, float], ...] = ()
+    drains: tuple[tuple[float, float, float], ...] = ()
     takeovers: tuple[tuple[float, float], ...] = ()
     kinds: tuple[Kind, ...] = KINDS
-    room: Resources = ROOM
-    together: int = MOST_GPUS_TOGETHER
+    worker_capacity: Resources = WORKER_CAPACITY
+    max_gpus: int = MAX_GPUS_PER_JOB
     workspaces: tuple[float, ...] = (1.0, 1.0, 1.0, 1.0)
     speeds: tuple[float, ...] = (1.0,)
 
@@ -213,8 +224,8 @@
 WIDE: Final = Load(
     rate=1.3,
     kinds=WIDE_KINDS,
-    room=WIDE_ROOM,
-    together=128,
+    worker_capacity=WIDE_WORKER_CAPACITY,
+    max_gpus=128,
     workspaces=(0.4, 0.2, 0.1, 0.1, 0.05, 0.05, 0.03, 0.03, 0.02, 0.02),
 )
 
@@ -230,7 +241,7 @@
     'leaving': Load(
         rate=1.4,
         bursts=((5, 11, 2.2),),
-        leaving=((8, 0.15, 2.0), (22, 0.1, 3.0)),
+        drains=((8, 0.15, 2.0), (22, 0.1, 3.0)),
     ),
     'unlike': Load(
         rate=1.4,
@@ -246,28 +257,34 @@
 }
 
 
-class Drawn(NamedTuple):
-    """One drawn job; what the planner does not know of it."""
+class DrawnJob(NamedTuple):
+    """The properties of a drawn job that the planner does not know.
+
+    :param fails_at_share: the share of its run time after which its first run
+        fails; infinite if it doesn't fail.
+    """
 
     kind: Kind
     run_s: float
     arrives_s: float
-    fails_at: float
+    fails_at_share: float
     workspace: str
 
     def objective_s(self) -> float:
-        """Return when it should be done, by what it truly takes."""
+        """Return its objective, computed from its true run time."""
         slack_s = self.kind.slack_factor * self.run_s
         return self.arrives_s + slack_s + self.kind.target_s
 
 
 class Outcome(NamedTuple):
-    """What one day brought.
+    """The results of a simulated day.
 
-    :param worth: credit as a share of what was owed, less waste.
+    :param worth: the weighted credit, less the penalty for wasted work.
+    :param credit: the earned share of the credit that was possible.
     :param stops: runs that were stopped for others.
     :param late_middle: the share of jobs of priority 1 that were late.
-    :param worst_workspace: the least share earned of what one was owed.
+    :param worst_workspace: the smallest share of its possible credit that a
+        workspace earned.
     """
 
     worth: float
@@ -283,7 +300,7 @@
 
 
 class Day:
-    """One day of one load."""
+    """A simulation of one day of a load."""
 
     def __init__(
         self,
@@ -293,25 +310,29 @@
         seed: int,
         disabled: frozenset[str],
     ) -> None:
-        """Draw the day."""
-        self._source = random.Random(seed)  # noqa: S311
+        """Draw the day's jobs, drains and takeovers.
+
+        :param seed: of all random draws.
+        :param disabled: mechanisms that are switched off.
+        """
+        self._rng = random.Random(seed)  # noqa: S311
         self._load = load
         self._workspaces = [f't{one}' for one in range(len(load.workspaces))]
         self._stops = 0
-        self._looked_at_s: dict[str, float] = {}
+        self._probed_at_s: dict[str, float] = {}
         self._windows = ReservationWindows()
         self._backlog = BacklogCursor()
         self._disabled = disabled
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self._round_due = False
         self._jobs: dict[str, ActiveJob] = {}
-        self._drawn: dict[str, Drawn] = {}
-        self._work: dict[str, float] = {}
-        self._done_s: dict[str, float] = {}
-        self._left_s: dict[TaskKey, float] = {}
-        self._failed: set[str] = set()
+        self._drawn_jobs: dict[str, DrawnJob] = {}
+        self._work_core_s: dict[str, float] = {}
+        self._completed_at_s: dict[str, float] = {}
+        self._remaining_s: dict[TaskKey, float] = {}
+        self._failed_jobs: set[str] = set()
         self._wasted_core_s = 0.0
         self._useful_core_s = 0.0
         self._starts = 0
@@ -322,7 +343,7 @@
                 service=SERVICE,
                 address='',
                 data_centre='dc',
-                capacity=load.room,
+                capacity=load.worker_capacity,
                 labels=('a', f'r{number // per_rack}'),
             )
             for number in range(workers)
@@ -331,28 +352,28 @@
             name: load.speeds[number % len(load.speeds)]
             for number, name in enumerate(self._entries)
         }
-        self._typical = statistics.median(self._speeds.values())
+        self._median_speed = statistics.median(self._speeds.values())
         self._runs: dict[str, list[Run]] = {one: [] for one in self._entries}
-        self._leaving: dict[str, float] = {}
+        self._draining: dict[str, float] = {}
         self._memory: dict[str, Any] = {}
         self._draw_arrivals(load, workers)
-        self._draw_leavings(load, workers)
+        self._draw_drains(load, workers)
         for at_s, within_s in load.takeovers:
-            self._at(at_s, partial(self._take_over, within_s))
+            self._schedule(at_s, partial(self._begin_takeover, within_s))
 
     def play(self) -> Outcome:
-        """Play the day to its end and return what it brought."""
+        """Run the simulation to its end and return its results."""
         while self._events:
             at_s, _, action = heapq.heappop(self._events)
-            if at_s > DAY_S + DRAIN_S:
+            if at_s > DAY_S + COMPLETION_S:
                 break
             self._now_s = at_s
             action()
         return self._outcome()
 
-    def _at(self, at_s: float, action: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (at_s, self._count, action))
+    def _schedule(self, at_s: float, action: Callable[[], None]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at_s, self._event_count, action))
 
     def _draw_arrivals(self, load: Load, workers: int) -> None:
         for kind in load.kinds:
@@ -361,31 +382,33 @@
                 rate = load.rate * kind.per_worker_s * workers
                 if kind.priority == 0:
                     rate *= _burst_at(load, at_s)
-                at_s += self._source.expovariate(rate)
+                at_s += self._rng.expovariate(rate)
                 self._draw_job(kind, at_s)
 
     def _draw_job(self, kind: Kind, at_s: float) -> None:
-        source = self._source
-        job_id = f'j{len(self._drawn)}'
-        run_s = min(source.lognormvariate(0, kind.spread) * kind.run_s, 11.0)
-        gpus = source.choice(kind.gpus)
-        width = min(int(source.expovariate(1 / kind.width)) + 1, MOST_WIDE)
-        fits = width * gpus <= self._load.together
+        rng = self._rng
+        job_id = f'j{len(self._drawn_jobs)}'
+        run_s = min(rng.lognormvariate(0, kind.run_s_sigma) * kind.run_s, 11.0)
+        gpus = rng.choice(kind.gpus)
+        width = min(int(rng.expovariate(1 / kind.mean_width)) + 1, MAX_WIDTH)
+        fits = width * gpus <= self._load.max_gpus
         step = Step(
             width=width if fits else 1,
             needs=Resources(kind.cpu_millis, kind.memory_mb, gpus),
-            estimate_s=run_s * source.lognormvariate(0, ESTIMATE_SPREAD),
+            estimate_s=run_s * rng.lognormvariate(0, ESTIMATE_SIGMA),
             gang=kind.gang,
-            same_rack=source.random() < kind.same_rack_share
-            and width * gpus <= MOST_GPUS_TOGETHER,
-            checkpointable=source.random() < kind.checkpoint_share,
+            same_rack=rng.random() < kind.same_rack_share
+            and width * gpus <= MAX_GPUS_PER_JOB,
+            checkpointable=rng.random() < kind.checkpoint_share,
         )
-        fails_at = source.random()
-        if source.random() > kind.fails_share:
-            fails_at = math.inf
+        fails_at_share = rng.random()
+        if rng.random() > kind.failing_share:
+            fails_at_share = math.inf
         workspace = self._draw_workspace()
-        self._drawn[job_id] = Drawn(kind, run_s, at_s, fails_at, workspace)
-        self._work[job_id] = step.width * step.needs.weight_cores * run_s
+        self._drawn_jobs[job_id] = DrawnJob(
+            kind, run_s, at_s, fails_at_share, workspace
+        )
+        self._work_core_s[job_id] = step.width * step.needs.weight_cores * run_s
         queue = Queue(
             name=f'q{kind.priority}',
             host='',
@@ -404,63 +427,63 @@
             steps=(step,),
             accepted_at_s=NOW_S + at_s,
         )
-        self._at(at_s, lambda: self._accept(spec))
+        self._schedule(at_s, lambda: self._accept(spec))
 
     def _draw_workspace(self) -> str:
         shares = self._load.workspaces
         if len(set(shares)) == 1:
-            return self._workspaces[self._source.randrange(len(shares))]
-        return self._source.choices(self._workspaces, shares)[0]
+            return self._workspaces[self._rng.randrange(len(shares))]
+        return self._rng.choices(self._workspaces, shares)[0]
 
-    def _take_over(self, within_s: float) -> None:
-        """Let a leader begin that has looked at no worker yet."""
+    def _begin_takeover(self, within_s: float) -> None:
+        """Begin the term of a leader that has probed no worker yet."""
         for worker_id in self._entries:
-            at_s = self._now_s + self._source.uniform(0, within_s)
-            self._looked_at_s[worker_id] = at_s
-            self._at(at_s, self._want_round)
+            at_s = self._now_s + self._rng.uniform(0, within_s)
+            self._probed_at_s[worker_id] = at_s
+            self._schedule(at_s, self._request_round)
 
-    def _draw_leavings(self, load: Load, workers: int) -> None:
-        for at_s, share, notice_s in load.leaving:
-            chosen = self._source.sample(
+    def _draw_drains(self, load: Load, workers: int) -> None:
+        for at_s, share, notice_s in load.drains:
+            chosen = self._rng.sample(
                 sorted(self._entries), int(share * workers)
             )
             for worker_id in chosen:
-                self._at(at_s, partial(self._leave, worker_id, notice_s))
+                self._schedule(at_s, partial(self._drain, worker_id, notice_s))
 
     def _accept(self, spec: JobSpec) -> None:
         progress = JobProgress(queue=spec.queue.name, tasks={})
         self._jobs[spec.job_id] = ActiveJob(spec=spec, progress=progress)
-        self._want_round()
+        self._request_round()
 
-    def _known_speed(self, name: str) -> float:
-        """Return a worker's speed as a leader knows it that has learnt."""
+    def _estimated_speed(self, name: str) -> float:
+        """Return a worker's speed as a leader estimates it after some time."""
         if SPEEDS in self._disabled:
             return 1.0
-        return self._speeds[name] / self._typical
+        return self._speeds[name] / self._median_speed
 
-    def _want_round(self) -> None:
+    def _request_round(self) -> None:
         if not self._round_due:
             self._round_due = True
-            self._at(self._now_s + ROUND_S, self._round)
+            self._schedule(self._now_s + MIN_ROUND_INTERVAL_S, self._run_round)
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         self._round_due = False
         for runs in self._runs.values():
             for run in runs:
                 run.age_s = max(0.0, self._now_s - run.started_s)
-        rooms = [
+        capacities = [
             WorkerCapacity(
                 entry=self._entries[name],
                 runs=runs,
                 failure_score=0.0,
-                speed=self._known_speed(name),
+                speed=self._estimated_speed(name),
             )
             for name, runs in self._runs.items()
-            if name not in self._leaving
-            and self._looked_at_s.get(name, 0.0) <= self._now_s
+            if name not in self._draining
+            and self._probed_at_s.get(name, 0.0) <= self._now_s
         ]
         planner = Planner(
-            workers={SERVICE: rooms},
+            workers={SERVICE: capacities},
             guaranteed=self._guaranteed(),
             now_s=NOW_S + self._now_s,
             tickets=lambda job, ready: {},
@@ -479,20 +502,22 @@
                 placement.job, placement.ready.step, dict(placement.workers)
             )
         if any(not job.runs for job in self._jobs.values()):
-            self._at(self._now_s + WAITING_ROUND_S, self._want_round)
+            self._schedule(
+                self._now_s + WAITING_ROUND_INTERVAL_S, self._request_round
+            )
 
     def _guaranteed(self) -> dict[str, int]:
-        """Return half of all accelerators, in equal parts."""
-        workers = len(self._entries) - len(self._leaving)
+        """Guarantee half of all accelerators, in equal parts."""
+        workers = len(self._entries) - len(self._draining)
         part = 4 * workers // len(self._workspaces)
         return dict.fromkeys(self._workspaces, part)
 
     def _start(
         self, job: ActiveJob, step: Step, workers: dict[TaskKey, str]
     ) -> None:
-        drawn = self._drawn[job.spec.job_id]
+        drawn = self._drawn_jobs[job.spec.job_id]
         racks = {self._entries[name].rack for name in workers.values()}
-        factor = FAR_FACTOR if step.same_rack and len(racks) > 1 else 1.0
+        factor = CROSS_RACK_FACTOR if step.same_rack and len(racks) > 1 else 1.0
         job.progress.state = 'running'
         self._starts += len(workers)
         started = []
@@ -505,7 +530,7 @@
                 priority=job.spec.queue.priority,
                 checkpointable=step.checkpointable,
                 state=RUNNING,
-                now_s=self._now_s + START_S,
+                now_s=self._now_s + START_DELAY_S,
                 estimate_s=step.estimate_s,
             )
             task = job.progress.task(key)
@@ -521,19 +546,21 @@
                 self._schedule_end(job, [run], drawn, factor)
 
     def _schedule_end(
-        self, job: ActiveJob, runs: list[Run], drawn: Drawn, factor: float
+        self, job: ActiveJob, runs: list[Run], drawn: DrawnJob, factor: float
     ) -> None:
-        left_s = self._left_s.get(runs[0].key, drawn.run_s)
+        remaining_s = self._remaining_s.get(runs[0].key, drawn.run_s)
         speed = min(self._speeds[run.worker_id] for run in runs)
-        takes_s = left_s * factor / speed
-        if left_s < drawn.run_s:
-            takes_s += RESTORE_S
-        began_s = self._now_s + START_S
-        fails_s = drawn.fails_at * takes_s
-        if job.spec.job_id not in self._failed and fails_s < takes_s:
-            self._at(began_s + fails_s, lambda: self._fail(job, runs))
+        duration_s = remaining_s * factor / speed
+        if remaining_s < drawn.run_s:
+            duration_s += RESTORE_S
+        began_s = self._now_s + START_DELAY_S
+        fails_s = drawn.fails_at_share * duration_s
+        if job.spec.job_id not in self._failed_jobs and fails_s < duration_s:
+            self._schedule(began_s + fails_s, lambda: self._fail(job, runs))
         else:
-            self._at(began_s + takes_s, lambda: self._finish(job, runs))
+            self._schedule(
+                began_s + duration_s, lambda: self._finish(job, runs)
+            )
 
     def _finish(self, job: ActiveJob, runs: list[Run]) -> None:
         if not all(job.runs.get(run.key) is run for run in runs):
@@ -544,81 +571,85 @@
             self._useful_core_s += run.needs.weight_cores * (
                 self._now_s - run.started_s
             )
-            self._free(job, run)
+            self._release_run(job, run)
             job.progress.task(run.key).done = True
         if job.check_completed(self._now_s):
-            self._done_s[job.spec.job_id] = self._now_s
+            self._completed_at_s[job.spec.job_id] = self._now_s
             self._jobs.pop(job.spec.job_id)
-        self._want_round()
+        self._request_round()
 
     def _fail(self, job: ActiveJob, runs: list[Run]) -> None:
         if all(job.runs.get(run.key) is run for run in runs):
-            self._failed.add(job.spec.job_id)
+            self._failed_jobs.add(job.spec.job_id)
             for run in runs:
-                self._throw_away(job, run)
+                self._abort_run(job, run)
 
     def _stop(self, run: Run) -> None:
         run.stop_wanted = True
         self._stops += 1
         job = self._jobs[run.key.job_id]
-        self._at(self._now_s + STOP_S, lambda: self._throw_away(job, run))
+        self._schedule(
+            self._now_s + STOP_DELAY_S, lambda: self._abort_run(job, run)
+        )
 
-    def _throw_away(self, job: ActiveJob, run: Run) -> None:
+    def _abort_run(self, job: ActiveJob, run: Run) -> None:
         if job.runs.get(run.key) is not run:
             return
         ran_s = max(0.0, self._now_s - run.started_s)
         if run.checkpointable and run.stop_wanted:
-            drawn = self._drawn[job.spec.job_id]
-            left_s = self._left_s.get(run.key, drawn.run_s)
+            drawn = self._drawn_jobs[job.spec.job_id]
+            remaining_s = self._remaining_s.get(run.key, drawn.run_s)
             done_s = ran_s * self._speeds[run.worker_id]
-            self._left_s[run.key] = max(0.05, left_s - done_s)
+            self._remaining_s[run.key] = max(0.05, remaining_s - done_s)
             ran_s = min(ran_s, 0.3)
         self._wasted_core_s += run.needs.weight_cores * ran_s
-        self._free(job, run)
-        self._want_round()
+        self._release_run(job, run)
+        self._request_round()
 
-    def _free(self, job: ActiveJob, run: Run) -> None:
+    def _release_run(self, job: ActiveJob, run: Run) -> None:
         job.runs.pop(run.key)
         job.progress.task(run.key).worker = ''
         self._runs[run.worker_id].remove(run)
 
-    def _leave(self, worker_id: str, notice_s: float) -> None:
-        self._leaving[worker_id] = self._now_s + notice_s
-        self._at(self._now_s + notice_s, lambda: self._gone(worker_id))
+    def _drain(self, worker_id: str, notice_s: float) -> None:
+        self._draining[worker_id] = self._now_s + notice_s
+        self._schedule(
+            self._now_s + notice_s, lambda: self._remove_worker(worker_id)
+        )
 
-    def _gone(self, worker_id: str) -> None:
+    def _remove_worker(self, worker_id: str) -> None:
         for run in list(self._runs[worker_id]):
             job = self._jobs[run.key.job_id]
             for key in job.members_of(run.key):
-                fellow = job.runs.get(key)
-                if fellow is not None:
-                    self._throw_away(job, fellow)
+                member = job.runs.get(key)
+                if member is not None:
+                    self._abort_run(job, member)
 
     def _outcome(self) -> Outcome:
-        owed: dict[int, float] = defaultdict(float)
+        possible: dict[int, float] = defaultdict(float)
         earned: dict[int, float] = defaultdict(float)
         means = {
             kind.priority: statistics.fmean(
-                self._work[job_id]
-                for job_id, drawn in self._drawn.items()
+                self._work_core_s[job_id]
+                for job_id, drawn in self._drawn_jobs.items()
                 if drawn.kind is kind
             )
             for kind in self._load.kinds
         }
-        owed_to: dict[str, float] = defaultdict(float)
-        earned_by: dict[str, float] = defaultdict(float)
-        for job_id, drawn in self._drawn.items():
-            share = self._work[job_id] / means[drawn.kind.priority]
+        possible_by_workspace: dict[str, float] = defaultdict(float)
+        earned_by_workspace: dict[str, float] = defaultdict(float)
+        for job_id, drawn in self._drawn_jobs.items():
+            share = self._work_core_s[job_id] / means[drawn.kind.priority]
             size = min(0.3 + 0.7 * share, 4.0)
-            owed[drawn.kind.priority] += size * drawn.kind.worth
+            possible[drawn.kind.priority] += size * drawn.kind.worth
             gain = size * self._earned(job_id, drawn)
             earned[drawn.kind.priority] += gain
-            owed_to[drawn.workspace] += size * drawn.kind.worth
-            earned_by[drawn.workspace] += gain
-        total = sum(owed.values())
-        waste = WASTE_PRICE * self._wasted_core_s / total
+            possible_by_workspace[drawn.workspace] += size * drawn.kind.worth
+            earned_by_workspace[drawn.workspace] += gain
+        total = sum(possible.values())
+        waste = WASTE_PENALTY * self._wasted_core_s / total
         credit = sum(earned.values()) / total
-        shares = [earned[one] / owed[one] for one in sorted(owed)]
+        shares = [earned[one] / possible[one] for one in sorted(possible)]
         return Outcome(
             worth=0.7 * credit + 0.3 * min(shares) - waste,
             credit=credit,
@@ -627,28 +658,29 @@
             low=shares[2],
             wasted_share=self._wasted_core_s
             / (self._wasted_core_s + self._useful_core_s),
-            starts_a_job=self._starts / len(self._drawn),
+            starts_a_job=self._starts / len(self._drawn_jobs),
             stops=self._stops,
             late_middle=self._late_share(1),
             worst_workspace=min(
-                earned_by[one] / owed_to[one] for one in owed_to
+                earned_by_workspace[one] / possible_by_workspace[one]
+                for one in possible_by_workspace
             ),
         )
 
     def _late_share(self, priority: int) -> float:
         late = [
             self._earned(job_id, drawn) < drawn.kind.worth
-            for job_id, drawn in self._drawn.items()
+            for job_id, drawn in self._drawn_jobs.items()
             if drawn.kind.priority == priority
         ]
         return sum(late) / len(late)
 
-    def _earned(self, job_id: str, drawn: Drawn) -> float:
-        done_s = self._done_s.get(job_id, math.inf)
+    def _earned(self, job_id: str, drawn: DrawnJob) -> float:
+        done_s = self._completed_at_s.get(job_id, math.inf)
         objective_s = drawn.objective_s()
         if done_s <= objective_s:
             return drawn.kind.worth
-        late_s = LATE_UNTIL * (objective_s - drawn.arrives_s)
+        late_s = LATE_CREDIT_FACTOR * (objective_s - drawn.arrives_s)
         if done_s <= drawn.arrives_s + late_s:
             return drawn.kind.late_worth
         return 0.0
@@ -667,7 +699,7 @@
     seeds: int,
     disabled: frozenset[str],
 ) -> list[Outcome]:
-    """Return the outcomes of days with some mechanisms switched off."""
+    """Return the results of days with some mechanisms disabled."""
     return [
         Day(load=load, workers=workers, seed=seed, disabled=disabled).play()
         for seed in range(seeds)
@@ -678,7 +710,7 @@
     ours: list[Outcome],
     theirs: list[Outcome],
 ) -> tuple[float, float]:
-    """Return the mean of the paired differences in worth, and its error."""
+    """Return the mean paired difference in worth, and its standard error."""
     pairs = [
         one.worth - other.worth for one, other in zip(ours, theirs, strict=True)
     ]
@@ -693,7 +725,7 @@
     without: str = '',
     out: str = '',
 ) -> None:
-    """Play loads, and once more without each named mechanism."""
+    """Simulate loads, and again without each named mechanism."""
     results: dict[str, Any] = {}
     for name in loads.split(','):
         base = compare(LOADS[name], workers, seeds, frozenset())
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,10 +1,10 @@
-"""Every measurement of the quick lane and of placement: ``make bench``."""
+"""Runs all measurements of the quick lane and of placement: ``make bench``."""
 
 from bench import decisions, placement, quick
 
 
 def main() -> None:
-    """Run them one after the other."""
+    """Run the measurements sequentially."""
     quick.main()
     decisions.main()
     placement.main()
