--- a/bench/proxy.py
+++ b/bench/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, slows, resets, cuts or silences a peer."""
+"""A loopback proxy that delays, throttles, resets or drops data of a peer."""
 
 import asyncio
 import math
@@ -17,31 +17,34 @@
     'mute',
 ]
 
-#: What the ``delay`` mode adds to each piece of data, in seconds.
+#: The delay of each chunk in the ``delay`` mode, in seconds.
 DELAY_S: Final = 0.15
 
-#: What the ``slow`` mode lets through, in bytes a second and connection.
+#: The throughput of a connection in the ``slow`` mode, in bytes per second.
 SLOW_BYTES_PER_S: Final = 5e6 / 8
 
-PIECE_BYTES: Final = 16_384
+CHUNK_BYTES: Final = 16_384
 
 
 class Proxy:
-    """Forwards one port of this machine to another address.
+    """Forwards connections from a port of this machine to another address.
 
-    :param mode: what happens to connections and data from now on; ``mute``:
-        those open by now are silent for good, new ones pass.
+    :param mode: the fault that applies to connections and data: ``silent``
+        drops all data, ``one_way`` drops data to the clients, and ``mute``
+        drops all data of the connections that are open when it is set, for as
+        long as they last, and affects no later ones.
+    :param mode_changed_s: when the mode was last set, as uptime in seconds.
     """
 
     def __init__(self, *, target: str) -> None:
-        """Listen nowhere yet."""
+        """Initialize without listening; open() begins to listen."""
         self.mode: Mode = 'pass'
-        self.changed_s = -math.inf
+        self.mode_changed_s = -math.inf
         self.address = ''
         ip, port = target.rsplit(':', 1)
         self._target = (ip, int(port))
         self._writers: set[asyncio.StreamWriter] = set()
-        self._muted: set[asyncio.StreamWriter] = set()
+        self._silenced: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -54,19 +57,19 @@
         ip, port = self._server.sockets[0].getsockname()
         self.address = f'{ip}:{port}'
 
-    def change(self, mode: Mode) -> None:
-        """Change the mode; ``reset`` also cuts what is open."""
+    def set_mode(self, mode: Mode) -> None:
+        """Set the mode; ``reset`` also aborts all open connections."""
         self.mode = mode
-        self.changed_s = uptime_s()
+        self.mode_changed_s = uptime_s()
         if mode == 'mute':
-            self._muted.update(self._writers)
+            self._silenced.update(self._writers)
         if mode == 'reset':
             for writer in list(self._writers):
                 writer.transport.abort()
 
     async def close(self) -> None:
-        """Listen no more, and cut what is open."""
-        self.change('reset')
+        """Stop listening and abort all open connections."""
+        self.set_mode('reset')
         if self._server is not None:
             self._server.close()
 
@@ -79,42 +82,42 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 *self._target,
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers.update((writer, far_writer))
+        self._writers.update((writer, target_writer))
         await asyncio.gather(
-            self._copy(reader, far_writer, back=False),
-            self._copy(far_reader, writer, back=True),
+            self._copy(reader, target_writer, to_client=False),
+            self._copy(target_reader, writer, to_client=True),
         )
-        self._writers.difference_update((writer, far_writer))
-        self._muted.difference_update((writer, far_writer))
+        self._writers.difference_update((writer, target_writer))
+        self._silenced.difference_update((writer, target_writer))
 
-    def _swallows(self, writer: asyncio.StreamWriter, *, back: bool) -> bool:
-        """Return whether data towards a writer is lost."""
-        if self.mode == 'silent' or writer in self._muted:
+    def _drops(self, writer: asyncio.StreamWriter, *, to_client: bool) -> bool:
+        """Return whether data for a writer is dropped."""
+        if self.mode == 'silent' or writer in self._silenced:
             return True
-        return back and self.mode == 'one_way'
+        return to_client and self.mode == 'one_way'
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        to_client: bool,
     ) -> None:
         with suppress(OSError):
-            while piece := await reader.read(PIECE_BYTES):
+            while chunk := await reader.read(CHUNK_BYTES):
                 if self.mode == 'delay':
                     await asyncio.sleep(DELAY_S)
                 if self.mode == 'slow':
-                    await asyncio.sleep(len(piece) / SLOW_BYTES_PER_S)
-                if self._swallows(writer, back=back):
+                    await asyncio.sleep(len(chunk) / SLOW_BYTES_PER_S)
+                if self._drops(writer, to_client=to_client):
                     continue
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
         writer.close()
 
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""The callers of a soak: they hand in jobs and keep what they were told."""
+"""The callers of a soak, which submit jobs and record the responses."""
 
 import asyncio
 import random
@@ -6,106 +6,111 @@
 
 import aiohttp
 
-#: Callers that keep to one connection for as long as it stays open.
-FAITHFUL_CALLERS: Final = 3
+#: How many callers use one connection for as long as it stays open.
+PERSISTENT_CALLERS: Final = 3
 
-#: How long a caller waits for an answer, in seconds.
-PATIENCE_S: Final = 3.0
+#: How long a caller waits for a response, in seconds.
+REQUEST_TIMEOUT_S: Final = 3.0
 
-TRIES: Final = 5
+MAX_ATTEMPTS: Final = 5
 
 _OK: Final = 200
 _REFUSED: Final = 503
 
 
 class SoakCallers:
-    """Hands in jobs until it is told to stop.
+    """Submits jobs until it is stopped.
 
-    :param jobs: all jobs that were handed in, by their ids.
+    :param jobs: all submitted jobs by their ids.
     :param accepted: jobs that a host accepted.
-    :param refused: jobs of which every answer said that they had not run.
-    :param stopped: set once no new job is to be handed in.
+    :param refused: jobs that were refused by the response to each attempt.
+    :param stopped: set once no further job is to be submitted.
     """
 
-    def __init__(self, *, addresses: list[str], drawn: random.Random) -> None:
-        """Start with no job handed in."""
+    def __init__(self, *, addresses: list[str], rng: random.Random) -> None:
+        """Initialize without submitted jobs."""
         self.jobs: dict[str, dict[str, Any]] = {}
         self.accepted: set[str] = set()
         self.refused: set[str] = set()
         self.stopped = asyncio.Event()
         self._addresses = addresses
-        self._drawn = drawn
+        self._rng = rng
 
     async def run(self) -> None:
-        """Call until stopped; return once each caller has its answer."""
+        """Submit jobs until stopped, and wait for the last responses."""
         async with asyncio.TaskGroup() as callers:
-            callers.create_task(self._call_anywhere())
-            for number in range(FAITHFUL_CALLERS):
-                callers.create_task(self._call_faithfully(number + 1))
+            callers.create_task(self._submit_to_any_host())
+            for number in range(PERSISTENT_CALLERS):
+                callers.create_task(self._submit_persistently(number + 1))
 
-    async def state(self, job_id: str) -> str:
-        """Return a job's state as some host tells it, or nothing."""
+    async def get_state(self, job_id: str) -> str:
+        """Return a job's state from the first host that responds, or ''."""
         async with open_session() as session:
             for host in self._addresses:
-                state = await _get_state(session, host, job_id)
+                state = await _fetch_state(session, host, job_id)
                 if state:
                     return state
         return ''
 
-    async def _call_anywhere(self) -> None:
-        """Hand in jobs over shared connections, some at several hosts."""
+    async def _submit_to_any_host(self) -> None:
+        """Submit jobs over shared connections, some to several hosts."""
         async with open_session() as session, asyncio.TaskGroup() as callers:
             number = 0
             while not self.stopped.is_set():
                 number += 1
                 job_id = f'{number:016x}'
-                callers.create_task(self._hand_in(session, job_id))
-                await asyncio.sleep(self._drawn.uniform(0.05, 0.3))
+                callers.create_task(self._submit(session, job_id))
+                await asyncio.sleep(self._rng.uniform(0.05, 0.3))
 
-    async def _call_faithfully(self, caller: int) -> None:
-        """Use one connection to a host until the host ends it, and again."""
+    async def _submit_persistently(self, caller: int) -> None:
+        """Submit jobs over one connection after another.
+
+        Each is used until the host closes it.
+        """
         number = 0
         while not self.stopped.is_set():
             async with open_session(connections=1) as session:
-                number = await self._use(session, caller, number)
+                number = await self._submit_over_connection(
+                    session, caller, number
+                )
             await asyncio.sleep(0.2)
 
-    async def _use(
+    async def _submit_over_connection(
         self,
         session: aiohttp.ClientSession,
         caller: int,
         number: int,
     ) -> int:
-        """Hand in jobs at one host; return the number of the last."""
-        host = self._drawn.choice(self._addresses)
-        answer = _OK
-        while answer and not self.stopped.is_set():
+        """Submit jobs to one host; return the number of the last job."""
+        host = self._rng.choice(self._addresses)
+        status = _OK
+        while status and not self.stopped.is_set():
             number += 1
             job_id = f'{caller:04x}{number:012x}'
-            job = self._new_job(job_id)
-            answer = await self._post(session, host, job_id, job)
-            if answer == _OK:
+            job = self._draw_job(job_id)
+            status = await self._post(session, host, job_id, job)
+            if status == _OK:
                 self.accepted.add(job_id)
-            elif answer == _REFUSED:
+            elif status == _REFUSED:
                 self.refused.add(job_id)
-            await asyncio.sleep(self._drawn.uniform(0.1, 0.6))
+            await asyncio.sleep(self._rng.uniform(0.1, 0.6))
         return number
 
-    async def _hand_in(
+    async def _submit(
         self,
         session: aiohttp.ClientSession,
         job_id: str,
     ) -> None:
-        job = self._new_job(job_id)
-        answers = set()
-        for _ in range(TRIES):
-            host = self._drawn.choice(self._addresses)
-            answers.add(await self._post(session, host, job_id, job))
-            if _OK in answers:
+        job = self._draw_job(job_id)
+        statuses = set()
+        for _ in range(MAX_ATTEMPTS):
+            host = self._rng.choice(self._addresses)
+            statuses.add(await self._post(session, host, job_id, job))
+            if _OK in statuses:
                 self.accepted.add(job_id)
                 return
             await asyncio.sleep(0.2)
-        if answers == {_REFUSED}:
+        if statuses == {_REFUSED}:
             self.refused.add(job_id)
 
     async def _post(
@@ -115,43 +120,43 @@
         job_id: str,
         job: dict[str, Any],
     ) -> int:
-        """Hand a job in once; return the status, or 0 without an answer."""
+        """Submit a job once; return the status, or 0 without a response."""
         try:
             async with session.post(
-                _path(host, job_id),
+                _job_url(host, job_id),
                 json=job,
             ) as response:
                 return response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0
 
-    def _new_job(self, job_id: str) -> dict[str, Any]:
-        """Draw a job and keep it."""
+    def _draw_job(self, job_id: str) -> dict[str, Any]:
+        """Draw and record a job."""
         step = {
-            'count': self._drawn.randint(1, 3),
+            'count': self._rng.randint(1, 3),
             'cpu': 500,
             'mem_mb': 64,
-            'gpu': self._drawn.choice((1, 2, 4)),
+            'gpu': self._rng.choice((1, 2, 4)),
             'estimate_ms': 500,
-            'gang': self._drawn.choice((True, False, False)),
+            'gang': self._rng.choice((True, False, False)),
         }
         self.jobs[job_id] = {'spec': 'text', 'steps': [step]}
         return self.jobs[job_id]
 
 
-def _path(host: str, job_id: str) -> str:
-    """Return where a host takes a job in and tells its state."""
+def _job_url(host: str, job_id: str) -> str:
+    """Return the URL at which a host accepts a job and returns its state."""
     return f'{host}/q{int(job_id, 16) % 3}/{job_id}'
 
 
-async def _get_state(
+async def _fetch_state(
     session: aiohttp.ClientSession,
     host: str,
     job_id: str,
 ) -> str:
-    """Return a job's state as one host tells it, or nothing."""
+    """Return a job's state from one host, or '' without a response."""
     try:
-        async with session.get(_path(host, job_id)) as response:
+        async with session.get(_job_url(host, job_id)) as response:
             fields = await response.json()
     except (aiohttp.ClientError, TimeoutError, OSError):
         return ''
@@ -159,12 +164,12 @@
 
 
 def open_session(connections: int = 100) -> aiohttp.ClientSession:
-    """Return a session of a caller with so many connections at most."""
+    """Return a caller's session with a limited number of connections."""
     return aiohttp.ClientSession(
         headers={'Host': 'jobs.example'},
-        timeout=aiohttp.ClientTimeout(total=PATIENCE_S),
+        timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S),
         connector=aiohttp.TCPConnector(limit=connections),
     )
 
 
-__all__ = ('FAITHFUL_CALLERS', 'SoakCallers', 'open_session')
+__all__ = ('PERSISTENT_CALLERS', 'SoakCallers', 'open_session')
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""What a soak may inject, by name."""
+"""The faults that a soak injects, by name."""
 
 import asyncio
 import random
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from bench.proxy import Mode, Proxy
-from bench.soak_workers import DATA_CENTRES, ROOM
+from bench.soak_workers import DATA_CENTRES, WORKER_CAPACITY
 
 if TYPE_CHECKING:
     from bench.soak_hosts import Soak
 
 Fault = Callable[['Soak'], Coroutine[Any, Any, None]]
 
-#: All faults; a name leads to what it does.
+#: All faults by name: that of the function that injects the fault.
 FAULTS: Final[dict[str, Fault]] = {}
 
 MODES: Final[tuple[Mode, ...]] = (
@@ -26,201 +26,203 @@
     'mute',
 )
 
-#: Tasks of one soak that crash their workers: each takes some down.
-MOST_CRASHING: Final = 3
+#: How many tasks of one soak may crash their workers; each of them crashes
+#: several.
+MAX_CRASHING_TASKS: Final = 3
 
-#: The longest times between crashes of workers, in seconds; a soak has one.
-CRASH_PAUSES_S: Final = (1.0, 2.0, 6.0)
+#: The longest time between two crashes of workers, in seconds; each soak draws
+#: one of these.
+MAX_CRASH_PAUSES_S: Final = (1.0, 2.0, 6.0)
 
-#: What another writer may put in place of a worker's entry.
+#: Invalid contents of a worker's entry.
 BAD_ENTRIES: Final = (b'', b'\xff', b'[]', b'{}', b'{"service": ["calc"]}')
 
 
-def fault(inject: Fault) -> Fault:
-    """Add a fault under the name of its function."""
+def register_fault(inject: Fault) -> Fault:
+    """Register a fault under the name of its function."""
     FAULTS[inject.__name__] = inject
     return inject
 
 
-@fault
+@register_fault
 async def kill(soak: 'Soak') -> None:
-    """Kill a host and start it again."""
+    """Kill a host and restart it."""
     number = soak.draw_host()
     soak.signal(number, signal.SIGKILL)
     await soak.restart(number)
 
 
-@fault
+@register_fault
 async def stop(soak: 'Soak') -> None:
-    """Stop a host as planned and start it again."""
+    """Shut a host down gracefully and restart it."""
     number = soak.draw_host()
     soak.signal(number, signal.SIGTERM)
     await soak.restart(number)
 
 
-@fault
+@register_fault
 async def pause(soak: 'Soak') -> None:
-    """Let a host stand still for a while."""
+    """Pause a host for a while."""
     process = soak.processes[soak.draw_host()]
     if process.returncode is None:
         process.send_signal(signal.SIGSTOP)
-    await asyncio.sleep(soak.random.uniform(0.3, 5.0))
+    await asyncio.sleep(soak.rng.uniform(0.3, 5.0))
     if process.returncode is None:
         process.send_signal(signal.SIGCONT)
 
 
-@fault
+@register_fault
 async def reload_settings(soak: 'Soak') -> None:
-    """Have a host read its settings again."""
+    """Make a host reload its settings."""
     soak.signal(soak.draw_host(), signal.SIGHUP)
 
 
-@fault
+@register_fault
 async def store_link(soak: 'Soak') -> None:
-    """Disturb one host's link to the store."""
-    await _disturb(soak, [soak.random.choice(soak.store_proxies)])
+    """Disturb one host's connections to the store."""
+    await _disturb(soak, [soak.rng.choice(soak.store_proxies)])
 
 
-@fault
+@register_fault
 async def store_away(soak: 'Soak') -> None:
-    """Disturb every host's link to the store."""
+    """Disturb every host's connections to the store."""
     await _disturb(soak, soak.store_proxies)
 
 
-@fault
+@register_fault
 async def store_history(soak: 'Soak') -> None:
-    """Have the store forget its history."""
+    """Truncate the store's history."""
     soak.rows.forget_history()
 
 
-@fault
+@register_fault
 async def configuration(soak: 'Soak') -> None:
     """Change the configuration, once or in quick succession."""
-    for _ in range(soak.random.choice((1, 3))):
-        soak.configure()
+    for _ in range(soak.rng.choice((1, 3))):
+        soak.write_configuration()
         await asyncio.sleep(0.05)
 
 
-@fault
+@register_fault
 async def large_configuration(soak: 'Soak') -> None:
-    """Have the configuration grow by many queues, or shrink again."""
-    soak.revisions.padding = soak.random.choice((0, 500, 2000))
-    soak.configure()
+    """Add many unused queues to the configuration, or remove them again."""
+    soak.revisions.unused_queues = soak.rng.choice((0, 500, 2000))
+    soak.write_configuration()
 
 
-@fault
+@register_fault
 async def configuration_unread(soak: 'Soak') -> None:
     """Change the configuration while no host can read it."""
     soak.store.unresponsive_tables.add('op')
-    await asyncio.sleep(soak.random.uniform(0.5, 1.5))
-    soak.configure()
-    await asyncio.sleep(soak.random.uniform(0.5, 6.0))
+    await asyncio.sleep(soak.rng.uniform(0.5, 1.5))
+    soak.write_configuration()
+    await asyncio.sleep(soak.rng.uniform(0.5, 6.0))
     soak.store.unresponsive_tables.clear()
 
 
-@fault
+@register_fault
 async def worker_link(soak: 'Soak') -> None:
-    """Disturb the link to a worker."""
-    await _disturb(soak, [soak.workers.proxies[soak.workers.draw()]])
+    """Disturb all connections to a worker."""
+    await _disturb(soak, [soak.workers.proxies[soak.workers.draw_worker()]])
 
 
-@fault
+@register_fault
 async def worker_replaced(soak: 'Soak') -> None:
-    """Let a worker go, and another id come."""
-    await soak.workers.replace(soak.workers.draw())
+    """Replace a worker by one with another id."""
+    await soak.workers.replace(soak.workers.draw_worker())
 
 
-@fault
+@register_fault
 async def worker_restarts(soak: 'Soak') -> None:
-    """Start again under the id, once or twice, listed at once or late."""
-    name = soak.workers.draw()
+    """Restart a worker under its id once or twice, listed at once or late."""
+    name = soak.workers.draw_worker()
     model = soak.workers.model(name)
-    for _ in range(soak.random.choice((1, 1, 2))):
+    for _ in range(soak.rng.choice((1, 1, 2))):
         model.restart()
-        await asyncio.sleep(soak.random.choice((0.0, 0.02, 0.4)))
-        soak.workers.list_again(name)
+        await asyncio.sleep(soak.rng.choice((0.0, 0.02, 0.4)))
+        soak.workers.write_current_entry(name)
 
 
-@fault
+@register_fault
 async def worker_restarts_behind_a_cut(soak: 'Soak') -> None:
-    """Start again unseen, listed meanwhile or not."""
-    name = soak.workers.draw()
+    """Restart a worker while it is unreachable, listed meanwhile or not."""
+    name = soak.workers.draw_worker()
     model = soak.workers.model(name)
     proxy = soak.workers.proxies[name]
-    proxy.change('silent')
-    await asyncio.sleep(soak.random.uniform(0.1, 2.0))
+    proxy.set_mode('silent')
+    await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
     model.restart()
-    if soak.random.choice((True, False)):
-        soak.workers.list_again(name)
-    await asyncio.sleep(soak.random.uniform(0.1, 2.0))
-    proxy.change('pass')
-    soak.workers.list_again(name)
+    if soak.rng.choice((True, False)):
+        soak.workers.write_current_entry(name)
+    await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
+    proxy.set_mode('pass')
+    soak.workers.write_current_entry(name)
 
 
-@fault
+@register_fault
 async def worker_fails(soak: 'Soak') -> None:
-    """Have a worker fail all that it runs for a while."""
-    model = soak.workers.model(soak.workers.draw())
+    """Make a worker fail all of its runs for a while."""
+    model = soak.workers.model(soak.workers.draw_worker())
     model.failing = True
-    await asyncio.sleep(soak.random.uniform(0.1, 2.0))
+    await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
     model.failing = False
 
 
-@fault
+@register_fault
 async def task_crashes_workers(soak: 'Soak') -> None:
-    """Have a task that runs crash its worker, and all that start it."""
-    name = soak.workers.draw()
+    """Make a running task crash its worker and all that start it later."""
+    name = soak.workers.draw_worker()
     model = soak.workers.model(name)
-    if model.down or len(soak.workers.crashing) >= MOST_CRASHING:
+    if model.down or len(soak.workers.crashing) >= MAX_CRASHING_TASKS:
         return
     for task, _ in list(model.runs)[:1]:
         soak.workers.crashing.add(task)
-        model.crash_after_s = soak.random.choice((0.0, 0.5, 1.5))
+        model.crash_after_s = soak.rng.choice((0.0, 0.5, 1.5))
         model.crashes.append(task)
         model.crash()
 
 
-@fault
+@register_fault
 async def worker_shrinks(soak: 'Soak') -> None:
-    """Take accelerators from a worker and give them back, once or more."""
-    name = soak.workers.draw()
-    for _ in range(soak.random.choice((1, 3))):
-        soak.workers.resize(name, soak.random.randrange(ROOM.gpus))
-        await asyncio.sleep(soak.random.uniform(0.05, 2.0))
-        soak.workers.resize(name, ROOM.gpus)
-        await asyncio.sleep(soak.random.uniform(0.05, 0.5))
+    """Reduce a worker's accelerators and restore them, once or thrice."""
+    name = soak.workers.draw_worker()
+    for _ in range(soak.rng.choice((1, 3))):
+        soak.workers.resize(name, soak.rng.randrange(WORKER_CAPACITY.gpus))
+        await asyncio.sleep(soak.rng.uniform(0.05, 2.0))
+        soak.workers.resize(name, WORKER_CAPACITY.gpus)
+        await asyncio.sleep(soak.rng.uniform(0.05, 0.5))
 
 
-@fault
+@register_fault
 async def data_centre_closes(soak: 'Soak') -> None:
-    """Evacuate a data centre for a while, at times past the bound."""
-    name = soak.random.choice(DATA_CENTRES)
+    """Evacuate a data centre for a while, at times beyond the bound."""
+    name = soak.rng.choice(DATA_CENTRES)
     soak.closures.close(name)
-    await asyncio.sleep(soak.random.uniform(0.1, 9.0))
+    await asyncio.sleep(soak.rng.uniform(0.1, 9.0))
     soak.closures.open(name)
 
 
-@fault
+@register_fault
 async def bad_entry(soak: 'Soak') -> None:
-    """Write what no worker writes, for a worker or for nobody."""
-    name = soak.random.choice((soak.workers.draw(), 'nobody'))
-    soak.workers.write_entry(name, soak.random.choice(BAD_ENTRIES))
-    await asyncio.sleep(soak.random.uniform(0.1, 3.0))
-    soak.workers.list_again(name)
+    """Write an invalid entry for a worker or for one that doesn't exist."""
+    name = soak.rng.choice((soak.workers.draw_worker(), 'nobody'))
+    soak.workers.write_entry(name, soak.rng.choice(BAD_ENTRIES))
+    await asyncio.sleep(soak.rng.uniform(0.1, 3.0))
+    soak.workers.write_current_entry(name)
 
 
-async def crash_workers(soak: 'Soak', drawn: random.Random) -> None:
-    """Crash some worker again and again, until cancelled."""
-    longest_s = drawn.choice(CRASH_PAUSES_S)
+async def crash_workers(soak: 'Soak', rng: random.Random) -> None:
+    """Crash random workers repeatedly until cancelled."""
+    max_pause_s = rng.choice(MAX_CRASH_PAUSES_S)
     while True:
-        await asyncio.sleep(drawn.uniform(0, longest_s))
-        model = drawn.choice(soak.workers.listed())
+        await asyncio.sleep(rng.uniform(0, max_pause_s))
+        model = rng.choice(soak.workers.listed())
         if not model.down:
             model.crash()
 
 
 async def lose_power(soak: 'Soak') -> None:
-    """Kill all hosts at once and start them again."""
+    """Kill all hosts at once and restart them."""
     hosts = range(len(soak.processes))
     for number in hosts:
         soak.signal(number, signal.SIGKILL)
@@ -228,12 +230,12 @@
 
 
 async def _disturb(soak: 'Soak', proxies: list[Proxy]) -> None:
-    mode = soak.random.choice(MODES)
+    mode = soak.rng.choice(MODES)
     for proxy in proxies:
-        proxy.change(mode)
-    await asyncio.sleep(soak.random.uniform(0.3, 4.0))
+        proxy.set_mode(mode)
+    await asyncio.sleep(soak.rng.uniform(0.3, 4.0))
     for proxy in proxies:
-        proxy.change('pass')
+        proxy.set_mode('pass')
 
 
-__all__ = ('FAULTS', 'Fault', 'crash_workers', 'fault', 'lose_power')
+__all__ = ('FAULTS', 'Fault', 'crash_workers', 'lose_power', 'register_fault')
--- a/bench/soak_gangs.py
+++ b/bench/soak_gangs.py
@@ -1,7 +1,7 @@
-"""Callers of a soak that hand in gangs, and tasks that take long.
+"""Callers of a soak that submit gangs and long tasks.
 
-Some gangs ask for more workers than there are: such a gang may be refused, or
-wait for ever, and must not keep others waiting.
+Some gangs need more workers than there are. Such a gang may be refused or wait
+for ever, and must not delay other jobs.
 """
 
 import asyncio
@@ -9,151 +9,157 @@
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
 
-from bench.soak_callers import FAITHFUL_CALLERS, SoakCallers, open_session
-from bench.soak_workers import ROOM
+from bench.soak_callers import PERSISTENT_CALLERS, SoakCallers, open_session
+from bench.soak_workers import WORKER_CAPACITY
 from curranthill.tasks import TaskKey
 
-#: Job ids begin with the number of their caller.
-CALLER: Final = FAITHFUL_CALLERS + 1
+#: The number of this caller, with which its job ids begin.
+CALLER_NUMBER: Final = PERSISTENT_CALLERS + 1
 
-#: With so many jobs of these callers open they hand in no more, so that all
-#: of them can end soon after the last fault.
-MOST_OPEN: Final = 30
+#: No further job is submitted while so many are open, so that all of them can
+#: end soon after the last fault.
+MAX_OPEN_JOBS: Final = 30
 
-#: The same once the faults are over: so few that most room stays free.
-MOST_OPEN_AFTER: Final = 5
+#: The same limit after the last fault: so low that most capacity stays free.
+MAX_OPEN_JOBS_AFTER_FAULTS: Final = 5
 
-#: The longest pause between two jobs, in seconds.
-PAUSE_S: Final = 0.5
+#: The longest pause between two submissions, in seconds.
+MAX_PAUSE_S: Final = 0.5
 
-#: One of so many jobs asks for more workers than there are, at most so often.
-IMPOSSIBLE_EVERY: Final = 10
+#: One job in each interval needs more workers than there are, beginning with
+#: the first such job and up to a maximum number.
+IMPOSSIBLE_INTERVAL: Final = 10
 FIRST_IMPOSSIBLE: Final = 3
-MOST_IMPOSSIBLE: Final = 3
+MAX_IMPOSSIBLE: Final = 3
 
-#: The estimates of those, in seconds: so long that their turn comes before that
-#: of others until a short soak has ended.
-WIDE_LENGTH_S: Final = (20.0, 30.0)
+#: The range of their run times, in seconds: so long that they precede other
+#: jobs in the service order until a short soak has ended.
+IMPOSSIBLE_RUN_S: Final = (20.0, 30.0)
 
 
-class Shape(NamedTuple):
-    """One kind of job.
+class JobShape(NamedTuple):
+    """A kind of jobs.
 
-    :param length_s: the shortest and the longest that its tasks take.
+    :param run_s_range: the shortest and the longest run time of its tasks.
     """
 
     tasks: int
     cpu: int
     gpu: int
     gang: bool
-    length_s: tuple[float, float]
+    run_s_range: tuple[float, float]
 
 
-#: Small gangs, gangs of two tasks a worker that leave accelerators unused, and
-#: gangs of whole workers.
-GANGS: Final = (
-    Shape(2, 500, 1, gang=True, length_s=(1.0, 6.0)),
-    Shape(3, 500, 2, gang=True, length_s=(1.0, 6.0)),
-    Shape(7, 3900, 1, gang=True, length_s=(4.0, 12.0)),
-    Shape(2, 4000, ROOM.gpus, gang=True, length_s=(4.0, 12.0)),
-    Shape(4, 4000, ROOM.gpus, gang=True, length_s=(4.0, 12.0)),
+#: Small gangs, gangs with two tasks per worker that leave accelerators unused,
+#: and gangs that use whole workers.
+GANG_SHAPES: Final = (
+    JobShape(2, 500, 1, gang=True, run_s_range=(1.0, 6.0)),
+    JobShape(3, 500, 2, gang=True, run_s_range=(1.0, 6.0)),
+    JobShape(7, 3900, 1, gang=True, run_s_range=(4.0, 12.0)),
+    JobShape(2, 4000, WORKER_CAPACITY.gpus, gang=True, run_s_range=(4.0, 12.0)),
+    JobShape(4, 4000, WORKER_CAPACITY.gpus, gang=True, run_s_range=(4.0, 12.0)),
 )
 
-#: The same, and tasks that take long.
-SHAPES: Final = (
-    *GANGS,
-    Shape(1, 500, 1, gang=False, length_s=(15.0, 35.0)),
-    Shape(1, 500, 1, gang=False, length_s=(15.0, 35.0)),
-    Shape(3, 500, 1, gang=False, length_s=(15.0, 35.0)),
+#: The same gangs, and jobs with long tasks.
+ALL_SHAPES: Final = (
+    *GANG_SHAPES,
+    JobShape(1, 500, 1, gang=False, run_s_range=(15.0, 35.0)),
+    JobShape(1, 500, 1, gang=False, run_s_range=(15.0, 35.0)),
+    JobShape(3, 500, 1, gang=False, run_s_range=(15.0, 35.0)),
 )
 
 
 class GangCallers(SoakCallers):
-    """Hands in gangs, a bounded number at a time.
+    """Submits gangs and long tasks, with a bounded number of open jobs.
 
-    :param impossible: jobs that ask for more workers than there are.
-    :param slower: set once only few gangs, and nothing long, are to come.
+    :param impossible: jobs that need more workers than there are.
+    :param reduced_load: set once only few gangs and no long tasks are to be
+        submitted.
     """
 
     def __init__(
         self,
         *,
         addresses: list[str],
-        drawn: random.Random,
+        rng: random.Random,
         workers: int,
-        most_impossible: int = MOST_IMPOSSIBLE,
-        lengths_s: dict[TaskKey, float],
-        ended: Callable[[str], bool],
+        max_impossible: int = MAX_IMPOSSIBLE,
+        run_s_by_task: dict[TaskKey, float],
+        has_ended: Callable[[str], bool],
     ) -> None:
-        """Start with no job handed in.
+        """Initialize without submitted jobs.
 
         :param workers: how many workers there are.
-        :param most_impossible: how many jobs may ask for more than those.
-        :param lengths_s: is told how long each task takes.
-        :param ended: returns whether a job has ended.
+        :param max_impossible: how many jobs may need more workers than that.
+        :param run_s_by_task: receives the run time of each task.
+        :param has_ended: returns whether a job has ended.
         """
-        super().__init__(addresses=addresses, drawn=drawn)
+        super().__init__(addresses=addresses, rng=rng)
         self.impossible: set[str] = set()
-        self.slower = asyncio.Event()
-        self._lengths_s = lengths_s
-        self._ended = ended
-        self._most_impossible = most_impossible
-        self._open: set[str] = set()
-        self._wide = Shape(
+        self.reduced_load = asyncio.Event()
+        self._run_s_by_task = run_s_by_task
+        self._has_ended = has_ended
+        self._max_impossible = max_impossible
+        self._open_jobs: set[str] = set()
+        self._impossible_shape = JobShape(
             workers + 1,
             4000,
-            ROOM.gpus,
+            WORKER_CAPACITY.gpus,
             gang=True,
-            length_s=WIDE_LENGTH_S,
+            run_s_range=IMPOSSIBLE_RUN_S,
         )
 
     async def run(self) -> None:
-        """Call until stopped; return once each job has its answer."""
+        """Submit jobs until stopped, and wait for the last responses."""
         number = 0
         async with open_session() as session, asyncio.TaskGroup() as callers:
             while not self.stopped.is_set():
-                await asyncio.sleep(self._drawn.uniform(0, PAUSE_S))
-                self._open = {
+                await asyncio.sleep(self._rng.uniform(0, MAX_PAUSE_S))
+                self._open_jobs = {
                     one
-                    for one in self._open
-                    if one in self.accepted and not self._ended(one)
+                    for one in self._open_jobs
+                    if one in self.accepted and not self._has_ended(one)
                 }
-                slower = self.slower.is_set()
-                most_open = MOST_OPEN_AFTER if slower else MOST_OPEN
-                if len(self._open) < most_open:
+                reduced_load = self.reduced_load.is_set()
+                max_open_jobs = (
+                    MAX_OPEN_JOBS_AFTER_FAULTS
+                    if reduced_load
+                    else MAX_OPEN_JOBS
+                )
+                if len(self._open_jobs) < max_open_jobs:
                     number += 1
-                    job_id = f'{CALLER:04x}{number:012x}'
-                    callers.create_task(self._hand_in(session, job_id))
+                    job_id = f'{CALLER_NUMBER:04x}{number:012x}'
+                    callers.create_task(self._submit(session, job_id))
 
-    async def _hand_in(self, session: Any, job_id: str) -> None:
-        await super()._hand_in(session, job_id)
+    async def _submit(self, session: Any, job_id: str) -> None:
+        await super()._submit(session, job_id)
         if job_id in self.accepted and job_id not in self.impossible:
-            self._open.add(job_id)
+            self._open_jobs.add(job_id)
 
-    def _new_job(self, job_id: str) -> dict[str, Any]:
-        """Draw a job, and how long its tasks take."""
-        shapes = GANGS if self.slower.is_set() else SHAPES
-        shape = self._drawn.choice(shapes)
+    def _draw_job(self, job_id: str) -> dict[str, Any]:
+        """Draw and record a job and the run time of its tasks."""
+        shapes = GANG_SHAPES if self.reduced_load.is_set() else ALL_SHAPES
+        shape = self._rng.choice(shapes)
         number = int(job_id[-4:], 16)
         if (
-            number % IMPOSSIBLE_EVERY == FIRST_IMPOSSIBLE
-            and len(self.impossible) < self._most_impossible
+            number % IMPOSSIBLE_INTERVAL == FIRST_IMPOSSIBLE
+            and len(self.impossible) < self._max_impossible
         ):
-            shape = self._wide
+            shape = self._impossible_shape
             self.impossible.add(job_id)
-        length_s = self._drawn.uniform(*shape.length_s)
+        run_s = self._rng.uniform(*shape.run_s_range)
         for rank in range(shape.tasks):
-            self._lengths_s[TaskKey(job_id, 0, 0, rank)] = length_s
+            self._run_s_by_task[TaskKey(job_id, 0, 0, rank)] = run_s
         step = {
             'count': shape.tasks,
             'cpu': shape.cpu,
             'mem_mb': 64,
             'gpu': shape.gpu,
-            'estimate_ms': int(1000 * length_s),
+            'estimate_ms': int(1000 * run_s),
             'gang': shape.gang,
         }
         self.jobs[job_id] = {'spec': 'text', 'steps': [step]}
         return self.jobs[job_id]
 
 
-__all__ = ('MOST_IMPOSSIBLE', 'GangCallers')
+__all__ = ('MAX_IMPOSSIBLE', 'GangCallers')
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -1,17 +1,19 @@
-"""A fault soak of ``curranthill-host``: real processes, faults from outside.
+"""A soak test of ``curranthill-host`` processes with injected faults.
 
 The store and the workers are stand-ins inside this process; hosts reach them
-through proxies. Hosts are killed, paused, stopped and told to reload by
-signals, the store loses and delays writes, workers are replaced, start again
-under their ids, fail what they run, crash under chosen tasks and lose room,
-data centres are closed and opened, and entries come that no worker wrote. A
-host can't be suspended from outside: a pause by a signal is one that every
-clock counts. Gangs and long tasks may be handed in too, some gangs wider than
-all workers, while workers crash so often that tasks become suspects; a long
-soak of that kind ends with all hosts without power at once.
-Faults come singly and in series. All the while callers hand in jobs, some over
-one connection for as long as it stays open, and the promises are checked from
-what callers and workers see.
+through proxies. Signals kill, pause, stop and reload hosts. The store loses and
+delays writes. Workers are replaced, restart under their ids, fail their runs,
+crash under chosen tasks and lose capacity. Data centres are closed and opened,
+and invalid worker entries are written. A pause by a signal differs from the
+suspension of a machine, which can't be injected here: all clocks continue.
+
+Optionally gangs and long tasks are submitted too. Some gangs are wider than all
+workers, and workers crash so often that tasks become suspects; a long soak of
+this kind ends with a power loss of all hosts at once.
+
+Faults are injected singly and in series. Meanwhile callers submit jobs, some of
+them over one connection for as long as it stays open, and the invariants are
+checked from what callers and workers observe.
 """
 
 import asyncio
@@ -33,9 +35,9 @@
 from bench.soak_callers import SoakCallers
 from bench.soak_closures import SoakClosures
 from bench.soak_faults import FAULTS, crash_workers, lose_power
-from bench.soak_gangs import MOST_IMPOSSIBLE, GangCallers
-from bench.soak_revisions import IN_FORCE_S, QUEUE, SoakRevisions
-from bench.soak_waits import CALM_S, WaitWatch
+from bench.soak_gangs import MAX_IMPOSSIBLE, GangCallers
+from bench.soak_revisions import MAX_APPLY_S, QUEUE, SoakRevisions
+from bench.soak_waits import RECOVERY_S, WaitChecker
 from bench.soak_workers import RUN_TIMES_S, WORKERS, SoakWorkers
 from curranthill.clock import SystemClock
 from curranthill.placement.suspects import SUSPECT_LOSSES
@@ -52,39 +54,41 @@
 
 HOSTS: Final = 4
 
-#: Runs of one task that may fail.
+#: How many runs of one task may fail.
 ATTEMPTS: Final = 3
 
-#: Workers that crashed under a task before it may be given up.
-CRASHES_ALLOWED: Final = 2
+#: How many workers must have crashed under a task before it may be given up.
+CRASHES_BEFORE_GIVING_UP: Final = 2
 
-#: After this share of the faults the next one comes at once.
+#: The share of the faults that the next one follows as part of a series.
 SERIES_SHARE: Final = 0.2
 
-#: The longest pause within a series, and between others, in seconds.
-SERIES_PAUSE_S: Final = 0.1
-PAUSE_S: Final = 1.2
+#: The longest pause between two faults within and outside a series, in seconds.
+MAX_SERIES_PAUSE_S: Final = 0.1
+MAX_PAUSE_S: Final = 1.2
 
-#: The longest that a host stands still by a fault, in seconds.
-LONGEST_PAUSE_S: Final = 5.5
+#: The longest time that a fault pauses a host, with a margin, in seconds.
+MAX_HOST_PAUSE_S: Final = 5.5
 
-#: How long nothing accepted may end after the last fault, in seconds: a former
-#: leader's renewals, a lease, a takeover and the longest task. Callers may hand
-#: in more than the workers do in that time, with all accelerators in use.
-HEALING_S: Final = 45.0
+#: The longest time without the end of an accepted job after the last fault, in
+#: seconds: a previous leader's renewals, a lease, a takeover and the longest
+#: task. Callers may submit more than the workers complete in that time with all
+#: accelerators in use, so each end starts it anew.
+PROGRESS_TIMEOUT_S: Final = 45.0
 
-#: With faults for so long all hosts lose power at their end, in seconds.
-LONG_S: Final = 100.0
+#: A soak with gangs and at least so many seconds of faults ends with a power
+#: loss of all hosts.
+POWER_LOSS_MIN_S: Final = 100.0
 
-#: How long gangs still come once waits count, in seconds.
-CALLS_IN_CALM_S: Final = 10.0
+#: How long gangs are still submitted once waits are measured, in seconds.
+GANG_SUBMISSION_S: Final = 10.0
 
-#: How long states of ended jobs are kept, in seconds: past the end of a soak,
-#: which reads them after its last fault.
-STATUS_S: Final = 3600
+#: How long states of ended jobs are retained, in seconds: beyond the end of a
+#: soak, which reads them after its last fault.
+STATUS_RETENTION_S: Final = 3600
 
-#: The workers of a soak with gangs, and their time for a small job's task:
-#: gangs get room beside small jobs.
+#: The workers of a soak with gangs, and their run times for tasks of small
+#: jobs: gangs get capacity beside these.
 GANG_WORKERS: Final = 16
 GANG_RUN_TIMES_S: Final = (0.3, 1.5)
 
@@ -101,14 +105,16 @@
 
 
 class Soak:
-    """One seeded run.
+    """One seeded soak.
 
-    :param started: every process that was started.
+    :param started: every host process that was started.
     :param injected: how often each fault was injected.
-    :param faults: names of what may be injected; all by default.
-    :param gangs: whether gangs are handed in too, to more workers, which
-        crash besides.
-    :param most_impossible: how many of those are wider than all workers.
+    :param fault_s: how long faults are injected, in seconds.
+    :param folder: where settings and logs of the hosts are written.
+    :param faults: the names of the faults to inject; all by default.
+    :param gangs: whether gangs are submitted too; there are more workers then,
+        which also crash.
+    :param max_impossible: how many of the gangs are wider than all workers.
     """
 
     def __init__(
@@ -120,10 +126,10 @@
         hosts: int = HOSTS,
         faults: Sequence[str] = (),
         gangs: bool = False,
-        most_impossible: int = MOST_IMPOSSIBLE,
+        max_impossible: int = MAX_IMPOSSIBLE,
     ) -> None:
-        """Make the stand-ins; nothing is started yet."""
-        self.random = random.Random(seed)  # noqa: S311
+        """Create the stand-ins and callers; run() starts everything."""
+        self.rng = random.Random(seed)  # noqa: S311
         self.rows = RowModel(clock=SystemClock())
         self.store = StoreServer(model=self.rows)
         self.processes: list[asyncio.subprocess.Process] = []
@@ -133,7 +139,7 @@
         self.workers = SoakWorkers(
             rows=self.rows,
             clock=SystemClock(),
-            drawn=self.random,
+            rng=self.rng,
             count=GANG_WORKERS if gangs else WORKERS,
             run_times_s=GANG_RUN_TIMES_S if gangs else RUN_TIMES_S,
         )
@@ -148,38 +154,38 @@
             clock=SystemClock(),
             addresses=self._addresses,
             queues=QUEUES,
-            drawn=random.Random(seed),  # noqa: S311
+            rng=random.Random(seed),  # noqa: S311
         )
         self._callers = SoakCallers(
             addresses=self._addresses,
-            drawn=self.random,
+            rng=self.rng,
         )
-        self._apart = random.Random(seed)  # noqa: S311
+        self._gang_rng = random.Random(seed)  # noqa: S311
         self._gang_callers = GangCallers(
             addresses=self._addresses,
-            drawn=self._apart,
+            rng=self._gang_rng,
             workers=GANG_WORKERS,
-            most_impossible=most_impossible,
-            lengths_s=self.workers.lengths_s,
-            ended=self._ended,
+            max_impossible=max_impossible,
+            run_s_by_task=self.workers.run_s_by_task,
+            has_ended=self._has_ended,
         )
-        self._watch = InvariantChecker(
+        self._invariants = InvariantChecker(
             workers=lambda: self.workers.models,
             attempts=ATTEMPTS,
         )
-        self._waits = WaitWatch(
-            handed_in=lambda: self._callers.jobs | self._gang_callers.jobs,
+        self._waits = WaitChecker(
+            submitted=lambda: self._callers.jobs | self._gang_callers.jobs,
             accepted=lambda: self._accepted,
             workers=self.workers.listed,
-            former=lambda: self.workers.models,
-            calm_s=self._calm_s,
-            state_of=self._callers.state,
+            all_workers=lambda: self.workers.models,
+            since_disturbance_s=self._since_disturbance_s,
+            state_of=self._callers.get_state,
             clock=SystemClock(),
         )
         self._gangs = gangs
-        self._calling: list[asyncio.Task[None]] = []
-        self._injected_s = 0.0
-        self._under_way: set[asyncio.Task[None]] = set()
+        self._gang_calls: list[asyncio.Task[None]] = []
+        self._last_fault_s = 0.0
+        self._active_faults: set[asyncio.Task[None]] = set()
         self._hosts = hosts
         self._faults = faults or sorted(FAULTS)
         self._fault_s = fault_s
@@ -189,11 +195,11 @@
         self._starting: set[asyncio.Future[asyncio.subprocess.Process]] = set()
 
     async def run(self) -> dict[str, Any]:
-        """Run to the end and return the report."""
+        """Run the soak to its end and return its report."""
         await self._open()
         try:
             await self._inject()
-            await self._heal()
+            await self._end_faults()
             await self._await_ends()
         finally:
             await self._close()
@@ -203,41 +209,41 @@
             'impossible': len(self._gang_callers.impossible),
             'injected': self.injected,
             'suspects': self._suspects(),
-            'waited': len(self._waits.seen - self._gang_callers.impossible),
-            'longest_wait_s': round(self._waits.longest_s, 1),
+            'waited': len(self._waits.waited - self._gang_callers.impossible),
+            'longest_wait_s': round(self._waits.longest_wait_s, 1),
             'faults': sorted(
                 {
-                    *self._watch.violations,
-                    *self.closures.late,
+                    *self._invariants.violations,
+                    *self.closures.late_starts,
                     *self.revisions.outdated,
-                    *self._waits.faults,
+                    *self._waits.violations,
                 },
             ),
         }
 
-    def configure(self) -> None:
-        """Put the next revision of the configuration in force."""
+    def write_configuration(self) -> None:
+        """Write the next revision of the configuration."""
         self.revisions.write()
 
     def draw_host(self) -> int:
-        """Return the number of some host."""
-        return self.random.randrange(self._hosts)
+        """Return the number of a random host."""
+        return self.rng.randrange(self._hosts)
 
     def signal(self, number: int, sent: Signals) -> None:
-        """Send a host a signal, if it lives."""
+        """Send a signal to a host if it is running."""
         process = self.processes[number]
         if process.returncode is None:
             process.send_signal(sent)
 
     async def restart(self, number: int) -> None:
-        """Start a host again once it has ended."""
+        """Start a host again once its process has ended."""
         process = self.processes[number]
         await process.wait()
         if self.processes[number] is process and not self._closing:
             self.processes[number] = await self._start_host(number)
 
     async def _open(self) -> None:
-        self.configure()
+        self.write_configuration()
         _, store = await serve(self.store.handle)
         await self.workers.open()
         for number in range(self._hosts):
@@ -246,12 +252,12 @@
             self.store_proxies.append(proxy)
             self._addresses.append(self._write_settings(number, proxy))
             self.processes.append(await self._start_host(number))
-        self._spawn(self._look())
+        self._spawn(self._check_periodically())
         await self._until_ready()
         self._spawn(self._waits.run())
         self._spawn(self._callers.run())
         if self._gangs:
-            self._calling.append(self._spawn(self._gang_callers.run()))
+            self._gang_calls.append(self._spawn(self._gang_callers.run()))
         self._spawn(self.revisions.run())
 
     def _write_settings(self, number: int, proxy: Proxy) -> str:
@@ -269,9 +275,9 @@
             'bounds': {
                 'max_hold_ms': 6000,
                 'grace_s': 2,
-                'config_apply_ms': IN_FORCE_S * 1000,
+                'config_apply_ms': MAX_APPLY_S * 1000,
                 'evacuate_ms': Timing().evacuate_s * 1000,
-                'status_s': STATUS_S,
+                'status_s': STATUS_RETENTION_S,
             },
         }
         path = self._folder / f'h{number}.json'
@@ -291,10 +297,10 @@
             )
             starting = asyncio.ensure_future(start)
             self._starting.add(starting)
-            starting.add_done_callback(self._note_start)
+            starting.add_done_callback(self._record_start)
             return await asyncio.shield(starting)
 
-    def _note_start(
+    def _record_start(
         self,
         starting: asyncio.Future[asyncio.subprocess.Process],
     ) -> None:
@@ -302,100 +308,103 @@
         self.started.append(starting.result())
 
     async def _until_ready(self) -> None:
-        """Wait for a leader and its first look at every worker."""
+        """Wait for a leader and its first probe of every worker."""
         for _ in range(200):
             if ('leader', 'leader') in self.rows.rows:
                 await asyncio.sleep(0.5)
                 return
             await asyncio.sleep(0.05)
-        raise TimeoutError('no host leads')
+        raise TimeoutError('no host has become the leader')
 
     async def _inject(self) -> None:
         crashes = None
         if self._gangs:
-            crashes = self._spawn(crash_workers(self, self._apart))
-        await self._inject_drawn()
+            crashes = self._spawn(crash_workers(self, self._gang_rng))
+        await self._inject_faults()
         if crashes is not None:
             crashes.cancel()
-        if self._gangs and self._fault_s >= LONG_S:
+        if self._gangs and self._fault_s >= POWER_LOSS_MIN_S:
             await lose_power(self)
-        self._injected_s = asyncio.get_running_loop().time()
+        self._last_fault_s = asyncio.get_running_loop().time()
 
-    async def _inject_drawn(self) -> None:
+    async def _inject_faults(self) -> None:
         until = asyncio.get_running_loop().time() + self._fault_s
         while asyncio.get_running_loop().time() < until:
-            self._inject_one(self.random.choice(self._faults))
-            in_series = self.random.random() < SERIES_SHARE
-            longest_s = SERIES_PAUSE_S if in_series else PAUSE_S
-            await asyncio.sleep(self.random.uniform(0.0, longest_s))
+            self._start_fault(self.rng.choice(self._faults))
+            in_series = self.rng.random() < SERIES_SHARE
+            max_pause_s = MAX_SERIES_PAUSE_S if in_series else MAX_PAUSE_S
+            await asyncio.sleep(self.rng.uniform(0.0, max_pause_s))
 
-    def _inject_one(self, name: str) -> None:
+    def _start_fault(self, name: str) -> None:
         self.injected[name] = self.injected.get(name, 0) + 1
         task = self._spawn(FAULTS[name](self))
-        self._under_way.add(task)
-        task.add_done_callback(self._note_healed)
+        self._active_faults.add(task)
+        task.add_done_callback(self._record_fault_end)
 
-    def _note_healed(self, task: asyncio.Task[None]) -> None:
-        self._under_way.discard(task)
-        self._injected_s = asyncio.get_running_loop().time()
+    def _record_fault_end(self, task: asyncio.Task[None]) -> None:
+        self._active_faults.discard(task)
+        self._last_fault_s = asyncio.get_running_loop().time()
 
-    def _calm_s(self) -> float:
-        """Return the seconds since the last fault."""
-        if self._under_way or not self._callers.stopped.is_set():
+    def _since_disturbance_s(self) -> float:
+        """Return the time since the last fault or crash, in seconds.
+
+        It is 0 while a fault is active and until the callers stop.
+        """
+        if self._active_faults or not self._callers.stopped.is_set():
             return 0.0
         now_s = asyncio.get_running_loop().time()
-        return min(now_s - self._injected_s, self.workers.calm_s)
+        return min(now_s - self._last_fault_s, self.workers.since_disturbance_s)
 
-    async def _heal(self) -> None:
+    async def _end_faults(self) -> None:
         self._callers.stopped.set()
-        self._gang_callers.slower.set()
+        self._gang_callers.reduced_load.set()
         self.closures.open_all()
         self.store.unresponsive_tables.clear()
-        self.workers.heal()
+        self.workers.restore_all()
         for proxy in self.store_proxies:
-            proxy.change('pass')
-        await asyncio.sleep(LONGEST_PAUSE_S)
+            proxy.set_mode('pass')
+        await asyncio.sleep(MAX_HOST_PAUSE_S)
         for number in range(self._hosts):
             self.signal(number, SIGCONT)
-        self.workers.heal()
+        self.workers.restore_all()
 
-    async def _stop_gangs(self) -> None:
-        """Have gangs handed in for some time from when on waits count."""
-        until_s = asyncio.get_running_loop().time() + HEALING_S
+    async def _stop_gang_callers(self) -> None:
+        """Stop the gang callers some time after waits are measured again."""
+        until_s = asyncio.get_running_loop().time() + PROGRESS_TIMEOUT_S
         while self._gangs and asyncio.get_running_loop().time() < until_s:
-            if self._calm_s() > CALM_S + CALLS_IN_CALM_S:
+            if self._since_disturbance_s() > RECOVERY_S + GANG_SUBMISSION_S:
                 break
             await asyncio.sleep(0.1)
         self._gang_callers.stopped.set()
-        await asyncio.gather(*self._calling)
+        await asyncio.gather(*self._gang_calls)
 
-    # Promises.
+    # Invariants.
 
-    async def _look(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
-            self._watch.check()
-            self.closures.look()
+            self._invariants.check()
+            self.closures.check()
             await asyncio.sleep(0.02)
 
     async def _await_ends(self) -> None:
-        """Every accepted job ends; a refused one was never stored.
+        """Check that accepted jobs end and that refused ones aren't stored.
 
-        What is left is waited for as long as jobs go on ending, which is no
-        longer than the workers take for all of it.
+        The wait continues for as long as jobs end, which takes no longer than
+        the workers need for all of them.
         """
-        await self._stop_gangs()
-        until = asyncio.get_running_loop().time() + HEALING_S
+        await self._stop_gang_callers()
+        until = asyncio.get_running_loop().time() + PROGRESS_TIMEOUT_S
         open_jobs = self._accepted - self._gang_callers.impossible
         while open_jobs and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.5)
-            left = {one for one in open_jobs if not self._ended(one)}
+            left = {one for one in open_jobs if not self._has_ended(one)}
             if len(left) < len(open_jobs):
-                until = asyncio.get_running_loop().time() + HEALING_S
+                until = asyncio.get_running_loop().time() + PROGRESS_TIMEOUT_S
             open_jobs = left
-        self._watch.violations.extend(
+        self._invariants.violations.extend(
             f'{one} has not ended' for one in open_jobs
         )
-        self._watch.violations.extend(
+        self._invariants.violations.extend(
             f'{one} was refused and stored'
             for one in self._refused
             if {('intake', one), ('progress', one)} & self.rows.rows.keys()
@@ -409,16 +418,20 @@
     def _refused(self) -> set[str]:
         return self._callers.refused | self._gang_callers.refused
 
-    def _ended(self, job_id: str) -> bool:
-        """Return whether a job ended; one that failed must have a cause."""
+    def _has_ended(self, job_id: str) -> bool:
+        """Return whether a job has ended; record a failure without a cause."""
         row = self.rows.rows.get(('progress', job_id))
         if row is None:
             return False
         state = decode(row.content, JobProgress).state
-        caused = self._failures(job_id) >= ATTEMPTS
-        caused = caused or self._crashes(job_id) >= CRASHES_ALLOWED
-        if state == FAILED and not caused:
-            self._watch.violations.append(f'{job_id} has failed without cause')
+        is_explained = self._failures(job_id) >= ATTEMPTS
+        is_explained = (
+            is_explained or self._crashes(job_id) >= CRASHES_BEFORE_GIVING_UP
+        )
+        if state == FAILED and not is_explained:
+            self._invariants.violations.append(
+                f'{job_id} has failed without cause'
+            )
         return state in {COMPLETED, FAILED}
 
     def _failures(self, job_id: str) -> int:
@@ -433,7 +446,7 @@
         )
 
     def _suspects(self) -> int:
-        """Return how many tasks were lost with their workers repeatedly."""
+        """Return how many tasks were lost so often that they are suspects."""
         lost = Counter(
             chain.from_iterable(
                 model.lost_runs for model in self.workers.models
@@ -442,7 +455,7 @@
         return sum(1 for count in lost.values() if count >= SUSPECT_LOSSES)
 
     def _crashes(self, job_id: str) -> int:
-        """Return the most workers that went down under a task of a job."""
+        """Return the most workers that crashed under one task of a job."""
         lost = Counter(
             task
             for model in self.workers.models
@@ -463,7 +476,8 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        # A start goes on when its task is cancelled, and is waited for here.
+        # Cancelling a task does not cancel the start of a process that it waits
+        # for, so such starts are awaited here.
         await asyncio.gather(*self._starting)
         for process in self.started:
             if process.returncode is None:
@@ -476,14 +490,14 @@
     count: Annotated[int, typer.Option(help='How many seeds.')] = 1,
     fault_s: Annotated[float, typer.Option(help='Seconds of faults.')] = 10.0,
     hosts: Annotated[int, typer.Option(help='How many hosts.')] = HOSTS,
-    gangs: Annotated[bool, typer.Option(help='Hand in gangs too.')] = True,
+    gangs: Annotated[bool, typer.Option(help='Submit gangs too.')] = True,
     impossible: Annotated[
         int,
         typer.Option(help='How many gangs are wider than all workers.'),
-    ] = MOST_IMPOSSIBLE,
+    ] = MAX_IMPOSSIBLE,
     keep: Annotated[str, typer.Option(help='Where logs are kept.')] = '',
 ) -> None:
-    """Run seeds one after the other; a broken promise ends with 1."""
+    """Run the seeds sequentially; exit with 1 after a violated invariant."""
     broken = 0
     for number in range(seed, seed + count):
         with tempfile.TemporaryDirectory() as scratch:
@@ -495,7 +509,7 @@
                 folder=folder,
                 hosts=hosts,
                 gangs=gangs,
-                most_impossible=impossible,
+                max_impossible=impossible,
             )
             report = asyncio.run(soak.run())
         broken += bool(report['faults'])
--- a/bench/soak_revisions.py
+++ b/bench/soak_revisions.py
@@ -1,4 +1,4 @@
-"""The configuration of a soak, and hosts that decide by an outdated one."""
+"""Writes the configuration of a soak and finds hosts that use an old one."""
 
 import asyncio
 import json
@@ -12,19 +12,20 @@
 from curranthill.standin.rows import RowModel
 from curranthill.storage.rows import RowPut
 
-#: How soon a change must be in force on every host that decides, in seconds.
-IN_FORCE_S: Final = 3.0
+#: How soon a change must be in force on every host that serves requests, in
+#: seconds.
+MAX_APPLY_S: Final = 3.0
 
-#: How often some host is asked by which version it decides, in seconds.
-ASK_INTERVAL_S: Final = 0.1
+#: The interval between checks of a random host's version, in seconds.
+CHECK_INTERVAL_S: Final = 0.1
 
-#: How long an answer is waited for, in seconds.
-PATIENCE_S: Final = 2.0
+#: The longest wait for a response, in seconds.
+REQUEST_TIMEOUT_S: Final = 2.0
 
 _OK: Final = 200
 _NOT_FOUND: Final = 404
 
-#: What each queue has beside its name and path.
+#: The fields of each queue besides its name and path.
 QUEUE: Final = {
     'host': 'jobs.example',
     'service': 'calc',
@@ -37,8 +38,10 @@
 class SoakRevisions:
     """Writes configurations, each with one queue that no other has.
 
-    :param outdated: answers by a version that was replaced too long ago.
-    :param padding: how many queues that nobody uses each one has besides.
+    A host's response for that queue shows which version the host uses.
+
+    :param outdated: one sentence for each response by an outdated version.
+    :param unused_queues: how many further queues each configuration has.
     """
 
     def __init__(
@@ -48,25 +51,25 @@
         clock: Clock,
         addresses: Sequence[str],
         queues: Sequence[dict[str, Any]],
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Start with nothing written."""
+        """Initialize without a written configuration."""
         self.outdated: list[str] = []
-        self.padding = 0
+        self.unused_queues = 0
         self._rows = rows
         self._clock = clock
         self._addresses = addresses
         self._queues = queues
-        self._drawn = drawn
+        self._rng = rng
         self._version = 0
         self._written_s = 0.0
 
     def write(self) -> None:
-        """Put the next version in force."""
+        """Write the next version of the configuration."""
         self._version += 1
         self._written_s = self._clock.monotonic_s()
         names = [f'only-{self._version}']
-        names.extend(f'unused-{number}' for number in range(self.padding))
+        names.extend(f'unused-{number}' for number in range(self.unused_queues))
         queues = [
             {**QUEUE, 'name': name, 'path_prefix': f'/{name}/'}
             for name in names
@@ -79,25 +82,30 @@
         self._rows.apply((), (put,), ())
 
     async def run(self) -> None:
-        """Ask hosts by which version they decide, until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=PATIENCE_S)
+        """Check which version random hosts use, until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                await asyncio.sleep(ASK_INTERVAL_S)
-                host = self._drawn.choice(self._addresses)
-                await self._ask(session, host, self._version, _NOT_FOUND)
-                await self._ask(session, host, self._version - 1, _OK)
-
-    async def _ask(
+                await asyncio.sleep(CHECK_INTERVAL_S)
+                host = self._rng.choice(self._addresses)
+                await self._check_version(
+                    session, host, self._version, _NOT_FOUND
+                )
+                await self._check_version(session, host, self._version - 1, _OK)
+
+    async def _check_version(
         self,
         session: aiohttp.ClientSession,
         host: str,
         version: int,
-        wrong: int,
+        outdated_status: int,
     ) -> None:
-        """Ask for the queue of a version; keep an answer that is wrong."""
+        """Request the queue of a version; record an outdated response.
+
+        :param outdated_status: the status that only an outdated version gives.
+        """
         newest = self._version
-        due = self._clock.monotonic_s() - self._written_s > IN_FORCE_S
+        is_due = self._clock.monotonic_s() - self._written_s > MAX_APPLY_S
         try:
             async with session.get(
                 f'{host}/only-{version}/',
@@ -106,11 +114,11 @@
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
-        if due and status == wrong and newest == self._version:
+        if is_due and status == outdated_status and newest == self._version:
             self.outdated.append(
-                f'{host} answers {status} for version {version}, and version '
-                f'{newest} was written more than {IN_FORCE_S} s before',
+                f'{host} responds with {status} for version {version}, and '
+                f'version {newest} was written over {MAX_APPLY_S} s before',
             )
 
 
-__all__ = ('IN_FORCE_S', 'QUEUE', 'SoakRevisions')
+__all__ = ('MAX_APPLY_S', 'QUEUE', 'SoakRevisions')
--- a/bench/soak_waits.py
+++ b/bench/soak_waits.py
@@ -1,8 +1,8 @@
-"""Accepted jobs of a soak that wait though there is room for them.
+"""Finds accepted jobs of a soak that wait though there is capacity for them.
 
-What runs, and what has ended, is read from the workers; only whether a job has
-failed is asked by a caller. Every job of a soak has one step, whose turn comes
-with the job.
+Which tasks run or have completed is read from the workers; a host is only asked
+whether a job has failed. Every job of a soak has a single step, which can start
+as soon as the job is accepted.
 """
 
 import asyncio
@@ -15,26 +15,28 @@
 from curranthill.standin.tasks import TaskWorkerModel
 from curranthill.tasks import ENDED, Resources, TaskKey
 
-#: Waits count from so long after the last disturbance, in seconds.
-CALM_S: Final = 14.0
+#: The time after a disturbance in which no wait is measured, in seconds.
+RECOVERY_S: Final = 14.0
 
-#: The longest that a job may wait with room for it, in seconds.
-WAIT_S: Final = 3.0
+#: The longest that a job may wait while there is capacity for it, in seconds.
+MAX_WAIT_S: Final = 3.0
 
-#: How many times the room that a job needs must be free.
-ROOM_FACTOR: Final = 2
+#: How many times the capacity that a job needs must be free for its wait to
+#: count.
+CAPACITY_FACTOR: Final = 2
 
-#: From this share of the accelerators in use on, a job may wait.
+#: A job may wait while at least this share of the accelerators is in use.
 BUSY_SHARE: Final = 0.5
 
-LOOK_INTERVAL_S: Final = 0.05
+CHECK_INTERVAL_S: Final = 0.05
 
 
-class Need(NamedTuple):
-    """What a job asks for.
+class Demand(NamedTuple):
+    """The resources that a job needs.
 
-    :param tasks: how many start together: all of a gang, else one.
-    :param width: how many tasks there are.
+    :param tasks: how many tasks start together: all of a gang, else one.
+    :param width: how many tasks the job has.
+    :param resources: what each task needs.
     """
 
     tasks: int
@@ -42,192 +44,207 @@
     resources: Resources
 
 
-class FreeRoom(NamedTuple):
-    """What all workers have free.
+class FreeCapacity(NamedTuple):
+    """The free capacity of all workers.
 
-    :param rooms: what each worker has free.
+    :param workers: the free capacity of each worker.
+    :param gpus: the accelerators of all workers.
     """
 
-    rooms: tuple[Resources, ...]
+    workers: tuple[Resources, ...]
     gpus: int
     gpus_in_use: int
 
     @property
     def is_busy(self) -> bool:
-        """Return whether so much is in use that a job may wait."""
+        """Return whether enough is in use for a job to be allowed to wait."""
         return self.gpus_in_use >= BUSY_SHARE * self.gpus
 
-    def copies(self, needs: Resources) -> int:
-        """Return how many tasks fit."""
-        return sum(_copies(room, needs) for room in self.rooms)
+    def fitting_tasks(self, resources: Resources) -> int:
+        """Return how many tasks with these needs fit on all workers."""
+        return sum(_fitting_tasks(free, resources) for free in self.workers)
 
-    def has_enough(self, need: Need) -> bool:
-        """Return whether there is room for many times what a job needs."""
-        return self.copies(need.resources) >= ROOM_FACTOR * need.tasks
+    def has_enough(self, demand: Demand) -> bool:
+        """Return whether CAPACITY_FACTOR times a job's needs is free."""
+        return (
+            self.fitting_tasks(demand.resources)
+            >= CAPACITY_FACTOR * demand.tasks
+        )
 
 
 class Wait(NamedTuple):
-    """One job that waits though there is room.
+    """The wait of one job though there is capacity for it.
 
-    :param room: what was free when it was last seen to wait.
+    :param free: the free capacity at the last check.
+    :param since_s: when the wait began, on the monotonic clock.
+    :param until_s: the time of the last check.
     """
 
-    need: Need
-    room: FreeRoom
+    demand: Demand
+    free: FreeCapacity
     since_s: float
     until_s: float
 
     @property
     def waited_s(self) -> float:
-        """Return how long it has waited, in seconds."""
+        """Return the duration of the wait, in seconds."""
         return self.until_s - self.since_s
 
     def __str__(self) -> str:
-        """Return what is seen of it."""
-        copies = self.room.copies(self.need.resources)
+        """Describe the wait and the free capacity."""
+        fitting = self.free.fitting_tasks(self.demand.resources)
         return (
-            f'waited {self.waited_s:.1f} s with nothing running: {copies} of '
-            f'its tasks would fit, {self.need.tasks} start together, '
-            f'{self.room.gpus_in_use} of {self.room.gpus} accelerators are '
+            f'waited {self.waited_s:.1f} s with nothing running: {fitting} of '
+            f'its tasks would fit, {self.demand.tasks} start together, '
+            f'{self.free.gpus_in_use} of {self.free.gpus} accelerators are '
             'in use'
         )
 
 
-class WaitWatch:
-    """Looks for jobs that wait for too long.
+class WaitChecker:
+    """Collects the jobs that wait for too long.
 
-    :param handed_in: returns all jobs that were handed in, by their ids.
-    :param accepted: returns the ids of those that were accepted.
+    :param submitted: returns all submitted jobs by their ids.
+    :param accepted: returns the ids of the accepted ones.
     :param workers: returns the workers that are listed now.
-    :param former: returns every worker that there ever was.
-    :param calm_s: returns the seconds since the last disturbance.
-    :param state_of: asks a host for a job's state; empty without an answer.
+    :param all_workers: returns every worker that ever existed.
+    :param since_disturbance_s: returns the time since the last disturbance, in
+        seconds.
+    :param state_of: asks a host for a job's state; empty without a response.
     """
 
     def __init__(
         self,
         *,
-        handed_in: Callable[[], Mapping[str, dict[str, Any]]],
+        submitted: Callable[[], Mapping[str, dict[str, Any]]],
         accepted: Callable[[], Iterable[str]],
         workers: Callable[[], Iterable[TaskWorkerModel]],
-        former: Callable[[], Iterable[TaskWorkerModel]],
-        calm_s: Callable[[], float],
+        all_workers: Callable[[], Iterable[TaskWorkerModel]],
+        since_disturbance_s: Callable[[], float],
         state_of: Callable[[str], Awaitable[str]],
         clock: Clock,
     ) -> None:
-        """Start with nothing seen."""
-        self._handed_in = handed_in
+        """Initialize the checker without violations."""
+        self._submitted = submitted
         self._accepted = accepted
         self._workers = workers
-        self._former = former
-        self._calm_s = calm_s
+        self._all_workers = all_workers
+        self._since_disturbance_s = since_disturbance_s
         self._state_of = state_of
         self._clock = clock
         self._ended: set[str] = set()
         self._waits: dict[str, Wait] = {}
-        self._broken: dict[str, Wait] = {}
-        self._longest_s: dict[str, float] = {}
-        self._seen: set[str] = set()
+        self._violations: dict[str, Wait] = {}
+        self._longest_waits_s: dict[str, float] = {}
+        self._waited: set[str] = set()
 
     @property
-    def faults(self) -> list[str]:
-        """Return what was seen, a sentence each."""
-        return [f'{job_id} has {wait}' for job_id, wait in self._broken.items()]
+    def violations(self) -> list[str]:
+        """Return one sentence for each job that waited for too long."""
+        return [
+            f'{job_id} has {wait}' for job_id, wait in self._violations.items()
+        ]
 
     @property
-    def seen(self) -> set[str]:
-        """Return the jobs that waited in calm, with room for them or not."""
-        return self._seen
+    def waited(self) -> set[str]:
+        """Return the jobs that waited after recovery, fitting or not."""
+        return self._waited
 
     @property
-    def longest_s(self) -> float:
-        """Return the longest wait beside free room, allowed or not."""
-        return max(self._longest_s.values(), default=0)
+    def longest_wait_s(self) -> float:
+        """Return the longest wait with free capacity, too long or not."""
+        return max(self._longest_waits_s.values(), default=0)
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Check all jobs periodically until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_INTERVAL_S)
-            await self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            await self.check()
 
-    async def look(self) -> None:
-        """Look at all accepted jobs once."""
-        self._waits = self._waits_now()
+    async def check(self) -> None:
+        """Check all accepted jobs once."""
+        self._waits = self._current_waits()
         for job_id, wait in self._waits.items():
-            known_s = self._longest_s.get(job_id, 0)
-            self._longest_s[job_id] = max(known_s, wait.waited_s)
-            if wait.waited_s < WAIT_S:
+            previous_s = self._longest_waits_s.get(job_id, 0)
+            self._longest_waits_s[job_id] = max(previous_s, wait.waited_s)
+            if wait.waited_s < MAX_WAIT_S:
                 continue
-            if job_id in self._broken or await self._is_open(job_id):
-                self._broken[job_id] = wait
+            if job_id in self._violations or await self._is_open(job_id):
+                self._violations[job_id] = wait
 
     async def _is_open(self, job_id: str) -> bool:
-        """Return whether a host says that a job has not ended."""
+        """Return whether a host reports that a job has not ended."""
         state = await self._state_of(job_id)
         if state in ENDED:
             self._ended.add(job_id)
-            self._seen.discard(job_id)
-            self._longest_s.pop(job_id)
+            self._waited.discard(job_id)
+            self._longest_waits_s.pop(job_id)
         return bool(state) and state not in ENDED
 
-    def _waits_now(self) -> dict[str, Wait]:
-        """Return each job that waits now with room for it."""
-        if self._calm_s() < CALM_S:
+    def _current_waits(self) -> dict[str, Wait]:
+        """Return the waits of the jobs for which there is capacity now."""
+        if self._since_disturbance_s() < RECOVERY_S:
             return {}
-        jobs = self._handed_in()
-        needs = {one: need_of(jobs[one]) for one in self._waiting(jobs)}
-        self._seen.update(needs)
-        room = _free_room(list(self._workers()), jobs)
-        if room.is_busy:
+        jobs = self._submitted()
+        demands = {one: demand_of(jobs[one]) for one in self._waiting(jobs)}
+        self._waited.update(demands)
+        free = _free_capacity(list(self._workers()), jobs)
+        if free.is_busy:
             return {}
         return {
-            job_id: self._wait(job_id, need, room)
-            for job_id, need in needs.items()
-            if room.has_enough(need)
+            job_id: self._wait(job_id, demand, free)
+            for job_id, demand in demands.items()
+            if free.has_enough(demand)
         }
 
-    def _wait(self, job_id: str, need: Need, room: FreeRoom) -> Wait:
-        """Return a job's wait, which goes on or begins now."""
+    def _wait(self, job_id: str, demand: Demand, free: FreeCapacity) -> Wait:
+        """Return a job's wait, which continues or begins now."""
         now_s = self._clock.monotonic_s()
-        known = self._waits.get(job_id)
-        since_s = known.since_s if known else now_s
-        return Wait(need, room, since_s, now_s)
+        previous = self._waits.get(job_id)
+        since_s = previous.since_s if previous else now_s
+        return Wait(demand, free, since_s, now_s)
 
     def _waiting(self, jobs: Mapping[str, dict[str, Any]]) -> list[str]:
-        """Return the accepted jobs that have not ended and run nowhere."""
-        former = list(self._former())
+        """Return the accepted jobs that have neither ended nor any run."""
+        all_workers = list(self._all_workers())
         running = {
             run.task.job_id
             for run in chain.from_iterable(
-                worker.runs.values() for worker in former
+                worker.runs.values() for worker in all_workers
             )
         }
-        done = Counter(task.job_id for task in _done(former))
+        completed = Counter(
+            task.job_id for task in _completed_tasks(all_workers)
+        )
         waiting = []
         for job_id in self._accepted():
             if job_id in self._ended or job_id in running:
                 continue
-            need = need_of(jobs[job_id])
-            # One end of a gang represents all of its tasks.
-            if done[job_id] < need.width - need.tasks + 1:
+            demand = demand_of(jobs[job_id])
+            # The end of one member of a gang stands for all of its tasks.
+            if completed[job_id] < demand.width - demand.tasks + 1:
                 waiting.append(job_id)
             else:
                 self._ended.add(job_id)
         return waiting
 
 
-def need_of(job: Mapping[str, Any]) -> Need:
-    """Return what a job asks for, from its fields as they are handed in."""
+def demand_of(job: Mapping[str, Any]) -> Demand:
+    """Return the resources that a job needs, from its submitted fields."""
     step = job['steps'][0]
-    return Need(
+    return Demand(
         tasks=step['count'] if step['gang'] else 1,
         width=step['count'],
         resources=Resources(step['cpu'], step['mem_mb'], step['gpu']),
     )
 
 
-def _done(workers: Iterable[TaskWorkerModel]) -> set[TaskKey]:
-    """Return the tasks that are done; a voided end may be given up."""
+def _completed_tasks(workers: Iterable[TaskWorkerModel]) -> set[TaskKey]:
+    """Return the completed tasks.
+
+    An end that was still listed when the worker's lease expired does not count,
+    since its task may have been given up.
+    """
     return {
         end.task
         for worker in workers
@@ -236,37 +253,37 @@
     }
 
 
-def _free_room(
+def _free_capacity(
     workers: Sequence[TaskWorkerModel],
     jobs: Mapping[str, dict[str, Any]],
-) -> FreeRoom:
-    """Return what workers have free."""
-    rooms = tuple(_free(worker, jobs) for worker in workers)
+) -> FreeCapacity:
+    """Return the free capacity of workers."""
+    free = tuple(_free_on_worker(worker, jobs) for worker in workers)
     gpus = sum(worker.entry.capacity.gpus for worker in workers)
-    return FreeRoom(rooms, gpus, gpus - sum(room.gpus for room in rooms))
+    return FreeCapacity(free, gpus, gpus - sum(one.gpus for one in free))
 
 
-def _free(
+def _free_on_worker(
     worker: TaskWorkerModel,
     jobs: Mapping[str, dict[str, Any]],
 ) -> Resources:
-    """Return what a worker's runs leave of its room."""
+    """Return the capacity of a worker that its runs don't use."""
     free = worker.entry.capacity
     for run in worker.runs.values():
-        free = free.minus(need_of(jobs[run.task.job_id]).resources)
+        free = free.minus(demand_of(jobs[run.task.job_id]).resources)
     return free
 
 
-def _copies(free: Resources, needs: Resources) -> int:
-    """Return how many tasks fit into a room."""
+def _fitting_tasks(free: Resources, resources: Resources) -> int:
+    """Return how many tasks with these needs fit on a worker."""
     return max(
         0,
         min(
-            have // need
-            for have, need in zip(free, needs, strict=True)
-            if need > 0
+            available // needed
+            for available, needed in zip(free, resources, strict=True)
+            if needed > 0
         ),
     )
 
 
-__all__ = ('CALM_S', 'WAIT_S', 'WaitWatch')
+__all__ = ('MAX_WAIT_S', 'RECOVERY_S', 'WaitChecker')
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a soak: stand-ins behind proxies, and what befalls them."""
+"""The workers of a soak: stand-ins behind proxies, with injected faults."""
 
 import asyncio
 import random
@@ -15,26 +15,28 @@
 from tests.platform_standin import WorkerServer, serve, worker_row
 
 WORKERS: Final = 5
-ROOM: Final = Resources(cpu_millis=8000, memory_mb=8192, gpus=8)
+WORKER_CAPACITY: Final = Resources(cpu_millis=8000, memory_mb=8192, gpus=8)
 
-#: Workers stand in these by turns.
+#: The data centres of the workers, used in turn.
 DATA_CENTRES: Final = ('dc', 'east')
 
-#: Crashed workers that come back under another id.
+#: The share of the crashed workers that are replaced under another id.
 REPLACED_SHARE: Final = 0.3
 
-#: Tasks that end between two faults, and tasks that outlast a lease.
+#: The run times of tasks on a worker, in seconds: some end between two faults,
+#: some take longer than a lease.
 RUN_TIMES_S: Final = (0.3, 1.5, 8.0)
 
 
 class SoakWorkers:
-    """All workers by their names.
+    """The workers, their proxies and their entries in the store.
 
-    :param models: every worker that there ever was.
-    :param proxies: what hosts reach each worker through.
+    :param models: every worker that ever existed.
+    :param proxies: the proxy in front of each listed worker.
     :param crashing: tasks that crash each worker that starts them.
-    :param lengths_s: how long some tasks take instead of their worker's time.
-    :param disturbed_s: when a worker last crashed or came back.
+    :param run_s_by_task: run times of tasks that override their worker's.
+    :param last_disturbance_s: when a worker last restarted after a crash, on
+        the monotonic clock.
     """
 
     def __init__(
@@ -42,27 +44,27 @@
         *,
         rows: RowModel,
         clock: Clock,
-        drawn: random.Random,
+        rng: random.Random,
         count: int = WORKERS,
         run_times_s: Sequence[float] = RUN_TIMES_S,
     ) -> None:
-        """Start without workers.
+        """Initialize without workers; open() starts them.
 
-        :param count: how many there are to be.
-        :param run_times_s: what each worker's time for a task is drawn from.
+        :param count: how many workers there are.
+        :param run_times_s: what each worker's run time of a task is drawn from.
         """
         self.models: list[TaskWorkerModel] = []
         self.proxies: dict[str, Proxy] = {}
         self.crashing: set[TaskKey] = set()
-        self.lengths_s: dict[TaskKey, float] = {}
-        self.disturbed_s = clock.monotonic_s()
+        self.run_s_by_task: dict[TaskKey, float] = {}
+        self.last_disturbance_s = clock.monotonic_s()
         self._count = count
         self._run_times_s = run_times_s
         self._servers: dict[str, WorkerServer] = {}
         self._rows = rows
         self._clock = clock
-        self._drawn = drawn
-        self._coming_back: set[asyncio.Task[None]] = set()
+        self._rng = rng
+        self._restarting: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
         """Start the workers."""
@@ -74,22 +76,25 @@
         return [server.model for server in self._servers.values()]
 
     @property
-    def calm_s(self) -> float:
-        """Return the seconds since a crash; 0 while a worker is away."""
-        if self._coming_back:
+    def since_disturbance_s(self) -> float:
+        """Return the time since the last restart, in seconds.
+
+        It is 0 while a crashed worker has not restarted.
+        """
+        if self._restarting:
             return 0.0
-        return self._clock.monotonic_s() - self.disturbed_s
+        return self._clock.monotonic_s() - self.last_disturbance_s
 
-    def draw(self) -> str:
-        """Return the name of some worker."""
-        return self._drawn.choice(sorted(self._servers))
+    def draw_worker(self) -> str:
+        """Return the name of a random worker."""
+        return self._rng.choice(sorted(self._servers))
 
     def model(self, name: str) -> TaskWorkerModel:
-        """Return the worker of a name."""
+        """Return the worker with this name."""
         return self._servers[name].model
 
-    def list_again(self, name: str) -> None:
-        """Write a worker's entry as it is now, unless it was replaced."""
+    def write_current_entry(self, name: str) -> None:
+        """Write a worker's current entry, unless the worker was replaced."""
         if name not in self._servers:
             return
         model = self.model(name)
@@ -100,53 +105,57 @@
         self._rows.apply((), (worker_row(entry),), ())
 
     def write_entry(self, name: str, content: bytes) -> None:
-        """Write an entry as another writer does."""
+        """Write any content as a worker's entry, as another writer might."""
         self._rows.apply((), (RowPut('servers', name, content),), ())
 
     async def replace(self, name: str) -> None:
-        """Let a worker go for good, and another id come in its place."""
-        lost = self._servers.pop(name)
-        lost.model.runs.clear()
-        lost.model.gone = True
+        """Remove a worker for good and add one with another id."""
+        server = self._servers.pop(name)
+        server.model.runs.clear()
+        server.model.gone = True
         await self.proxies.pop(name).close()
         self._rows.apply((), (), (RowRemoval('servers', name),))
         await self._add(f'{name}x')
 
     def resize(self, name: str, gpus: int) -> None:
-        """Let a worker have so many accelerators from now on."""
+        """Change the number of a worker's accelerators."""
         if name not in self._servers:
             return
         model = self.model(name)
-        model.entry = model.entry._replace(capacity=ROOM._replace(gpus=gpus))
-        self.list_again(name)
+        model.entry = model.entry._replace(
+            capacity=WORKER_CAPACITY._replace(gpus=gpus)
+        )
+        self.write_current_entry(name)
 
-    async def _come_back(self, name: str) -> None:
-        """Start a crashed worker again, or another one in its place."""
-        await asyncio.sleep(self._drawn.uniform(0.2, 4.0))
+    async def _restart_crashed(self, name: str) -> None:
+        """Restart a crashed worker after a delay, or replace it."""
+        await asyncio.sleep(self._rng.uniform(0.2, 4.0))
         if name not in self._servers:
             return
-        if self._drawn.random() < REPLACED_SHARE:
+        if self._rng.random() < REPLACED_SHARE:
             await self.replace(name)
             return
         self.model(name).restart()
-        self.list_again(name)
+        self.write_current_entry(name)
 
-    def _crashed(self, model: TaskWorkerModel) -> None:
-        task = asyncio.ensure_future(self._come_back(model.entry.worker_id))
-        self._coming_back.add(task)
-        task.add_done_callback(self._is_back)
+    def _on_crash(self, model: TaskWorkerModel) -> None:
+        task = asyncio.ensure_future(
+            self._restart_crashed(model.entry.worker_id)
+        )
+        self._restarting.add(task)
+        task.add_done_callback(self._on_restarted)
 
-    def _is_back(self, task: asyncio.Task[None]) -> None:
-        self._coming_back.discard(task)
-        self.disturbed_s = self._clock.monotonic_s()
+    def _on_restarted(self, task: asyncio.Task[None]) -> None:
+        self._restarting.discard(task)
+        self.last_disturbance_s = self._clock.monotonic_s()
 
-    def heal(self) -> None:
-        """Make all workers reachable, sound and well listed."""
+    def restore_all(self) -> None:
+        """End all faults of the workers and write their valid entries."""
         for name, server in self._servers.items():
             server.model.failing = False
-            self.resize(name, ROOM.gpus)
-            self.proxies[name].change('pass')
-            self.list_again(name)
+            self.resize(name, WORKER_CAPACITY.gpus)
+            self.proxies[name].set_mode('pass')
+            self.write_current_entry(name)
 
     async def _add(self, name: str) -> None:
         entry = WorkerEntry(
@@ -154,18 +163,18 @@
             service='calc',
             address='',
             data_centre=DATA_CENTRES[len(self.models) % len(DATA_CENTRES)],
-            capacity=ROOM,
+            capacity=WORKER_CAPACITY,
             labels=('a', 'r1'),
             incarnation=1,
         )
         model = TaskWorkerModel(
             entry=entry,
             clock=self._clock,
-            run_s=self._drawn.choice(self._run_times_s),
+            run_s=self._rng.choice(self._run_times_s),
         )
         model.crashing = self.crashing
-        model.lengths_s = self.lengths_s
-        model.on_crash = self._crashed
+        model.lengths_s = self.run_s_by_task
+        model.on_crash = self._on_crash
         server = WorkerServer(model=model)
         _, address = await serve(server.handle)
         proxy = Proxy(target=address)
@@ -173,7 +182,7 @@
         self.models.append(model)
         self._servers[name] = server
         self.proxies[name] = proxy
-        self.list_again(name)
+        self.write_current_entry(name)
 
 
 __all__ = ('SoakWorkers',)
--- a/bench/time_bounds.py
+++ b/bench/time_bounds.py
@@ -20,7 +20,7 @@
 URGENT = 12
 BOUND_S = 3.3
 CHANGES = 50
-IN_FORCE_S = 11.0
+MAX_APPLY_S = 11.0
 SITE = ROOT / 'examples' / 'tenggara' / 'configuration'
 
 
@@ -113,7 +113,7 @@
             highest = seen
             if min(seen.values()) >= wanted:
                 break
-            if time.monotonic() - begun_s > 3 * IN_FORCE_S:
+            if time.monotonic() - begun_s > 3 * MAX_APPLY_S:
                 break
             time.sleep(0.1)
         times_s.append(time.monotonic() - begun_s)
@@ -123,8 +123,8 @@
         'cut_off': cut_off,
         'p50_s': round(percentile(times_s, 0.5), 2),
         'worst_s': round(max(times_s), 2),
-        'past_bound': sum(one > IN_FORCE_S for one in times_s),
-        'bound_s': IN_FORCE_S,
+        'past_bound': sum(one > MAX_APPLY_S for one in times_s),
+        'bound_s': MAX_APPLY_S,
         'lower_after_higher': lower,
     }
 
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of real host processes."""
+"""Short seeded soaks of real host processes."""
 
 import asyncio
 import tempfile
@@ -9,9 +9,9 @@
 from bench.soak_faults import kill
 from bench.soak_hosts import Soak
 
-#: The faults that there were when a seed failed: with more of them it would
+#: The faults that existed when seed 3002 failed: with more of them it would
 #: draw others.
-FORMER_FAULTS = (
+EARLIER_FAULTS = (
     'bad_entry',
     'configuration',
     'kill',
@@ -28,11 +28,11 @@
     'worker_restarts_behind_a_cut',
 )
 
-#: The same, with the faults that came after them.
+#: The faults that existed when seed 7305 failed.
 LATER_FAULTS = tuple(
     sorted(
         (
-            *FORMER_FAULTS,
+            *EARLIER_FAULTS,
             'configuration_unread',
             'data_centre_closes',
             'large_configuration',
@@ -42,31 +42,34 @@
     ),
 )
 
-#: Seeds that are played, with seconds of faults: the first ones, and each that
-#: ever failed, with the faults of its time. 3002: more work than the workers do
-#: in the 45 s that the soak waited after the last fault; 36 to 40 of 40
-#: accelerators were in use all the time, so it now waits as long as jobs go on
-#: ending. 7305: hosts that had read nothing started tasks in a closed data
-#: centre, since the soak did not tell them the bound that it checks.
+#: The seeds to run, with their seconds of faults and the names of the faults:
+#: the first two seeds, and each that has failed. 3002: callers submitted more
+#: work than the workers complete in the 45 s that the soak waited after the
+#: last fault, with 36 to 40 of 40 accelerators in use all the time; the soak now
+#: waits for as long as jobs end. 7305: a restarted host started tasks in a
+#: closed data centre before it had read the operators' rows, since the soak did
+#: not set the bound that it checks; with it, no task starts while these rows
+#: are unknown.
 SEEDS = (
     (1, 6.0, ()),
     (2, 6.0, ()),
-    (3002, 10.0, FORMER_FAULTS),
+    (3002, 10.0, EARLIER_FAULTS),
     (7305, 10.0, LATER_FAULTS),
 )
 
 
-#: Seeds that are played with gangs and failed, with seconds of faults and how
-#: many gangs are wider than all workers. 7940: everything waited behind those.
-#: 7931: small jobs waited beside suspects and behind gangs of whole workers.
+#: Seeds with gangs that have failed, with their seconds of faults and how many
+#: gangs are wider than all workers. 7940: all other jobs waited behind those
+#: gangs. 7931: small jobs waited while suspects had workers for themselves, and
+#: behind gangs that use whole workers.
 GANG_SEEDS = (
     (7940, 6.0, 3),
     (7931, 20.0, 0),
 )
 
 
-class EndedDuringRestarts(Soak):
-    """A soak that ends while every host is being started again."""
+class SoakEndedDuringRestarts(Soak):
+    """A soak that ends while every host is restarting."""
 
     async def _start_host(self, number: int) -> asyncio.subprocess.Process:
         process = await super()._start_host(number)
@@ -78,36 +81,36 @@
             self._spawn(kill(self))
         await asyncio.sleep(0.15)
 
-    async def _heal(self) -> None:
+    async def _end_faults(self) -> None:
         self._callers.stopped.set()
 
     async def _await_ends(self) -> None:
         await asyncio.sleep(0.1)
 
 
-async def played_with_gangs(folder: Path) -> list[dict[str, Any]]:
-    """Play the seeds with gangs side by side; return their reports."""
+async def run_with_gangs(folder: Path) -> list[dict[str, Any]]:
+    """Run the seeds with gangs concurrently; return their reports."""
     soaks = []
     for seed, fault_s, impossible in GANG_SEEDS:
-        own = folder / str(seed)
-        own.mkdir()
+        seed_folder = folder / str(seed)
+        seed_folder.mkdir()
         soaks.append(
             Soak(
                 seed=seed,
                 fault_s=fault_s,
-                folder=own,
+                folder=seed_folder,
                 gangs=True,
-                most_impossible=impossible,
+                max_impossible=impossible,
             ),
         )
     return await asyncio.gather(*(soak.run() for soak in soaks))
 
 
 class SoakTest(unittest.TestCase):
-    """Kills, pauses, stops, cut links, and workers that come back."""
+    """Kills, pauses, stops, lost connections and restarting workers."""
 
-    def test_promises_hold_under_seeded_faults(self) -> None:
-        """From what callers and workers see."""
+    def test_invariants_hold_under_seeded_faults(self) -> None:
+        """They are checked from what callers and workers observe."""
         for seed, fault_s, faults in SEEDS:
             with tempfile.TemporaryDirectory() as folder:
                 soak = Soak(
@@ -120,26 +123,28 @@
             self.assertEqual(report['faults'], [], f'seed {seed}')
             self.assertGreater(report['accepted'], 10, f'seed {seed}')
 
-    def test_no_job_waits_beside_free_room(self) -> None:
-        """Behind wide gangs, and beside suspects."""
+    def test_no_job_waits_with_free_capacity(self) -> None:
+        """Neither behind wide gangs nor beside suspects."""
         with tempfile.TemporaryDirectory() as folder:
-            reports = asyncio.run(played_with_gangs(Path(folder)))
+            reports = asyncio.run(run_with_gangs(Path(folder)))
         for (seed, _, _), report in zip(GANG_SEEDS, reports, strict=True):
             self.assertEqual(report['faults'], [], f'seed {seed}')
             self.assertGreater(report['accepted'], 10, f'seed {seed}')
 
-    def test_every_process_that_was_started_is_ended(self) -> None:
-        """Also one whose start is under way when the soak ends."""
+    def test_every_started_process_is_ended(self) -> None:
+        """Even one that is still starting when the soak ends."""
         with tempfile.TemporaryDirectory() as folder:
-            soak = EndedDuringRestarts(
+            soak = SoakEndedDuringRestarts(
                 seed=1,
                 fault_s=0.0,
                 folder=Path(folder),
             )
             asyncio.run(soak.run())
-        left = [one.pid for one in soak.started if one.returncode is None]
+        still_running = [
+            one.pid for one in soak.started if one.returncode is None
+        ]
         for one in soak.started:
             if one.returncode is None:
                 one.kill()
         self.assertGreater(len(soak.started), 4)
-        self.assertEqual(left, [])
+        self.assertEqual(still_running, [])
