--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,9 +1,9 @@
-"""The memory of an entry host by part.
+"""Measures the memory of an entry host by its parts.
 
-Each import of the host's program in turn, each in a fresh interpreter; then
-hosts on loopback against the stand-ins: one that leads and one that does not,
-at rest and after callers' requests. Hosts run as the deploy file says, with
-the libraries that its build installs.
+First each import of the host's program is added in turn, in a new interpreter.
+Then a leader and a standby run on loopback with the stand-ins, and are measured
+when ready, when idle, and after callers' requests. Hosts run as the deploy file
+says, with the libraries that its build installs.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 from tests.platform_standin import worker_row
 from tests.test_platform import CONFIGURATION, JOB, Testbed
 
-#: What the host's program imports, each with all that is above it.
+#: The imports of the host's program; each is measured with those above it.
 IMPORTS: Final = (
     '',
     'msgspec',
@@ -39,14 +39,14 @@
     'curranthill.platform.program',
 )
 
-#: How long a host is left alone before it is read, in seconds.
-REST_S: Final = 3.0
+#: How long a host is idle before it is measured, in seconds.
+IDLE_S: Final = 3.0
 
-#: The longest that a host may take to start, in seconds.
-START_S: Final = 20.0
+#: The longest time that a host may take to become ready, in seconds.
+START_TIMEOUT_S: Final = 20.0
 
-#: How often a host is asked whether it is ready, in seconds.
-POLL_S: Final = 0.01
+#: The interval between checks whether a host is ready, in seconds.
+POLL_INTERVAL_S: Final = 0.01
 
 #: The interpreter outside of any virtual environment, as the build uses it.
 INTERPRETER: Final = f'{sys.base_prefix}/bin/python3'
@@ -55,15 +55,15 @@
 
 
 class Memory(NamedTuple):
-    """What one process holds, in kilobytes."""
+    """The resident memory of a process, in kilobytes."""
 
     anonymous_kb: int
     file_kb: int
     peak_kb: int
 
     @classmethod
-    def of(cls, status: str) -> 'Memory':
-        """Return what the kernel's status page of a process tells."""
+    def from_status(cls, status: str) -> 'Memory':
+        """Return the memory from the status file of a process in /proc."""
         fields = dict(
             line.split(':', maxsplit=1) for line in status.split('\n') if line
         )
@@ -76,18 +76,18 @@
 
 
 class Deployment:
-    """How the deploy file builds and runs the host's program."""
+    """The build and the start of the host's program by the deploy file."""
 
     def __init__(self) -> None:
-        """Read the file."""
+        """Read the build command and the host's command from the file."""
         fields = tomllib.loads((ROOT / 'deploy/system.toml').read_text('utf-8'))
         self._build = fields['build']
         role = fields['roles']['host']
-        self._words: list[str] = role['run'].split()
+        self._command_line: list[str] = role['run'].split()
         self._variables = role.get('env', {})
 
     def build(self) -> None:
-        """Build as the platform does."""
+        """Run the build command, as the platform does."""
         subprocess.run(  # noqa: S602
             self._build,
             shell=True,
@@ -97,22 +97,22 @@
 
     @property
     def options(self) -> list[str]:
-        """Return the interpreter's own options."""
+        """Return the options of the interpreter before the program."""
         program = next(
             number
-            for number, word in enumerate(self._words)
+            for number, word in enumerate(self._command_line)
             if word.endswith('.py')
         )
-        return self._words[1:program]
+        return self._command_line[1:program]
 
     def environment(self, **more: str) -> dict[str, str]:
-        """Return the variables that a host's process sees."""
+        """Return the environment variables of a host's process."""
         libraries = f'{ROOT}/target/deps:{ROOT}/src'
         return {'PYTHONPATH': libraries, **self._variables, **more}
 
-    def command(self, *words: str) -> list[str]:
+    def command(self, *arguments: str) -> list[str]:
         """Return an interpreter's command line."""
-        return [INTERPRETER, *self.options, *words]
+        return [INTERPRETER, *self.options, *arguments]
 
     def start(self, settings: Path) -> subprocess.Popen[bytes]:
         """Start a host."""
@@ -124,10 +124,10 @@
         )
 
     def after_imports(self, modules: Sequence[str]) -> Memory:
-        """Return what an interpreter holds that imported some modules."""
+        """Return the memory of an interpreter after some imports."""
         lines = [f'import {module}' for module in modules if module]
         lines.append("print(open('/proc/self/status').read())")
-        done = subprocess.run(  # noqa: S603
+        completed = subprocess.run(  # noqa: S603
             self.command('-c', '\n'.join(lines)),
             check=True,
             capture_output=True,
@@ -135,11 +135,11 @@
             cwd=ROOT,
             env=self.environment(),
         )
-        return Memory.of(done.stdout)
+        return Memory.from_status(completed.stdout)
 
 
 class RunningHost:
-    """One host's process and where it listens."""
+    """A host's process and the addresses at which it listens."""
 
     def __init__(
         self,
@@ -151,8 +151,8 @@
     ) -> None:
         """Start the process."""
         self.name = name
-        self.callers = f'{HOST}:{free_port()}'
-        self.ready = f'{HOST}:{free_port()}'
+        self.caller_address = f'{HOST}:{free_port()}'
+        self.ready_address = f'{HOST}:{free_port()}'
         self.started_s = time.monotonic()
         settings = folder / f'{name}.json'
         settings.write_text(
@@ -161,7 +161,10 @@
                     'node_name': name,
                     'ip': HOST,
                     'zone': 'dc',
-                    'bind_addrs': {'front': self.callers, 'ready': self.ready},
+                    'bind_addrs': {
+                        'front': self.caller_address,
+                        'ready': self.ready_address,
+                    },
                     'port_range': [free_port(), free_port()],
                     'platform': {'address': store_address},
                     'bounds': {'max_hold_ms': 6000, 'grace_s': 1},
@@ -173,43 +176,45 @@
 
     @property
     def memory(self) -> Memory:
-        """Return what the process holds now."""
-        page = Path(f'/proc/{self.process.pid}/status')
-        return Memory.of(page.read_text('utf-8'))
+        """Return the current memory of the process."""
+        path = Path(f'/proc/{self.process.pid}/status')
+        return Memory.from_status(path.read_text('utf-8'))
 
     async def until_ready(self, client: aiohttp.ClientSession) -> float:
-        """Wait until callers may come; return the seconds since the start."""
+        """Wait until the host is ready; return the seconds since its start."""
         while not await self._is_ready(client):
-            if time.monotonic() - self.started_s > START_S:
-                raise TimeoutError(f'{self.name} is not ready in {START_S} s')
-            await asyncio.sleep(POLL_S)
+            if time.monotonic() - self.started_s > START_TIMEOUT_S:
+                raise TimeoutError(
+                    f'{self.name} is not ready after {START_TIMEOUT_S} s'
+                )
+            await asyncio.sleep(POLL_INTERVAL_S)
         return time.monotonic() - self.started_s
 
     async def _is_ready(self, client: aiohttp.ClientSession) -> bool:
         with suppress(aiohttp.ClientError):
-            async with client.get(f'http://{self.ready}/') as answer:
-                return answer.status == OK
+            async with client.get(f'http://{self.ready_address}/') as response:
+                return response.status == OK
         return False
 
 
-async def ask(
+async def submit_and_read(
     client: aiohttp.ClientSession,
     host: RunningHost,
     requests: int,
 ) -> None:
-    """Hand in jobs, and ask for each."""
+    """Submit jobs and read the state of each."""
     headers = {'Host': 'jobs.example', 'Authorization': 'Bearer key-of-alpha'}
     for number in range(requests):
-        url = f'http://{host.callers}/quick/{host.name}-{number}'
+        url = f'http://{host.caller_address}/quick/{host.name}-{number}'
         async with client.post(url, json=JOB, headers=headers) as accepted:
             if accepted.status != OK:
-                raise RuntimeError(f'{url} was answered {accepted.status}')
-        async with client.get(url, headers=headers) as told:
-            await told.read()
+                raise RuntimeError(f'POST {url} returned {accepted.status}')
+        async with client.get(url, headers=headers) as response:
+            await response.read()
 
 
-def show(part: str, memory: Memory, **more: Any) -> None:
-    """Print one line of the account."""
+def print_memory(part: str, memory: Memory, **more: Any) -> None:
+    """Print one measurement as a line of JSON."""
     fields = {
         'part': part,
         'anonymous_mb': round(memory.anonymous_kb / 1024, 1),
@@ -220,19 +225,19 @@
     print(json.dumps(fields), flush=True)
 
 
-def show_imports(deployment: Deployment) -> None:
-    """Print what each import adds to those before it."""
+def print_imports(deployment: Deployment) -> None:
+    """Print the memory after each further import."""
     for number, module in enumerate(IMPORTS):
         memory = deployment.after_imports(IMPORTS[: number + 1])
-        show(module or 'interpreter', memory)
+        print_memory(module or 'interpreter', memory)
 
 
-async def show_hosts(
+async def print_hosts(
     deployment: Deployment,
     folder: Path,
     requests: int,
 ) -> None:
-    """Print what a leader and a standby hold."""
+    """Print the memory of a leader and a standby."""
     testbed = Testbed()
     await testbed.open()
     content = json.dumps(CONFIGURATION).encode()
@@ -250,14 +255,16 @@
                 )
                 hosts.append(host)
                 ready_s = round(await host.until_ready(client), 2)
-                show(f'{name} when ready', host.memory, ready_s=ready_s)
-            await asyncio.sleep(REST_S)
+                print_memory(f'{name} when ready', host.memory, ready_s=ready_s)
+            await asyncio.sleep(IDLE_S)
             for host in hosts:
-                show(f'{host.name} at rest', host.memory)
+                print_memory(f'{host.name} at rest', host.memory)
             for host in hosts:
-                await ask(client, host, requests)
+                await submit_and_read(client, host, requests)
             for host in hosts:
-                show(f'{host.name} asked', host.memory, requests=requests)
+                print_memory(
+                    f'{host.name} asked', host.memory, requests=requests
+                )
     finally:
         for host in hosts:
             host.process.terminate()
@@ -266,15 +273,15 @@
 
 
 def main() -> None:
-    """Print the account."""
+    """Run all measurements."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument('--requests', type=int, default=300)
     chosen = options.parse_args()
     deployment = Deployment()
     deployment.build()
-    show_imports(deployment)
+    print_imports(deployment)
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(show_hosts(deployment, Path(folder), chosen.requests))
+        asyncio.run(print_hosts(deployment, Path(folder), chosen.requests))
 
 
 if __name__ == '__main__':
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,6 +1,6 @@
-"""Both measures on both example deployments, compared with the baselines.
+"""Compares placement policies by the users' measures on two deployments.
 
-``python -m bench.placement`` runs every policy on the same seeds, in real
+``python -m bench.placement`` runs each policy on the same seeds, in real
 processes, and writes ``bench/results/placement.json``.
 """
 
@@ -24,15 +24,15 @@
     'kalvola': 'reconciliation,ledger-matching,year-end-matching',
 }
 
-#: Runs at the same time; each has eight mostly idle processes.
-PARALLEL = 6
+#: How many runs are concurrent; each has eight mostly idle processes.
+PARALLEL_RUNS = 6
 
 
 def run_once(deployment: str, policy: str, seed: int) -> dict[str, Any]:
-    """Run one workload once and return its measures."""
+    """Run a deployment's workload once and return the load's report."""
     with tempfile.TemporaryDirectory() as temporary:
-        work = Path(temporary)
-        folder = work / 'configuration'
+        work_folder = Path(temporary)
+        folder = work_folder / 'configuration'
         shutil.copytree(
             ROOT / 'examples' / deployment / 'configuration', folder
         )
@@ -40,17 +40,19 @@
         shutil.copy(overlay, folder / '90-compressed.json')
         processes = Processes(
             folder=folder,
-            work=work / 'run',
+            work_folder=work_folder / 'run',
             placement={'policy': policy, 'quick_slots': 2, 'grace_s': 0.2},
         )
         try:
             processes.start()
-            return _load(processes, deployment, seed, work / 'report')
+            return _run_load(
+                processes, deployment, seed, work_folder / 'report'
+            )
         finally:
             processes.stop()
 
 
-def _load(
+def _run_load(
     processes: Processes,
     deployment: str,
     seed: int,
@@ -80,8 +82,8 @@
     return measures
 
 
-def summarise(runs: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return mean, minimum and maximum of the figures over the seeds."""
+def summarize(runs: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the mean, minimum and maximum of each figure over the seeds."""
     figures = {
         'gang_p95_multiple': [run['gang_multiple']['p95'] for run in runs],
         'long_p95_multiple': [run['long_multiple']['p95'] for run in runs],
@@ -110,14 +112,14 @@
     seeds: tuple[int, ...] = SEEDS,
     out: str = 'placement.json',
 ) -> None:
-    """Run all and write the results."""
+    """Run all combinations and write the results."""
     cases = [
         (deployment, policy, seed)
         for deployment in deployments
         for seed in seeds
         for policy in policies
     ]
-    with ThreadPoolExecutor(PARALLEL) as pool:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         measured = list(pool.map(lambda case: run_once(*case), cases))
     results: dict[str, Any] = {'seeds': list(seeds)}
     for deployment in deployments:
@@ -128,7 +130,7 @@
                 for case, run in zip(cases, measured, strict=True)
                 if case[:2] == (deployment, policy)
             ]
-            results[deployment][policy] = summarise(runs)
+            results[deployment][policy] = summarize(runs)
     RESULTS.mkdir(parents=True, exist_ok=True)
     (RESULTS / out).write_text(json.dumps(results, indent=2) + '\n')
     for deployment in deployments:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Start the programs of one deployment as separate processes on loopback."""
+"""Runs the programs of a deployment as separate processes on loopback."""
 
 import json
 import os
@@ -17,20 +17,20 @@
 
 HOST = '127.0.0.1'
 
-#: Ports below those that the system gives out by itself.
-RESERVED_PORTS = range(12_000, 32_000)
+#: Ports below the range from which the kernel assigns ephemeral ports.
+PORT_RANGE = range(12_000, 32_000)
 ROOT = Path(__file__).parent.parent
-READY_S = 30.0
+START_TIMEOUT_S = 30.0
 KEY = 'bench-key'
 
 
 def free_port() -> int:
-    """Return a port that was free a moment ago.
+    """Return a port that is free now.
 
-    No connection or server without a port of its own takes it meanwhile.
+    The kernel assigns it to no connection or server that asks for any port.
     """
     while True:
-        port = random.choice(RESERVED_PORTS)  # noqa: S311
+        port = random.choice(PORT_RANGE)  # noqa: S311
         with socket.socket() as probe, suppress(OSError):
             probe.bind((HOST, port))
             return port
@@ -38,8 +38,8 @@
 
 def get_json(url: str) -> Any:
     """Return the JSON at a URL."""
-    with http.urlopen(url, timeout=5) as reply:  # noqa: S310
-        return json.loads(reply.read())
+    with http.urlopen(url, timeout=5) as response:  # noqa: S310
+        return json.loads(response.read())
 
 
 def post_json(url: str, document: Any) -> None:
@@ -54,22 +54,25 @@
 
 
 class Processes:
-    """The stand-in, and a gateway and schedulers for each data centre.
+    """The stand-in, and gateways and schedulers in each data centre.
 
     :param folder: the configuration folder.
-    :param work: where settings and logs are written.
-    :param schedulers: schedulers for each data centre.
+    :param work_folder: where settings and logs are written.
+    :param schedulers: how many schedulers each data centre has.
+    :param gateways: how many gateways each data centre has.
     :param placement: placement settings of the schedulers.
-    :param cut_off: the platform's URL for data centres that cannot reach it.
-    :param writes_per_s: each daemon's budget; the table takes ten times a
-        daemon's default, or four times a higher one.
+    :param leases: lease settings of the schedulers.
+    :param writes_per_s: each daemon's limit of writes; the table accepts ten
+        times a daemon's default, or four times a higher limit.
+    :param cut_off: a URL that does not respond, by each data centre that is cut
+        off from the platform.
     """
 
     def __init__(
         self,
         *,
         folder: Path,
-        work: Path,
+        work_folder: Path,
         schedulers: int = 1,
         gateways: int = 1,
         placement: dict[str, Any] | None = None,
@@ -77,8 +80,8 @@
         writes_per_s: float = 40,
         cut_off: dict[str, str] | None = None,
     ) -> None:
-        """Write nothing and start nothing yet."""
-        self.work = work
+        """Initialize without writing files or starting processes."""
+        self.work_folder = work_folder
         self.folder = folder
         self.document = validate_document(merge(read_folder(folder).contents))
         self.running: dict[str, subprocess.Popen[bytes]] = {}
@@ -91,13 +94,13 @@
         self._writes_per_s = writes_per_s
         self._cut_off = cut_off or {}
         self._ports: dict[str, int] = {}
-        self._settings: dict[str, Path] = {}
+        self._settings_paths: dict[str, Path] = {}
 
     def start(self) -> None:
-        """Start everything and wait until it serves."""
-        self.work.mkdir(parents=True, exist_ok=True)
+        """Start all processes and wait until they are ready."""
+        self.work_folder.mkdir(parents=True, exist_ok=True)
         port = self.standin.rpartition(':')[2]
-        self._run(
+        self._start_process(
             'standin',
             'standin',
             [
@@ -108,58 +111,68 @@
                 str(max(400, 4 * self._writes_per_s)),
             ],
         )
-        self._wait(lambda: get_json(f'{self.standin}/counts'))
+        self._wait_until(lambda: get_json(f'{self.standin}/counts'))
         self._write_settings()
-        self._apply()
-        for name in self._settings:
+        self._apply_configuration()
+        for name in self._settings_paths:
             if name != 'operator':
                 self.restart(name)
-        self._wait(self._ready)
-        self._wait(self._led)
+        self._wait_until(self._are_gateways_ready)
+        self._wait_until(self._has_every_data_centre_a_leader)
 
     def restart(self, name: str) -> None:
-        """Start a process, again if it was killed."""
+        """Start a process by its name, for the first time or after its end."""
         program = name.rpartition('/')[2].rstrip('0123456789')
-        self._run(name, program, ['--settings', str(self._settings[name])])
+        self._start_process(
+            name, program, ['--settings', str(self._settings_paths[name])]
+        )
 
-    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Signal one process by its own id."""
+    def send_signal(self, name: str, number: int = signal.SIGKILL) -> None:
+        """Send a signal to one process; wait for its end after SIGKILL."""
         self.running[name].send_signal(number)
         if number == signal.SIGKILL:
             self.running[name].wait()
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes that were started, also paused ones."""
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in self.running.values():
             process.wait()
 
-    def names(self, role: str) -> list[str]:
+    def process_names(self, role: str) -> list[str]:
         """Return the names of the processes of one role."""
-        return [name for name in self._settings if f'/{role}' in name]
+        return [name for name in self._settings_paths if f'/{role}' in name]
 
     def _write_settings(self) -> None:
-        places = list(self.document.data_centres)
-        names: list[tuple[str, str, str]] = []
-        for place in places:
+        data_centres = list(self.document.data_centres)
+        processes: list[tuple[str, str, str]] = []
+        for data_centre in data_centres:
             for number in range(self._schedulers):
-                names.append((place, 'scheduler', f'{place}/scheduler{number}'))
+                processes.append(
+                    (
+                        data_centre,
+                        'scheduler',
+                        f'{data_centre}/scheduler{number}',
+                    )
+                )
             for number in range(self._gateways):
-                names.append((place, 'gateway', f'{place}/gateway{number}'))
-        for _, _, name in names:
+                processes.append(
+                    (data_centre, 'gateway', f'{data_centre}/gateway{number}')
+                )
+        for _, _, name in processes:
             self._ports[name] = free_port()
-        seeds = [f'{HOST}:{self._ports[name]}' for _, _, name in names][:4]
-        for place, role, name in names:
-            record: dict[str, Any] = {
+        seeds = [f'{HOST}:{self._ports[name]}' for _, _, name in processes][:4]
+        for data_centre, role, name in processes:
+            settings: dict[str, Any] = {
                 'host': {
                     'name': name.replace('/', '-'),
-                    'data_centre': place,
-                    'region': self.document.data_centres[place].region,
+                    'data_centre': data_centre,
+                    'region': self.document.data_centres[data_centre].region,
                 },
                 'platform': {
-                    'url': self._cut_off.get(place, self.standin),
+                    'url': self._cut_off.get(data_centre, self.standin),
                     'writes_per_s': self._writes_per_s,
                 },
                 'membership': {'port': self._ports[name], 'seeds': seeds},
@@ -168,22 +181,24 @@
             if role == 'gateway':
                 port = free_port()
                 self.gateways.append(f'http://{HOST}:{port}')
-                record['callers'] = {'port': port}
+                settings['callers'] = {'port': port}
             else:
-                record['placement'] = self._placement
-                record['leases'] = self._leases
-            self._settings[name] = self._write(name, record)
-        self._settings['operator'] = self._write(
+                settings['placement'] = self._placement
+                settings['leases'] = self._leases
+            self._settings_paths[name] = self._write_settings_file(
+                name, settings
+            )
+        self._settings_paths['operator'] = self._write_settings_file(
             'operator',
             {'platform': {'url': self.standin}, 'entry_hosts': seeds},
         )
 
-    def _write(self, name: str, record: dict[str, Any]) -> Path:
-        path = self.work / f'{name.replace("/", "-")}.json'
-        path.write_text(json.dumps(record, indent=2))
+    def _write_settings_file(self, name: str, settings: dict[str, Any]) -> Path:
+        path = self.work_folder / f'{name.replace("/", "-")}.json'
+        path.write_text(json.dumps(settings, indent=2))
         return path
 
-    def _apply(self) -> None:
+    def _apply_configuration(self) -> None:
         subprocess.run(  # noqa: S603
             [
                 str(Path(sys.executable).parent / 'curranthill'),
@@ -191,14 +206,16 @@
                 'apply',
                 str(self.folder),
                 '--settings',
-                str(self._settings['operator']),
+                str(self._settings_paths['operator']),
             ],
             check=True,
             capture_output=True,
         )
 
-    def _run(self, name: str, program: str, options: list[str]) -> None:
-        log = (self.work / f'{name.replace("/", "-")}.log').open('ab')
+    def _start_process(
+        self, name: str, program: str, options: list[str]
+    ) -> None:
+        log = (self.work_folder / f'{name.replace("/", "-")}.log').open('ab')
         self.running[name] = subprocess.Popen(  # noqa: S603
             [
                 str(Path(sys.executable).parent / f'curranthill-{program}'),
@@ -210,21 +227,21 @@
         )
         log.close()
 
-    def _ready(self) -> bool:
-        """Return whether each gateway would be sent callers."""
+    def _are_gateways_ready(self) -> bool:
+        """Return whether all gateways report that they are ready."""
         return all(
             get_json(f'{gateway}/ready')['ready'] for gateway in self.gateways
         )
 
-    def _led(self) -> bool:
-        """Return whether each data centre has an active scheduler."""
+    def _has_every_data_centre_a_leader(self) -> bool:
+        """Return whether each connected data centre has an active scheduler."""
         status = subprocess.run(  # noqa: S603
             [
                 str(Path(sys.executable).parent / 'curranthill'),
                 'status',
                 '--json',
                 '--settings',
-                str(self._settings['operator']),
+                str(self._settings_paths['operator']),
             ],
             check=False,
             capture_output=True,
@@ -232,22 +249,24 @@
         )
         if status.returncode:
             return False
-        led = {
+        led_data_centres = {
             member['data_centre']
             for member in json.loads(status.stdout)
             if member['leads_epoch'] != '-'
         }
         expected = len(self.document.data_centres) - len(self._cut_off)
-        return len(led) == expected
+        return len(led_data_centres) == expected
 
-    def _wait(self, check: Any) -> None:
-        until_s = time.monotonic() + READY_S
-        while time.monotonic() < until_s:
+    def _wait_until(self, check: Any) -> None:
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             with suppress(OSError):
                 if check():
                     return
             time.sleep(0.1)
-        raise TimeoutError(f'{self.work}: not ready within {READY_S} s')
+        raise TimeoutError(
+            f'{self.work_folder}: not ready within {START_TIMEOUT_S} s'
+        )
 
 
 __all__ = ('HOST', 'ROOT', 'Processes', 'free_port', 'get_json', 'post_json')
--- a/bench/quick.py
+++ b/bench/quick.py
@@ -1,7 +1,8 @@
-"""The quick lane: beside long work, against a bare pass-through, in bursts.
+"""Measures the latency of the quick lane in four situations.
 
-``python -m bench.quick`` writes ``bench/results/quick.json``. Each figure is
-a ratio of two parts measured in one run.
+These are: beside long work, compared with a minimal proxy, during another
+workspace's burst, and with failing workers. ``python -m bench.quick`` writes
+``bench/results/quick.json``; its ratios compare two measurements of one run.
 """
 
 import asyncio
@@ -18,159 +19,165 @@
 from bench.processes import HOST, ROOT, Processes, get_json, post_json
 from curranthill.load import percentile
 
-LOOKUP = 'distributors/kinds/catalogue-lookup/requests'
+LOOKUP_PATH = 'distributors/kinds/catalogue-lookup/requests'
 REQUESTS = 600
 CONNECTIONS = 8
 RUN_S = 0.01
 
-Ask = Callable[[int], Awaitable[bool]]
+SendRequest = Callable[[int], Awaitable[bool]]
 
 
-class Client:
-    """One caller of a deployment.
+class QuickClient:
+    """A caller of a deployment.
 
-    :param processes: the deployment.
+    :param processes: the processes of the deployment.
     """
 
     def __init__(self, *, processes: Processes) -> None:
-        """Keep the deployment."""
+        """Initialize the client with unlimited connections."""
         self.processes = processes
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
         )
 
-    async def quick(
+    async def send_quick_request(
         self,
         gateway: str,
-        path: str = LOOKUP,
+        path: str = LOOKUP_PATH,
         run_s: float = RUN_S,
     ) -> bool:
-        """Make one quick request; return whether it was answered."""
+        """Send one quick request; return whether it succeeded."""
         workspace = path.partition('/')[0]
         async with self.session.post(
             f'{gateway}/v1/workspaces/{path}',
             json={'run_s': run_s},
             headers={'Authorization': f'Bearer demo-{workspace}'},
-        ) as reply:
-            await reply.read()
-            return reply.status == 200
-
-    async def long(self, workspace: str, kind: str, run_s: float) -> None:
-        """Submit one job."""
+        ) as response:
+            await response.read()
+            return response.status == 200
+
+    async def submit_long_job(
+        self, workspace: str, kind: str, run_s: float
+    ) -> None:
+        """Submit one job to each gateway."""
         gateways = self.processes.gateways
         for gateway in gateways:
             async with self.session.post(
                 f'{gateway}/v1/workspaces/{workspace}/kinds/{kind}/requests',
                 json={'run_s': run_s},
                 headers={'Authorization': f'Bearer demo-{workspace}'},
-            ) as reply:
-                await reply.read()
+            ) as response:
+                await response.read()
 
 
-async def timed(ask: Ask, requests: int, connections: int) -> dict[str, Any]:
-    """Ask so often over so many connections; return the times."""
+async def measure_requests(
+    send: SendRequest, requests: int, connections: int
+) -> dict[str, Any]:
+    """Send requests over some connections; return their rate and latency."""
     times_s: list[float] = []
-    answers: list[bool] = []
+    successes: list[bool] = []
 
     async def one_connection(share: int) -> None:
         for number in range(share):
-            begun_s = time.perf_counter()
-            answers.append(await ask(number))
-            times_s.append(time.perf_counter() - begun_s)
+            began_s = time.perf_counter()
+            successes.append(await send(number))
+            times_s.append(time.perf_counter() - began_s)
 
-    begun_s = time.perf_counter()
+    began_s = time.perf_counter()
     await asyncio.gather(
         *(one_connection(requests // connections) for _ in range(connections)),
     )
-    took_s = time.perf_counter() - begun_s
+    took_s = time.perf_counter() - began_s
     return {
         'requests': len(times_s),
-        'failed': answers.count(False),
+        'failed': successes.count(False),
         'per_s': round(len(times_s) / took_s, 1),
         'p50_ms': round(1000 * percentile(times_s, 0.5), 3),
         'p99_ms': round(1000 * percentile(times_s, 0.99), 3),
     }
 
 
-async def beside_long_work(client: Client) -> dict[str, Any]:
-    """Quick work on an idle system, then with long work on every slot."""
+async def measure_beside_long_work(client: QuickClient) -> dict[str, Any]:
+    """Measure quick requests on an idle system and beside long work."""
     gateway = client.processes.gateways[0]
 
-    async def ask(number: int) -> bool:
-        return await client.quick(gateway)
+    async def send(number: int) -> bool:
+        return await client.send_quick_request(gateway)
 
-    await timed(ask, 160, CONNECTIONS)
+    await measure_requests(send, 160, CONNECTIONS)
     await asyncio.sleep(2)
-    idle = await timed(ask, REQUESTS, CONNECTIONS)
+    idle = await measure_requests(send, REQUESTS, CONNECTIONS)
     for _ in range(120):
-        await client.long('spindle', 'spindle-estimate', 30)
+        await client.submit_long_job('spindle', 'spindle-estimate', 30)
     await asyncio.sleep(4)
-    free = sum(
+    free_slots = sum(
         sum(workers)
         for workers in get_json(f'{client.processes.standin}/free').values()
     )
-    busy = await timed(ask, REQUESTS, CONNECTIONS)
+    saturated = await measure_requests(send, REQUESTS, CONNECTIONS)
     return {
         'idle': idle,
-        'saturated': busy,
-        'free_slots_then': free,
-        'p99_ratio': round(busy['p99_ms'] / idle['p99_ms'], 3),
-        'p50_ratio': round(busy['p50_ms'] / idle['p50_ms'], 3),
+        'saturated': saturated,
+        'free_slots_then': free_slots,
+        'p99_ratio': round(saturated['p99_ms'] / idle['p99_ms'], 3),
+        'p50_ratio': round(saturated['p50_ms'] / idle['p50_ms'], 3),
     }
 
 
-async def against_bare(client: Client) -> dict[str, Any]:
-    """The gateway, the worker itself and a bare pass-through, in turns."""
+async def measure_against_proxy(client: QuickClient) -> dict[str, Any]:
+    """Measure the latency that the gateway and a minimal proxy add."""
     gateway = client.processes.gateways[0]
     hosts = get_json(f'{client.processes.standin}/v1/hosts')['hosts']
     worker = f'{hosts[0]["address"]}/v1/quick/lifecalc/catalogue-lookup'
-    runner, bare = await bare_proxy(worker)
+    runner, proxy_url = await start_proxy(worker)
 
-    async def ask_gateway(number: int) -> bool:
-        return await client.quick(gateway, run_s=0)
+    async def send_to_gateway(number: int) -> bool:
+        return await client.send_quick_request(gateway, run_s=0)
 
-    async def ask_url(url: str) -> bool:
+    async def send_to_url(url: str) -> bool:
         async with client.session.post(
             url,
             json={'run_s': 0},
             headers={'Request-Id': 'bench', 'Deadline-S': '5'},
-        ) as reply:
-            await reply.read()
-            return reply.status == 200
+        ) as response:
+            await response.read()
+            return response.status == 200
 
-    async def ask_worker(number: int) -> bool:
-        return await ask_url(worker)
+    async def send_to_worker(number: int) -> bool:
+        return await send_to_url(worker)
 
-    async def ask_bare(number: int) -> bool:
-        return await ask_url(bare)
+    async def send_to_proxy(number: int) -> bool:
+        return await send_to_url(proxy_url)
 
-    parts: dict[str, list[dict[str, Any]]] = {}
+    by_target: dict[str, list[dict[str, Any]]] = {}
     for _ in range(5):
-        for name, ask in (
-            ('worker', ask_worker),
-            ('bare', ask_bare),
-            ('gateway', ask_gateway),
+        for name, send in (
+            ('worker', send_to_worker),
+            ('bare', send_to_proxy),
+            ('gateway', send_to_gateway),
         ):
-            parts.setdefault(name, []).append(await timed(ask, 300, 1))
+            by_target.setdefault(name, []).append(
+                await measure_requests(send, 300, 1)
+            )
     await runner.cleanup()
     medians = {
         name: percentile([one['p50_ms'] for one in measured], 0.5)
-        for name, measured in parts.items()
+        for name, measured in by_target.items()
     }
-    added_bare = medians['bare'] - medians['worker']
+    added_proxy = medians['bare'] - medians['worker']
     added_gateway = medians['gateway'] - medians['worker']
     return {
         'p50_ms': medians,
         'added_ms': {
-            'bare': round(added_bare, 3),
+            'bare': round(added_proxy, 3),
             'gateway': round(added_gateway, 3),
         },
-        'added_ratio': round(added_gateway / added_bare, 3),
+        'added_ratio': round(added_gateway / added_proxy, 3),
     }
 
 
-async def bare_proxy(worker: str) -> tuple[web.AppRunner, str]:
-    """Serve a pass-through that checks nothing; return its URL."""
+async def start_proxy(worker: str) -> tuple[web.AppRunner, str]:
+    """Start a proxy to a worker that checks nothing; return its URL."""
     session = aiohttp.ClientSession()
 
     async def forward(request: web.Request) -> web.Response:
@@ -178,8 +185,10 @@
             worker,
             data=await request.read(),
             headers={'Request-Id': 'bench', 'Deadline-S': '5'},
-        ) as reply:
-            return web.Response(body=await reply.read(), status=reply.status)
+        ) as response:
+            return web.Response(
+                body=await response.read(), status=response.status
+            )
 
     async def close(app: web.Application) -> None:
         await session.close()
@@ -194,21 +203,21 @@
     return runner, f'http://{HOST}:{runner.addresses[0][1]}/'
 
 
-async def burst_of_one(client: Client) -> dict[str, Any]:
-    """One workspace at ten times its share; what the others see."""
+async def measure_burst_of_one(client: QuickClient) -> dict[str, Any]:
+    """Measure other workspaces while one sends ten times its share."""
     gateway = client.processes.gateways[0]
     other = 'gearbox/kinds/catalogue-lookup/requests'
 
-    async def ask_other(number: int) -> bool:
-        return await client.quick(gateway, other)
+    async def send_other(number: int) -> bool:
+        return await client.send_quick_request(gateway, other)
 
-    async def ask_burst(number: int) -> bool:
-        return await client.quick(gateway)
+    async def send_burst(number: int) -> bool:
+        return await client.send_quick_request(gateway)
 
-    before = await timed(ask_other, 300, 2)
-    burst = asyncio.create_task(timed(ask_burst, 4000, 20))
+    before = await measure_requests(send_other, 300, 2)
+    burst = asyncio.create_task(measure_requests(send_burst, 4000, 20))
     await asyncio.sleep(1.5)
-    during = await timed(ask_other, 300, 2)
+    during = await measure_requests(send_other, 300, 2)
     await burst
     return {
         'others_before': before,
@@ -219,41 +228,45 @@
     }
 
 
-async def failing_quarter(client: Client) -> dict[str, Any]:
-    """A quarter of the quick workers fail everything."""
+async def measure_failing_quarter(client: QuickClient) -> dict[str, Any]:
+    """Measure callers while a quarter of the used workers fail all requests."""
     gateway = client.processes.gateways[0]
-    place = gateway_place(client.processes)
+    data_centre = first_data_centre(client.processes)
     hosts = get_json(f'{client.processes.standin}/v1/hosts')['hosts']
-    own = [host for host in hosts if host['data_centre'] == place]
-
-    async def ask(number: int) -> bool:
-        return await client.quick(gateway)
-
-    idle = _quick_runs(own)
-    await timed(ask, 600, 24)
-    before = _quick_runs(own)
-    # Only workers that the gateway sends to now.
-    used = [host for host in own if before[host['host']] > idle[host['host']]]
-    failing = used[: max(1, len(used) // 4)]
-    for host in failing:
+    local_hosts = [host for host in hosts if host['data_centre'] == data_centre]
+
+    async def send(number: int) -> bool:
+        return await client.send_quick_request(gateway)
+
+    idle = _quick_runs(local_hosts)
+    await measure_requests(send, 600, 24)
+    before = _quick_runs(local_hosts)
+    # Only workers to which the gateway sends requests now.
+    used_hosts = [
+        host
+        for host in local_hosts
+        if before[host['host']] > idle[host['host']]
+    ]
+    failing_hosts = used_hosts[: max(1, len(used_hosts) // 4)]
+    for host in failing_hosts:
         post_json(f'{host["address"]}/faults', {'fails': True})
-    callers = await timed(ask, 6000, 24)
-    for host in failing:
+    callers = await measure_requests(send, 6000, 24)
+    for host in failing_hosts:
         post_json(f'{host["address"]}/faults', {})
-    after = _quick_runs(own)
-    names = {host['host'] for host in failing}
+    after = _quick_runs(local_hosts)
+    failing_names = {host['host'] for host in failing_hosts}
     sent = {name: after[name] - before[name] for name in after}
     return {
-        'workers_used': len(used),
-        'failing': len(failing),
+        'workers_used': len(used_hosts),
+        'failing': len(failing_hosts),
         'callers': callers,
-        'sent_to_failing': sum(sent[name] for name in names),
+        'sent_to_failing': sum(sent[name] for name in failing_names),
         'sent_in_all': sum(sent.values()),
         'sent_a_request': round(sum(sent.values()) / callers['requests'], 4),
     }
 
 
-def gateway_place(processes: Processes) -> str:
+def first_data_centre(processes: Processes) -> str:
     """Return the data centre of the first gateway."""
     return next(iter(processes.document.data_centres))
 
@@ -267,32 +280,32 @@
     }
 
 
-async def measure(processes: Processes) -> dict[str, Any]:
-    """Measure all parts on one deployment."""
-    client = Client(processes=processes)
+async def measure_all(processes: Processes) -> dict[str, Any]:
+    """Run all measurements on one deployment."""
+    client = QuickClient(processes=processes)
     try:
         return {
-            'against_bare': await against_bare(client),
-            'burst_of_one': await burst_of_one(client),
-            'failing_quarter': await failing_quarter(client),
-            'beside_long_work': await beside_long_work(client),
+            'against_bare': await measure_against_proxy(client),
+            'burst_of_one': await measure_burst_of_one(client),
+            'failing_quarter': await measure_failing_quarter(client),
+            'beside_long_work': await measure_beside_long_work(client),
         }
     finally:
         await client.session.close()
 
 
 def main(policy: str = 'guarantees') -> None:
-    """Run the deployment, measure and write the results."""
+    """Start the deployment, run the measurements and write the results."""
     with tempfile.TemporaryDirectory() as temporary:
         processes = Processes(
             folder=ROOT / 'examples' / 'tenggara' / 'configuration',
-            work=Path(temporary) / 'run',
+            work_folder=Path(temporary) / 'run',
             placement={'policy': policy, 'quick_slots': 8},
         )
         try:
             processes.start()
             time.sleep(6)
-            results = asyncio.run(measure(processes))
+            results = asyncio.run(measure_all(processes))
         finally:
             processes.stop()
     out = ROOT / 'bench' / 'results'
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,8 +1,10 @@
-"""A minute of real processes that are killed and paused under load.
+"""A soak test of real gateways and schedulers, killed and paused under load.
 
-``python -m bench.soak`` starts two gateways and two schedulers a data centre,
-kills and pauses them at random, lets the table lose replies, and checks at
-the end from the workers' own records that every accepted job ended once.
+``python -m bench.soak`` starts two gateways and two schedulers in each data
+centre, kills and pauses them at random for DURATION_S, and makes the table lose
+responses. Then it checks, partly from the workers' own records, that every
+accepted job has ended, that none was started more often than it may be, and
+that no part of a gang ran without the rest for too long.
 """
 
 import asyncio
@@ -21,14 +23,15 @@
 from bench.processes import ROOT, Processes, get_json, post_json
 
 DURATION_S = 40.0
-SETTLE_S = 75.0
+COMPLETION_TIMEOUT_S = 75.0
 SEED = 7
 LEASES = {'member_term_s': 12, 'poll_wait_s': 3, 'reserve_term_s': 8}
 
-#: A part of a gang may run alone for one member term, found by one poll.
-BOUND_S = 12 + 3 + 2
+#: The longest time that a part of a gang may run without the rest, in seconds:
+#: one member term, a poll that detects it, and a margin.
+PARTIAL_RUN_BOUND_S = 12 + 3 + 2
 
-KINDS = (
+JOB_KINDS = (
     ('spindle', 'lubrication-life-rerun', 1.0, False),
     ('spindle', 'spindle-estimate', 1.0, True),
     ('gearbox', 'fatigue-sweep', 2.0, True),
@@ -37,7 +40,7 @@
 
 
 class Accepted(NamedTuple):
-    """One job that a gateway accepted."""
+    """A job that a gateway accepted."""
 
     job_id: str
     workspace: str
@@ -45,40 +48,46 @@
 
 
 class Soak:
-    """The load, the chaos and the counts of one run."""
+    """The load, the faults and the counts of one run.
+
+    :param accepted: all accepted jobs.
+    :param refused: the number of refusals by their outcome.
+    :param quick: the number of quick requests by their status.
+    :param faults: the number of injected faults and cancellations by kind.
+    """
 
     def __init__(self, *, processes: Processes) -> None:
-        """Start with nothing accepted."""
+        """Initialize without accepted jobs."""
         self.accepted: list[Accepted] = []
         self.refused: Counter[str] = Counter()
         self.quick: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
         self._processes = processes
-        self._random = random.Random(SEED)  # noqa: S311
-        self._down: set[str] = set()
+        self._rng = random.Random(SEED)  # noqa: S311
+        self._paused: set[str] = set()
 
     async def run(self) -> dict[str, Any]:
-        """Load and break things for a while, then settle and count."""
+        """Run load and faults, wait for the ends of jobs; return the counts."""
         async with aiohttp.ClientSession() as session:
-            until_s = time.monotonic() + DURATION_S
+            deadline_s = time.monotonic() + DURATION_S
             await asyncio.gather(
-                self._submit(session, until_s),
-                self._ask_quick(session, until_s),
-                self._break(until_s),
+                self._submit(session, deadline_s),
+                self._send_quick_requests(session, deadline_s),
+                self._inject_faults(deadline_s),
             )
-            self._heal()
-            states = await self._settle(session)
-        return self._count(states)
+            self._end_faults()
+            states = await self._await_ends(session)
+        return self._summarize(states)
 
     async def _submit(
         self,
         session: aiohttp.ClientSession,
-        until_s: float,
+        deadline_s: float,
     ) -> None:
         number = 0
-        while time.monotonic() < until_s:
+        while time.monotonic() < deadline_s:
             number += 1
-            workspace, kind, run_s, idempotent = self._random.choice(KINDS)
+            workspace, kind, run_s, idempotent = self._rng.choice(JOB_KINDS)
             await self._accept(
                 session,
                 workspace,
@@ -97,10 +106,10 @@
         *,
         idempotent: bool,
     ) -> None:
-        """Ask with one key until a host says whether it accepted."""
+        """Submit a job under one idempotency key until a gateway accepts it."""
         key = f'soak-{body["number"]}'
         for _ in range(20):
-            gateway = self._random.choice(self._processes.gateways)
+            gateway = self._rng.choice(self._processes.gateways)
             try:
                 async with session.post(
                     f'{gateway}/v1/workspaces/{workspace}'
@@ -108,20 +117,20 @@
                     json=body,
                     headers=_headers(workspace) | {'Idempotency-Key': key},
                     timeout=aiohttp.ClientTimeout(total=5),
-                ) as reply:
-                    answer = json.loads(await reply.read())
-                    status = reply.status
+                ) as response:
+                    document = json.loads(await response.read())
+                    status = response.status
             except (aiohttp.ClientError, TimeoutError):
                 await asyncio.sleep(0.2)
                 continue
             if status == 202:
                 self.accepted.append(
-                    Accepted(answer['id'], workspace, idempotent),
+                    Accepted(document['id'], workspace, idempotent),
                 )
                 if body['number'] % 15 == 0:
-                    await self._cancel(session, answer['id'], workspace)
+                    await self._cancel(session, document['id'], workspace)
                 return
-            self.refused[answer.get('outcome', '?')] += 1
+            self.refused[document.get('outcome', '?')] += 1
             await asyncio.sleep(0.3)
 
     async def _cancel(
@@ -130,24 +139,24 @@
         job_id: str,
         workspace: str,
     ) -> None:
-        gateway = self._random.choice(self._processes.gateways)
+        gateway = self._rng.choice(self._processes.gateways)
         try:
             async with session.delete(
                 f'{gateway}/v1/jobs/{job_id}',
                 headers=_headers(workspace),
                 timeout=aiohttp.ClientTimeout(total=5),
-            ) as reply:
-                self.faults[f'cancel answered {reply.status}'] += 1
+            ) as response:
+                self.faults[f'cancel answered {response.status}'] += 1
         except (aiohttp.ClientError, TimeoutError):
             self.faults['cancel unanswered'] += 1
 
-    async def _ask_quick(
+    async def _send_quick_requests(
         self,
         session: aiohttp.ClientSession,
-        until_s: float,
+        deadline_s: float,
     ) -> None:
-        while time.monotonic() < until_s:
-            gateway = self._random.choice(self._processes.gateways)
+        while time.monotonic() < deadline_s:
+            gateway = self._rng.choice(self._processes.gateways)
             try:
                 async with session.post(
                     f'{gateway}/v1/workspaces/distributors/kinds'
@@ -155,35 +164,35 @@
                     json={'run_s': 0.01},
                     headers=_headers('distributors'),
                     timeout=aiohttp.ClientTimeout(total=6),
-                ) as reply:
-                    self.quick[str(reply.status)] += 1
+                ) as response:
+                    self.quick[str(response.status)] += 1
             except (aiohttp.ClientError, TimeoutError):
                 self.quick['no answer'] += 1
             await asyncio.sleep(0.05)
 
-    async def _break(self, until_s: float) -> None:
-        """Kill, pause and restart daemons; let the table lose replies."""
+    async def _inject_faults(self, deadline_s: float) -> None:
+        """Kill, pause and restart daemons; make the table lose responses."""
         standin = self._processes.standin
         post_json(f'{standin}/faults', {'lose_replies': 0.05})
         names = [
-            *self._processes.names('scheduler'),
-            *self._processes.names('gateway'),
+            *self._processes.process_names('scheduler'),
+            *self._processes.process_names('gateway'),
         ]
-        while time.monotonic() < until_s:
-            await asyncio.sleep(self._random.uniform(0.8, 1.6))
-            name = self._random.choice(names)
-            if name in self._down:
+        while time.monotonic() < deadline_s:
+            await asyncio.sleep(self._rng.uniform(0.8, 1.6))
+            name = self._rng.choice(names)
+            if name in self._paused:
                 continue
-            if self._random.randrange(2):
+            if self._rng.randrange(2):
                 self.faults['killed'] += 1
-                self._processes.kill(name)
-                await asyncio.sleep(self._random.uniform(0, 1))
+                self._processes.send_signal(name)
+                await asyncio.sleep(self._rng.uniform(0, 1))
                 self._processes.restart(name)
             else:
                 self.faults['paused'] += 1
-                self._processes.kill(name, signal.SIGSTOP)
-                pause_s = self._random.choice((0.5, 2, 7))
-                self._down.add(name)
+                self._processes.send_signal(name, signal.SIGSTOP)
+                pause_s = self._rng.choice((0.5, 2, 7))
+                self._paused.add(name)
                 asyncio.get_running_loop().call_later(
                     pause_s,
                     self._resume,
@@ -191,77 +200,80 @@
                 )
 
     def _resume(self, name: str) -> None:
-        self._processes.kill(name, signal.SIGCONT)
-        self._down.discard(name)
+        self._processes.send_signal(name, signal.SIGCONT)
+        self._paused.discard(name)
 
-    def _heal(self) -> None:
-        for name in list(self._down):
+    def _end_faults(self) -> None:
+        for name in list(self._paused):
             self._resume(name)
         post_json(f'{self._processes.standin}/faults', {})
 
-    async def _settle(
+    async def _await_ends(
         self,
         session: aiohttp.ClientSession,
     ) -> dict[str, str]:
         """Wait until every accepted job has ended; return the states."""
         states: dict[str, str] = {}
-        until_s = time.monotonic() + SETTLE_S
+        deadline_s = time.monotonic() + COMPLETION_TIMEOUT_S
         ended = {'finished', 'failed', 'cancelled', 'unknown'}
-        while time.monotonic() < until_s:
+        while time.monotonic() < deadline_s:
             for job in self.accepted:
                 if states.get(job.job_id) in ended:
                     continue
-                states[job.job_id] = await self._state(session, job)
+                states[job.job_id] = await self._job_state(session, job)
             if all(state in ended for state in states.values()):
                 break
             await asyncio.sleep(1)
         return states
 
-    async def _state(
+    async def _job_state(
         self,
         session: aiohttp.ClientSession,
         job: Accepted,
     ) -> str:
-        gateway = self._random.choice(self._processes.gateways)
+        gateway = self._rng.choice(self._processes.gateways)
         try:
             async with session.get(
                 f'{gateway}/v1/jobs/{job.job_id}',
                 headers=_headers(job.workspace),
                 timeout=aiohttp.ClientTimeout(total=5),
-            ) as reply:
-                answer = json.loads(await reply.read())
+            ) as response:
+                document = json.loads(await response.read())
         except (aiohttp.ClientError, TimeoutError):
             return 'no answer'
-        return str(answer.get('state', answer.get('status')))
+        return str(document.get('state', document.get('status')))
 
-    def _count(self, states: dict[str, str]) -> dict[str, Any]:
-        starts = self._starts()
-        once = {job.job_id for job in self.accepted if not job.idempotent}
-        known = {job.job_id for job in self.accepted}
+    def _summarize(self, states: dict[str, str]) -> dict[str, Any]:
+        starts = self._all_starts()
+        non_idempotent = {
+            job.job_id for job in self.accepted if not job.idempotent
+        }
+        accepted_ids = {job.job_id for job in self.accepted}
         return {
-            'accepted': len(known),
+            'accepted': len(accepted_ids),
             'states': dict(Counter(states.values())),
             'refused': dict(self.refused),
             'quick': dict(self.quick),
             'faults': dict(self.faults),
-            'non_idempotent': len(once),
+            'non_idempotent': len(non_idempotent),
             'non_idempotent_started_twice': sum(
-                _attempts(starts, job_id) > 1 for job_id in once
+                _attempts(starts, job_id) > 1 for job_id in non_idempotent
             ),
             'members_started_twice': sum(
                 len(workers) != len(set(workers))
                 for workers in _workers_by_attempt(starts).values()
             ),
             'attempts': len(_workers_by_attempt(starts)),
-            'longest_partial_run_s': round(_longest_partial_s(starts), 3),
+            'longest_partial_run_s': round(_longest_partial_run_s(starts), 3),
             'partial_runs_past_bound': sum(
-                partial_s > BOUND_S for partial_s in _partials_s(starts)
+                duration_s > PARTIAL_RUN_BOUND_S
+                for duration_s in _partial_runs_s(starts)
             ),
-            'bound_s': BOUND_S,
+            'bound_s': PARTIAL_RUN_BOUND_S,
         }
 
-    def _starts(self) -> list[dict[str, Any]]:
-        """Return every start by the workers' own records."""
+    def _all_starts(self) -> list[dict[str, Any]]:
+        """Return all starts from the workers' own records."""
         starts: list[dict[str, Any]] = []
         hosts = get_json(f'{self._processes.standin}/v1/hosts')['hosts']
         for host in hosts:
@@ -289,37 +301,42 @@
     return groups
 
 
-def _partials_s(starts: list[dict[str, Any]]) -> list[float]:
-    """Return how long a part of each gang ran while the rest did not.
+def _partial_runs_s(starts: list[dict[str, Any]]) -> list[float]:
+    """Return how long a part of each gang ran without the rest, in seconds.
 
-    A member that has finished counts as there until the last one ends, so
-    only a member that never started, or was stopped early, makes a part.
+    If all members of a gang started, this is the time between the first and the
+    last start or that between the first and the last end, whichever is longer;
+    otherwise it is the time from the first start to the last end. A member that
+    has finished counts as running until the last one ends, so only a member
+    that never started or was stopped early leaves a part of its gang alone.
     """
     groups: dict[tuple[str, int], list[dict[str, Any]]] = {}
     for one in starts:
         groups.setdefault((one['job'], one['attempt']), []).append(one)
-    partials: list[float] = []
+    durations_s: list[float] = []
     for members in groups.values():
-        first = min(one['started_s'] for one in members)
-        last_start = max(one['started_s'] for one in members)
-        ends = [one['ended_s'] or time.monotonic() for one in members]
+        first_start_s = min(one['started_s'] for one in members)
+        last_start_s = max(one['started_s'] for one in members)
+        ends_s = [one['ended_s'] or time.monotonic() for one in members]
         if len(members) == members[0]['members']:
-            partials.append(max(last_start - first, max(ends) - min(ends)))
+            durations_s.append(
+                max(last_start_s - first_start_s, max(ends_s) - min(ends_s))
+            )
         else:
-            partials.append(max(ends) - first)
-    return partials
+            durations_s.append(max(ends_s) - first_start_s)
+    return durations_s
 
 
-def _longest_partial_s(starts: list[dict[str, Any]]) -> float:
-    return max(_partials_s(starts), default=0.0)
+def _longest_partial_run_s(starts: list[dict[str, Any]]) -> float:
+    return max(_partial_runs_s(starts), default=0.0)
 
 
 def main() -> None:
-    """Run the soak, print and keep its counts, fail on a broken promise."""
+    """Run the soak, print and write its counts; exit with 1 on a violation."""
     with tempfile.TemporaryDirectory() as temporary:
         processes = Processes(
             folder=ROOT / 'examples' / 'tenggara' / 'configuration',
-            work=Path(temporary) / 'run',
+            work_folder=Path(temporary) / 'run',
             schedulers=2,
             gateways=2,
             placement={'scan_interval_s': 3, 'quick_slots': 2},
@@ -338,14 +355,14 @@
         counts['states'].get(state, 0)
         for state in ('finished', 'failed', 'cancelled', 'unknown')
     )
-    broken = (
+    violations = (
         counts['non_idempotent_started_twice']
         + counts['members_started_twice']
         + counts['partial_runs_past_bound']
         + counts['accepted']
         - ended
     )
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == '__main__':
--- a/bench/soak_revisions.py
+++ b/bench/soak_revisions.py
@@ -117,7 +117,8 @@
         if is_due and status == outdated_status and newest == self._version:
             self.outdated.append(
                 f'{host} responds with {status} for version {version}, and '
-                f'version {newest} was written over {MAX_APPLY_S} s before',
+                f'version {newest} was written more than {MAX_APPLY_S} s '
+                'earlier',
             )
 
 
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,7 +1,7 @@
-"""How long no orders flow after a leader is lost, over many losses.
+"""Measures how long no orders are sent after the loss of a leader.
 
-Under a clock that is moved by hand, against the stand-ins: from the loss to the
-first start of a job that was handed in right after it.
+This is the time from the loss to the first start of a job that is submitted
+right after it, with a manual clock and the stand-ins.
 """
 
 import asyncio
@@ -14,19 +14,19 @@
 from tests.domain import Domain, TestHost, make_spec
 from tests.support import run
 
-LOSSES = 20
+LOSSES_PER_KIND = 20
 STANDBYS = 11
 
-Loss = Callable[[Domain, TestHost], Awaitable[None]]
+LeaderLoss = Callable[[Domain, TestHost], Awaitable[None]]
 
 
 async def kill(domain: Domain, leader: TestHost) -> None:
-    """End the leader's process."""
+    """Kill the leader's process."""
     await leader.kill()
 
 
 async def step_down(domain: Domain, leader: TestHost) -> None:
-    """Stop the leader as planned."""
+    """Make the leader step down, then stop it."""
     assert leader.leader is not None
     task = asyncio.ensure_future(leader.leader.step_down())
     await domain.clock.advance(0.02)
@@ -35,19 +35,19 @@
 
 
 async def cut_store(domain: Domain, leader: TestHost) -> None:
-    """Take the store away from the leader only."""
+    """Make the store unresponsive for the leader only."""
     domain.rows.down.add(leader.name)
 
 
-async def outage_s(loss: Loss, seed: int) -> float:
-    """Return the seconds from one loss to the next order."""
+async def measure_outage_s(loss: LeaderLoss, seed: int) -> float:
+    """Return the time from one loss to the next start order, in seconds."""
     random.seed(seed)
     domain = Domain(workers=4)
     domain.others = STANDBYS
     for number in range(STANDBYS + 1):
         domain.start_host(f'h{number}')
     leader = await domain.leader()
-    # Losses fall at any moment between two readings of the standbys.
+    # The loss occurs at any moment between two reads of the standbys.
     await domain.clock.advance(3 + random.random())
     began_s = domain.clock.monotonic_s()
     await loss(domain, leader)
@@ -63,14 +63,16 @@
 
 
 def main() -> None:
-    """Print the median and the worst of each kind of loss."""
+    """Print the median and the longest outage for each kind of loss."""
     for loss in (kill, step_down, cut_store):
-        times_s = [run(outage_s(loss, seed)) for seed in range(LOSSES)]
+        times_s = [
+            run(measure_outage_s(loss, seed)) for seed in range(LOSSES_PER_KIND)
+        ]
         print(
             json.dumps(
                 {
                     'loss': loss.__name__,
-                    'losses': LOSSES,
+                    'losses': LOSSES_PER_KIND,
                     'median_s': round(statistics.median(times_s), 2),
                     'worst_s': round(max(times_s), 2),
                 },
--- a/bench/time_bounds.py
+++ b/bench/time_bounds.py
@@ -1,5 +1,6 @@
-"""Urgent work within its bound, and configuration in force within its own.
+"""Measures the start of urgent gangs and the replication of revisions.
 
+Both have a time bound, which the results are compared with.
 ``python -m bench.time_bounds`` writes ``bench/results/promises.json``.
 """
 
@@ -17,18 +18,18 @@
 from bench.processes import ROOT, Processes, free_port, get_json
 from curranthill.load import percentile
 
-URGENT = 12
+URGENT_GANGS = 12
 BOUND_S = 3.3
 CHANGES = 50
 MAX_APPLY_S = 11.0
-SITE = ROOT / 'examples' / 'tenggara' / 'configuration'
+CONFIGURATION_FOLDER = ROOT / 'examples' / 'tenggara' / 'configuration'
 
 
-async def urgent(processes: Processes) -> dict[str, Any]:
-    """Time guaranteed gangs while borrowed work holds every slot.
+async def measure_urgent_gangs(processes: Processes) -> dict[str, Any]:
+    """Measure the starts of guaranteed gangs while other work uses all slots.
 
-    The clock of the workers' start records is the machine's monotonic one,
-    so it can be compared with ours.
+    The workers record starts by the monotonic clock of the machine, which this
+    process reads too.
     """
     times_s: list[float] = []
     async with aiohttp.ClientSession() as session:
@@ -40,11 +41,11 @@
             sum(workers)
             for workers in get_json(f'{processes.standin}/free').values()
         )
-        for _ in range(URGENT):
-            begun_s = time.monotonic()
+        for _ in range(URGENT_GANGS):
+            began_s = time.monotonic()
             job = await _submit(session, gateway, 'gearbox', 'fatigue-sweep', 1)
-            started_s = await _started(processes, job)
-            times_s.append(started_s - begun_s)
+            started_s = await _wait_for_start(processes, job)
+            times_s.append(started_s - began_s)
             await asyncio.sleep(3)
     return {
         'gangs': len(times_s),
@@ -67,16 +68,19 @@
         f'{gateway}/v1/workspaces/{workspace}/kinds/{kind}/requests',
         json={'run_s': run_s},
         headers={'Authorization': f'Bearer demo-{workspace}'},
-    ) as reply:
-        answer = json.loads(await reply.read())
-    return str(answer['id'])
+    ) as response:
+        document = json.loads(await response.read())
+    return str(document['id'])
 
 
-async def _started(processes: Processes, job_id: str) -> float:
-    """Return when the last member of a job's gang started."""
+async def _wait_for_start(processes: Processes, job_id: str) -> float:
+    """Return when the last member of a job's gang started.
+
+    Infinity if the gang does not start within 30 s.
+    """
     hosts = get_json(f'{processes.standin}/v1/hosts')['hosts']
-    until_s = time.monotonic() + 30
-    while time.monotonic() < until_s:
+    deadline_s = time.monotonic() + 30
+    while time.monotonic() < deadline_s:
         starts = [
             start
             for host in hosts
@@ -89,34 +93,36 @@
     return float('inf')
 
 
-def revisions(processes: Processes, cut_off: str) -> dict[str, Any]:
-    """Apply changes one after the other; time each until all have it.
+def measure_revisions(processes: Processes, cut_off: str) -> dict[str, Any]:
+    """Measure the time until each of several changes is in force everywhere.
 
     :param cut_off: a data centre whose daemons cannot reach the platform.
     """
     times_s: list[float] = []
-    lower = 0
-    highest: dict[str, int] = {}
+    regressions = 0
+    previous: dict[str, int] = {}
     for number in range(CHANGES):
-        path = processes.work / f'50-change-{number % 5}.json'
+        path = processes.work_folder / f'50-change-{number % 5}.json'
         path.write_text(
             json.dumps({'shapes': {f'n{number}': {'accelerators': 1}}}),
         )
-        begun_s = time.monotonic()
-        wanted = _add(processes, path)
+        began_s = time.monotonic()
+        expected = _add_configuration(processes, path)
         while True:
-            seen = {
+            current = {
                 gateway: int(get_json(f'{gateway}/ready')['revision'])
                 for gateway in processes.gateways
             }
-            lower += sum(seen[one] < highest.get(one, 0) for one in seen)
-            highest = seen
-            if min(seen.values()) >= wanted:
+            regressions += sum(
+                current[one] < previous.get(one, 0) for one in current
+            )
+            previous = current
+            if min(current.values()) >= expected:
                 break
-            if time.monotonic() - begun_s > 3 * MAX_APPLY_S:
+            if time.monotonic() - began_s > 3 * MAX_APPLY_S:
                 break
             time.sleep(0.1)
-        times_s.append(time.monotonic() - begun_s)
+        times_s.append(time.monotonic() - began_s)
     return {
         'changes': len(times_s),
         'hosts': len(processes.gateways),
@@ -125,55 +131,57 @@
         'worst_s': round(max(times_s), 2),
         'past_bound': sum(one > MAX_APPLY_S for one in times_s),
         'bound_s': MAX_APPLY_S,
-        'lower_after_higher': lower,
+        'lower_after_higher': regressions,
     }
 
 
-def _add(processes: Processes, path: Path) -> int:
-    done = subprocess.run(  # noqa: S603
+def _add_configuration(processes: Processes, path: Path) -> int:
+    completed = subprocess.run(  # noqa: S603
         [
             str(Path(sys.executable).parent / 'curranthill'),
             'config',
             'add',
             str(path),
             '--settings',
-            str(processes.work / 'operator.json'),
+            str(processes.work_folder / 'operator.json'),
         ],
         check=True,
         capture_output=True,
         text=True,
     )
-    return int(done.stdout.split()[1])
+    return int(completed.stdout.split()[1])
 
 
 def main() -> None:
-    """Measure both and write the results."""
+    """Run both measurements and write the results."""
     results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as temporary:
-        processes = Processes(folder=SITE, work=Path(temporary) / 'run')
+        processes = Processes(
+            folder=CONFIGURATION_FOLDER, work_folder=Path(temporary) / 'run'
+        )
         try:
             processes.start()
-            results['urgent'] = asyncio.run(urgent(processes))
+            results['urgent'] = asyncio.run(measure_urgent_gangs(processes))
         finally:
             processes.stop()
-        _keep(results)
+        _write_results(results)
         cut_off = 'shah-alam'
         processes = Processes(
-            folder=SITE,
-            work=Path(temporary) / 'cut',
+            folder=CONFIGURATION_FOLDER,
+            work_folder=Path(temporary) / 'cut',
             gateways=3,
             cut_off={cut_off: f'http://127.0.0.1:{free_port()}'},
         )
         try:
             processes.start()
-            results['revisions'] = revisions(processes, cut_off)
+            results['revisions'] = measure_revisions(processes, cut_off)
         finally:
             processes.stop()
-    _keep(results)
+    _write_results(results)
     print(json.dumps(results, indent=2))
 
 
-def _keep(results: dict[str, Any]) -> None:
+def _write_results(results: dict[str, Any]) -> None:
     out = ROOT / 'bench' / 'results'
     out.mkdir(parents=True, exist_ok=True)
     (out / 'promises.json').write_text(json.dumps(results, indent=2) + '\n')
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as separate processes over loopback."""
+"""The programs as separate processes on loopback."""
 
 import json
 import os
@@ -14,15 +14,15 @@
 
 from bench.processes import KEY, ROOT, Processes, get_json
 
-BIN = Path(sys.executable).parent
-SITE = ROOT / 'examples' / 'tenggara' / 'configuration'
+BIN_FOLDER = Path(sys.executable).parent
+CONFIGURATION_FOLDER = ROOT / 'examples' / 'tenggara' / 'configuration'
 
 
 def run_program(*arguments: str) -> subprocess.CompletedProcess[str]:
     """Run one program to its end."""
     program, *options = arguments
     return subprocess.run(  # noqa: S603
-        [str(BIN / program), *options],
+        [str(BIN_FOLDER / program), *options],
         check=False,
         capture_output=True,
         text=True,
@@ -30,47 +30,47 @@
     )
 
 
-def ask(url: str, token: str, body: Any = None) -> Any:
-    """Make one request of a workspace and return its JSON."""
-    call = http.Request(  # noqa: S310
+def request_json(url: str, token: str, body: Any = None) -> Any:
+    """Send one request of a workspace and return the JSON response."""
+    request = http.Request(  # noqa: S310
         url,
         data=None if body is None else json.dumps(body).encode(),
         headers={'Authorization': f'Bearer demo-{token}'},
     )
-    with http.urlopen(call, timeout=60) as reply:  # noqa: S310
-        return json.loads(reply.read())
+    with http.urlopen(request, timeout=60) as response:  # noqa: S310
+        return json.loads(response.read())
 
 
 class ProcessesTest(unittest.TestCase):
-    """One site of eight processes serves all tests of this class."""
+    """All tests share one deployment with two gateways in each data centre."""
 
     processes: Processes
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start the site."""
+        """Start the deployment."""
         cls.temporary = tempfile.TemporaryDirectory()
-        cls.work = Path(cls.temporary.name)
+        cls.work_folder = Path(cls.temporary.name)
         cls.processes = Processes(
-            folder=SITE,
-            work=cls.work / 'run',
+            folder=CONFIGURATION_FOLDER,
+            work_folder=cls.work_folder / 'run',
             gateways=2,
         )
         cls.processes.start()
-        cls.operator = str(cls.work / 'run' / 'operator.json')
+        cls.operator = str(cls.work_folder / 'run' / 'operator.json')
 
     @classmethod
     def tearDownClass(cls) -> None:
-        """End the processes that were started here."""
+        """Stop the deployment."""
         cls.processes.stop()
         cls.temporary.cleanup()
 
     temporary: tempfile.TemporaryDirectory[str]
-    work: Path
+    work_folder: Path
     operator: str
 
-    def operate(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command against the site."""
+    def run_operator(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+        """Run the operators' command on the deployment."""
         return run_program(
             'curranthill',
             *arguments,
@@ -79,18 +79,18 @@
         )
 
     def test_a_gang_of_sixteen_runs_on_two_workers_of_a_rack(self) -> None:
-        """Accepted, reserved, started, finished, its result fetched."""
+        """The job finishes, and its result can be fetched."""
         gateway = self.processes.gateways[0]
-        job = ask(
+        job = request_json(
             f'{gateway}/v1/workspaces/gearbox/kinds/fatigue-sweep/requests',
             'gearbox',
             {'run_s': 0.5},
         )
         url = f'{gateway}/v1/jobs/{job["id"]}'
         self.assertEqual(
-            ask(f'{url}?wait_s=30', 'gearbox')['state'], 'finished'
+            request_json(f'{url}?wait_s=30', 'gearbox')['state'], 'finished'
         )
-        self.assertEqual(ask(f'{url}/result', 'gearbox')['members'], 2)
+        self.assertEqual(request_json(f'{url}/result', 'gearbox')['members'], 2)
         hosts = get_json(f'{self.processes.standin}/v1/hosts')['hosts']
         racks = [
             host['rack']
@@ -101,14 +101,14 @@
         self.assertEqual(len(racks), 2)
         self.assertEqual(len(set(racks)), 1)
 
-    def test_a_planned_stop_cuts_no_request(self) -> None:
-        """SIGTERM while a request runs: it is answered, then the end."""
+    def test_a_graceful_stop_drops_no_request(self) -> None:
+        """A gateway that receives SIGTERM responds to open requests first."""
         gateway = self.processes.gateways[-1]
-        answers: list[Any] = []
+        responses: list[Any] = []
         path = 'distributors/kinds/catalogue-check/requests'
         thread = threading.Thread(
-            target=lambda: answers.append(
-                ask(
+            target=lambda: responses.append(
+                request_json(
                     f'{gateway}/v1/workspaces/{path}',
                     'distributors',
                     {'run_s': 1.5},
@@ -116,48 +116,52 @@
             ),
         )
         thread.start()
-        name = self.processes.names('gateway')[-1]
+        name = self.processes.process_names('gateway')[-1]
         hosts = get_json(f'{self.processes.standin}/v1/hosts')['hosts']
         while not any(
             get_json(f'{host["address"]}/audit')['quick_running']
             for host in hosts
         ):
             self.assertTrue(thread.is_alive())
-        self.processes.kill(name, signal.SIGTERM)
+        self.processes.send_signal(name, signal.SIGTERM)
         thread.join()
-        self.assertEqual(len(answers), 1)
+        self.assertEqual(len(responses), 1)
         self.assertEqual(self.processes.running[name].wait(30), 0)
 
     def test_status_shows_each_process_and_its_revision(self) -> None:
-        """Three leaders, everybody at the same revision."""
-        status = json.loads(self.operate('status', '--json').stdout)
+        """Three leaders lead, and all processes have the same revision."""
+        status = json.loads(self.run_operator('status', '--json').stdout)
         leaders = [one for one in status if one['leads_epoch'] != '-']
         self.assertEqual(len(leaders), 3)
         self.assertEqual({one['revision'] for one in status}, {1})
 
     def test_explain_and_jobs_and_drain(self) -> None:
-        """What operators ask is answered, with the stated exit codes."""
-        self.assertEqual(self.operate('explain', 'none').returncode, 1)
-        listed = self.operate('jobs', 'cyberjaya-a', '--json')
+        """The commands print results and exit with their documented codes."""
+        self.assertEqual(self.run_operator('explain', 'none').returncode, 1)
+        listed = self.run_operator('jobs', 'cyberjaya-a', '--json')
         self.assertIsInstance(json.loads(listed.stdout), list)
-        drained = self.operate('drain', 'sa-r1-w08', 'shah-alam')
+        drained = self.run_operator('drain', 'sa-r1-w08', 'shah-alam')
         self.assertEqual(drained.stdout, 'sa-r1-w08 takes no new work.\n')
-        wrong = self.operate('drain', 'nobody', 'shah-alam')
+        wrong = self.run_operator('drain', 'nobody', 'shah-alam')
         self.assertEqual(wrong.returncode, 1)
 
     def test_history_and_diff(self) -> None:
-        """The revision in force is the folder's."""
-        history = json.loads(self.operate('config', 'history', '--json').stdout)
+        """The revision in force equals the folder."""
+        history = json.loads(
+            self.run_operator('config', 'history', '--json').stdout
+        )
         self.assertEqual([one['revision'] for one in history], [1])
-        diff = self.operate('config', 'diff', str(SITE), '--json')
+        diff = self.run_operator(
+            'config', 'diff', str(CONFIGURATION_FOLDER), '--json'
+        )
         self.assertEqual(json.loads(diff.stdout), [])
 
 
 class CommandTest(unittest.TestCase):
-    """Exit codes and checks without a site."""
+    """Exit codes and checks without a deployment."""
 
     def test_versions_and_help(self) -> None:
-        """Each program tells its version and its exit codes."""
+        """Each program prints its version and its exit codes."""
         for role in ('', '-gateway', '-scheduler', '-standin', '-load'):
             program = f'curranthill{role}'
             version = run_program(program, '--version')
@@ -165,7 +169,7 @@
             self.assertIn('Exit codes', run_program(program, '--help').stdout)
 
     def test_check_settings(self) -> None:
-        """A wrong file ends with 2 and names each field."""
+        """An invalid file exits with 2, and the errors name each field."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.json'
             path.write_text('{"host": {"name": "e1"}, "spare": 1}')
@@ -181,14 +185,16 @@
 
     def test_config_check_and_merge(self) -> None:
         """The same folder always gives the same digest."""
-        checked = run_program('curranthill', 'config', 'check', str(SITE))
+        checked = run_program(
+            'curranthill', 'config', 'check', str(CONFIGURATION_FOLDER)
+        )
         self.assertEqual(checked.returncode, 0)
         digests = {
             run_program(
                 'curranthill',
                 'config',
                 'merge',
-                str(SITE),
+                str(CONFIGURATION_FOLDER),
                 '--digest',
             ).stdout
             for _ in range(2)
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -45,7 +45,7 @@
 #: The seeds to run, with their seconds of faults and the names of the faults:
 #: the first two seeds, and each that has failed. 3002: callers submitted more
 #: work than the workers complete in the 45 s that the soak waited after the
-#: last fault, with 36 to 40 of 40 accelerators in use all the time; the soak now
+#: last fault, with 36 to 40 of 40 accelerators in use all the time; now it
 #: waits for as long as jobs end. 7305: a restarted host started tasks in a
 #: closed data centre before it had read the operators' rows, since the soak did
 #: not set the bound that it checks; with it, no task starts while these rows
