--- a/bench/soak_gangs.py
+++ b/bench/soak_gangs.py
@@ -16,7 +16,7 @@
 #: The number of this caller, with which its job ids begin.
 CALLER_NUMBER: Final = PERSISTENT_CALLERS + 1
 
-#: No further job is submitted while so many are open, so that all of them can
+#: No further job is submitted while this many are open, so that all of them can
 #: end soon after the last fault.
 MAX_OPEN_JOBS: Final = 30
 
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -76,7 +76,7 @@
 #: accelerators in use, so each end starts it anew.
 PROGRESS_TIMEOUT_S: Final = 45.0
 
-#: A soak with gangs and at least so many seconds of faults ends with a power
+#: A soak with gangs and at least this many seconds of faults ends with a power
 #: loss of all hosts.
 POWER_LOSS_MIN_S: Final = 100.0
 
@@ -498,7 +498,7 @@
     keep: Annotated[str, typer.Option(help='Where logs are kept.')] = '',
 ) -> None:
     """Run the seeds sequentially; exit with 1 after a violated invariant."""
-    broken = 0
+    failed_seeds = 0
     for number in range(seed, seed + count):
         with tempfile.TemporaryDirectory() as scratch:
             folder = Path(keep or scratch) / str(number)
@@ -512,9 +512,9 @@
                 max_impossible=impossible,
             )
             report = asyncio.run(soak.run())
-        broken += bool(report['faults'])
+        failed_seeds += bool(report['faults'])
         typer.echo(json.dumps({'seed': number, **report}))
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if failed_seeds else 0)
 
 
 if __name__ == '__main__':
