--- a/bench/soak_closings.py
+++ b/bench/soak_closings.py
@@ -4,7 +4,7 @@
 
 from bench.soak_workers import SoakWorkers
 from curranthill.clock import Clock
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import Timing
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         *,
-        rows: RowModel,
+        rows: RowStoreModel,
         workers: SoakWorkers,
         clock: Clock,
     ) -> None:
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -39,7 +39,7 @@
 from bench.soak_workers import RUN_TIMES_S, WORKERS, SoakWorkers
 from curranthill.clock import SystemClock
 from curranthill.placement.suspects import SUSPECT_LOSSES
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.tasks import (
     COMPLETED,
     FAILED,
@@ -124,7 +124,7 @@
     ) -> None:
         """Make the stand-ins; nothing is started yet."""
         self.random = random.Random(seed)  # noqa: S311
-        self.rows = RowModel(clock=SystemClock())
+        self.rows = RowStoreModel(clock=SystemClock())
         self.store = StoreServer(model=self.rows)
         self.processes: list[asyncio.subprocess.Process] = []
         self.started: list[asyncio.subprocess.Process] = []
--- a/bench/soak_revisions.py
+++ b/bench/soak_revisions.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from curranthill.clock import Clock
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.storage.rows import RowPut
 
 #: How soon a change must be in force on every host that decides, in seconds.
@@ -44,7 +44,7 @@
     def __init__(
         self,
         *,
-        rows: RowModel,
+        rows: RowStoreModel,
         clock: Clock,
         addresses: Sequence[str],
         queues: Sequence[dict[str, Any]],
--- a/bench/soak_waits.py
+++ b/bench/soak_waits.py
@@ -12,7 +12,7 @@
 from typing import Any, Final, NamedTuple
 
 from curranthill.clock import Clock
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import ENDED, Resources, TaskKey
 
 #: Waits count from so long after the last disturbance, in seconds.
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -8,8 +8,8 @@
 from bench.proxy import Proxy
 from curranthill.clock import Clock
 from curranthill.placement import WorkerEntry
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import Resources, TaskKey
 from tests.platform_standin import WorkerServer, serve, worker_row
@@ -40,7 +40,7 @@
     def __init__(
         self,
         *,
-        rows: RowModel,
+        rows: RowStoreModel,
         clock: Clock,
         drawn: random.Random,
         count: int = WORKERS,
--- a/src/curranthill/standin/rows.py
+++ b/src/curranthill/standin/rows.py
@@ -31,7 +31,7 @@
 FEED_POLL_S: Final = 0.005
 
 
-class RowModel:
+class RowStoreModel:
     """The rows and their history.
 
     :param down: hosts that get no answer; ``*`` stands for all.
@@ -60,9 +60,9 @@
         self._oldest = 0
         self._late: set[asyncio.Task[None]] = set()
 
-    def client(self, host: str) -> 'RowClient':
+    def client(self, host: str) -> 'RowStoreClient':
         """Return the store as one host reaches it."""
-        return RowClient(model=self, host=host)
+        return RowStoreClient(model=self, host=host)
 
     def forget_history(self) -> None:
         """Drop all history, so that feeds must read again."""
@@ -158,10 +158,10 @@
             self.rows[(row.table, row.key)] = row
 
 
-class RowClient:
+class RowStoreClient:
     """A :class:`RowStore` over a model, with the model's faults."""
 
-    def __init__(self, *, model: RowModel, host: str) -> None:
+    def __init__(self, *, model: RowStoreModel, host: str) -> None:
         """Keep whose calls these are."""
         self._model = model
         self._host = host
@@ -272,4 +272,4 @@
         turn.exception()
 
 
-__all__ = ('RowClient', 'RowModel')
+__all__ = ('RowStoreClient', 'RowStoreModel')
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -20,8 +20,8 @@
 from curranthill.entry import ClosedDataCentres, JobHandler
 from curranthill.errors import NotSentError, WorkerReplyLostError
 from curranthill.placement import NONE_DISABLED, WorkerEntry
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.follower import TableFollower
 from curranthill.storage.health import StoreHealth
 from curranthill.storage.rows import (
@@ -162,7 +162,7 @@
     def __init__(self, *, workers: int = 2, run_s: float = 1.0) -> None:
         """Initialize the domain and list its workers."""
         self.clock = ManualClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.workers: dict[str, TaskWorkerModel] = {}
         self.hosts: dict[str, TestHost] = {}
         self.connected: list[str] = []
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -5,7 +5,7 @@
 from itertools import chain
 from typing import Final
 
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import TaskKey
 
 #: After a task has crashed so many workers its starts are counted, and it may
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -16,8 +16,8 @@
 )
 from curranthill.errors import WorkerReplyLostError, WorkerUnreachableError
 from curranthill.placement import WorkerEntry
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.rows import (
     HistoryLostError,
     RowCheck,
@@ -65,7 +65,7 @@
     :ivar lost_reads: numbers of page requests, from 1, that get no response.
     """
 
-    def __init__(self, *, model: RowModel) -> None:
+    def __init__(self, *, model: RowStoreModel) -> None:
         """Initialize a server without faults."""
         self._model = model
         self.connections = Connections()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -11,7 +11,7 @@
 )
 from curranthill.dispatch.rounds import ROUND_INTERVAL_S
 from curranthill.placement import Plan, Planner
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import Resources, Step, TaskKey, decode, tables
 from curranthill.telemetry.events import events
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from curranthill.errors import RefusedError
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.invariants import InvariantChecker
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.storage.follower import FEED_WAIT_S, RETRY_S, TableFollower
 from curranthill.storage.rows import RowChanges, RowPut, StoredRow
 from tests.support import ManualClock, run
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         """Initialize with an empty table."""
         self.clock = ManualClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.seen: dict[str, bytes] = {}
         self._follower = TableFollower(
             store=self.rows.client('h1'),
--- a/tests/test_gangs_end.py
+++ b/tests/test_gangs_end.py
@@ -10,7 +10,7 @@
 
 from curranthill.dispatch import consistency
 from curranthill.errors import RefusedError
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import (
     JobProgress,
     JobSpec,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -36,8 +36,8 @@
 from curranthill.platform.http_client import HttpClient
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
 from curranthill.platform.workers import PlatformConnector, RegisteredWorkers
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import (
     HistoryLostError,
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         """Initialize an empty store; no server runs yet."""
         self.clock = SystemClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.store_server = StoreServer(model=self.rows)
         self.closers: list[Callable[[], Awaitable[Any]]] = []
 
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -22,7 +22,7 @@
 )
 from curranthill.dispatch.session import WorkerSession
 from curranthill.placement import Run, WorkerEntry
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import TaskKey
 from tests.domain import WORKER_CAPACITY, Domain, in_domain, make_spec
 from tests.support import ManualClock, run as run_to_end
--- a/tests/test_shrinking_capacity.py
+++ b/tests/test_shrinking_capacity.py
@@ -11,7 +11,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import Resources, Step, TaskKey
 from tests.domain import ONE_GPU, WORKER_CAPACITY, Domain, in_domain, make_spec
 
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -6,7 +6,7 @@
 from bench.soak_waits import CALM_S, WAIT_S, WaitWatch
 from curranthill.dispatch import EndReport
 from curranthill.placement import WorkerEntry
-from curranthill.standin.tasks import ActiveRun, TaskWorkerModel
+from curranthill.standin.task_worker import ActiveRun, TaskWorkerModel
 from curranthill.tasks import Resources, TaskKey
 from tests.support import ManualClock, run
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -5,7 +5,7 @@
 from unittest.mock import patch
 
 from curranthill.errors import StorageError
-from curranthill.standin.rows import RowClient
+from curranthill.standin.rows import RowStoreClient
 from curranthill.tasks import tables
 from tests.domain import WORKER_TABLE, Domain, in_domain
 
@@ -49,23 +49,25 @@
 
     def count_feeds(self) -> Any:
         """Return a patch that counts reads of feeds."""
-        changes = RowClient.changes
+        changes = RowStoreClient.changes
 
-        async def counted(client: RowClient, table: str, *rest: Any) -> Any:
+        async def counted(
+            client: RowStoreClient, table: str, *rest: Any
+        ) -> Any:
             self.counts[table] = self.counts.get(table, 0) + 1
             return await changes(client, table, *rest)
 
-        return patch.object(RowClient, 'changes', counted)
+        return patch.object(RowStoreClient, 'changes', counted)
 
     def count_rows(self) -> Any:
         """Return a patch that counts reads of single rows."""
-        read = RowClient.read
+        read = RowStoreClient.read
 
-        async def counted(client: RowClient, table: str, key: str) -> Any:
+        async def counted(client: RowStoreClient, table: str, key: str) -> Any:
             self.counts[table] = self.counts.get(table, 0) + 1
             return await read(client, table, key)
 
-        return patch.object(RowClient, 'read', counted)
+        return patch.object(RowStoreClient, 'read', counted)
 
 
 class WorkerEntriesTest(unittest.TestCase):
@@ -190,13 +192,13 @@
 
         async def case(domain: Domain) -> None:
             await self.start(domain)
-            read = RowClient.read
+            read = RowStoreClient.read
 
-            async def late(client: RowClient, *names: str) -> Any:
+            async def late(client: RowStoreClient, *names: str) -> Any:
                 await domain.clock.sleep(LATE_S)
                 return await read(client, *names)
 
-            with patch.object(RowClient, 'read', late):
+            with patch.object(RowStoreClient, 'read', late):
                 for _ in range(200):
                     await domain.clock.advance(0.02)
                     self.assertEqual(self.unreachable(domain), [])
