--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -90,7 +90,7 @@
 @fault
 async def store_history(soak: 'Soak') -> None:
     """Have the store forget its history."""
-    soak.rows.forget_history()
+    soak.rows.truncate_history()
 
 
 @fault
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -36,7 +36,7 @@
 
 async def cut_store(domain: Domain, leader: TestHost) -> None:
     """Take the store away from the leader only."""
-    domain.rows.down.add(leader.name)
+    domain.rows.unresponsive_hosts.add(leader.name)
 
 
 async def outage_s(loss: Loss, seed: int) -> float:
--- a/src/curranthill/standin/rows.py
+++ b/src/curranthill/standin/rows.py
@@ -21,7 +21,7 @@
 COMMIT_S: Final = 0.005
 
 #: When a caller gives up on an answer, in seconds.
-GIVE_UP_S: Final = 0.7
+CLIENT_TIMEOUT_S: Final = 0.7
 
 #: How soon a client gives up what it asked while the store was away once it is
 #: back, in seconds: the interval at which a host tries a store that is away.
@@ -34,11 +34,11 @@
 class RowStoreModel:
     """The rows and their history.
 
-    :param down: hosts that get no answer; ``*`` stands for all.
-    :param refusing: hosts whose calls are refused; ``*`` stands for all.
-    :param refusing_partitions: partitions whose commits are refused.
-    :param lose_next: how many of the next commits apply without an answer.
-    :param late_next: how many of the next commits apply ``late_s`` later.
+    :param unresponsive_hosts: hosts that get no answer; ``*`` stands for all.
+    :param refused_hosts: hosts whose calls are refused; ``*`` stands for all.
+    :param refused_partitions: partitions whose commits are refused.
+    :param lost_replies: how many of the next commits apply without an answer.
+    :param late_commits: how many of the next commits apply ``late_s`` later.
     :param commit_s: what a commit takes; those of one partition take turns.
     """
 
@@ -46,11 +46,11 @@
         """Start empty and without faults."""
         self.clock = clock
         self.rows: dict[tuple[str, str], StoredRow] = {}
-        self.down: set[str] = set()
-        self.refusing: set[str] = set()
-        self.refusing_partitions: set[str] = set()
-        self.lose_next = 0
-        self.late_next = 0
+        self.unresponsive_hosts: set[str] = set()
+        self.refused_hosts: set[str] = set()
+        self.refused_partitions: set[str] = set()
+        self.lost_replies = 0
+        self.late_commits = 0
         self.late_s = 2.0
         self.commits = 0
         self.commit_s = COMMIT_S
@@ -64,7 +64,7 @@
         """Return the store as one host reaches it."""
         return RowStoreClient(model=self, host=host)
 
-    def forget_history(self) -> None:
+    def truncate_history(self) -> None:
         """Drop all history, so that feeds must read again."""
         self._history.clear()
         self._oldest = self._version
@@ -176,10 +176,10 @@
         """Apply all or nothing and return the new version."""
         await self._pass('commit')
         partition = _partition_of_all(checks, puts, removals)
-        if partition in self._model.refusing_partitions:
+        if partition in self._model.refused_partitions:
             raise NotSentError('Refused.', step='commit', peer='rows')
-        if self._model.late_next:
-            self._model.late_next -= 1
+        if self._model.late_commits:
+            self._model.late_commits -= 1
             self._model.apply_late(checks, puts, removals)
             await self._give_up('commit')
         # A commit takes effect in its turn, also when its caller gave up.
@@ -189,13 +189,13 @@
         turn.add_done_callback(_forget_error)
         if not await wait_at_most(
             turn,
-            timeout_s=GIVE_UP_S,
+            timeout_s=CLIENT_TIMEOUT_S,
             clock=self._model.clock,
         ):
             raise ReplyLostError('Too slow.', step='commit', peer='rows')
         version = turn.result()
-        if self._model.lose_next:
-            self._model.lose_next -= 1
+        if self._model.lost_replies:
+            self._model.lost_replies -= 1
             await self._give_up('commit')
         return version
 
@@ -226,22 +226,22 @@
 
     async def _pass(self, step: str) -> None:
         """Fail as the faults say."""
-        if self._is_in(self._model.refusing):
+        if self._is_in(self._model.refused_hosts):
             raise NotSentError('Refused.', step=step, peer='rows')
-        if self._is_in(self._model.down):
+        if self._is_in(self._model.unresponsive_hosts):
             await self._hang(step)
 
     async def _hang(self, step: str) -> None:
         """Wait for an answer until it is late, or the store is back."""
-        until_s = self._model.clock.monotonic_s() + GIVE_UP_S
+        until_s = self._model.clock.monotonic_s() + CLIENT_TIMEOUT_S
         while self._model.clock.monotonic_s() < until_s:
             await self._model.clock.sleep(RETURN_NOTICE_S)
-            if not self._is_in(self._model.down):
+            if not self._is_in(self._model.unresponsive_hosts):
                 break
         raise ReplyLostError('No answer.', step=step, peer='rows')
 
     async def _give_up(self, step: str) -> None:
-        await self._model.clock.sleep(GIVE_UP_S)
+        await self._model.clock.sleep(CLIENT_TIMEOUT_S)
         raise ReplyLostError('No answer.', step=step, peer='rows')
 
     def _is_in(self, hosts: set[str]) -> bool:
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -183,7 +183,7 @@
             domain.unreadable.add('h1')
             await domain.clock.advance(0.5)
             domain.close_data_centre('dc')
-            domain.rows.forget_history()
+            domain.rows.truncate_history()
             domain.unreadable.clear()
             await domain.clock.advance(1.5)
             await host.accept(make_spec('a1', wide(3)))
@@ -329,7 +329,7 @@
             for what, where, wait_s in series:
                 await watch.do(what, where)
                 await watch.advance(wait_s)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             domain.unreadable.clear()
             for name in ('dc', 'east'):
                 domain.open_data_centre(name)
@@ -387,15 +387,15 @@
 
     async def away(self, where: str) -> None:
         """Make the store unavailable."""
-        self.domain.rows.down.add('*')
+        self.domain.rows.unresponsive_hosts.add('*')
 
     async def back(self, where: str) -> None:
         """Make the store available again."""
-        self.domain.rows.down.clear()
+        self.domain.rows.unresponsive_hosts.clear()
 
     async def job(self, where: str) -> None:
         """Submit a job, unless the store is unavailable."""
-        if self.domain.rows.down:
+        if self.domain.rows.unresponsive_hosts:
             return
         host = next(iter(self.domain.hosts.values()))
         job_id = f'job{len(self.jobs)}'
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -205,7 +205,7 @@
             await domain.leader()
             standby = domain.start_host('h2')
             await domain.clock.advance(1)
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             await domain.clock.advance(1)
             await standby.accept(make_spec())
             self.assertEqual(await domain.ended('a1'), 'completed')
@@ -221,10 +221,10 @@
             await domain.leader()
             await host.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            domain.rows.refusing.add('*')
+            domain.rows.refused_hosts.add('*')
             await domain.clock.advance(2)
             await host.kill()
-            domain.rows.refusing.clear()
+            domain.rows.refused_hosts.clear()
             domain.start_host('h2')
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [1])
@@ -244,7 +244,7 @@
             holding = next(one for one in domain.workers.values() if one.runs)
             successor = domain.start_host('h2')
             successor.cut_off.add(holding.entry.worker_id)
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             while len(domain.starts(FIRST)) == 1:
                 await domain.clock.advance(0.2)
                 holding.tick()
@@ -263,7 +263,7 @@
             await previous.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             successor = domain.start_host('h2')
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             await domain.clock.until(lambda: successor.leader is not None)
             await domain.clock.advance(2)
             self.assertEqual(domain.leading(), [successor])
@@ -278,9 +278,9 @@
             await domain.leader()
             await host.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(9)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [1])
 
@@ -300,9 +300,9 @@
             step = Step(width=2, needs=ONE_GPU, estimate_s=2.0)
             await host.accept(make_spec('a1', step))
             await started(domain, second)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(9)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [1])
             self.assertEqual(domain.starts(second), [1])
@@ -389,9 +389,9 @@
             lost.cut = True
             await host.kill()
             await domain.clock.advance(0.5)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(8)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=10,
@@ -428,7 +428,7 @@
         """The row was won, so there is a leader within a second."""
 
         async def case(domain: Domain) -> None:
-            domain.rows.lose_next = 1
+            domain.rows.lost_replies = 1
             domain.start_host('h1')
             await domain.clock.until(
                 lambda: bool(domain.leading()),
@@ -567,9 +567,9 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.rows.lose_next = 1
+            domain.rows.lost_replies = 1
             await host.accept(make_spec())
-            domain.rows.late_next = 1
+            domain.rows.late_commits = 1
             self.assertEqual(await domain.ended('a1'), 'completed')
             await domain.clock.advance(5)
             self.assertEqual(domain.state('a1'), 'completed')
@@ -584,7 +584,7 @@
             host = domain.start_host('h1')
             await domain.leader()
             await host.accept(make_spec())
-            domain.rows.forget_history()
+            domain.rows.truncate_history()
             self.assertEqual(await domain.ended('a1'), 'completed')
 
         in_domain(case)
@@ -668,7 +668,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(3)
             began_s = domain.clock.monotonic_s()
             with self.assertRaises(Exception) as caught:
@@ -684,7 +684,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             with self.assertRaises(Exception) as caught:
                 await host.accept(make_spec())
             self.assertEqual(getattr(caught.exception, 'status', 0), 504)
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -94,12 +94,12 @@
     async def cut_store(self, domain: Domain, pick: int) -> None:
         """Disconnect some host, or all, from the store."""
         names = [*domain.hosts, '*']
-        domain.rows.down.add(names[pick % len(names)])
+        domain.rows.unresponsive_hosts.add(names[pick % len(names)])
 
     async def refuse_store(self, domain: Domain, pick: int) -> None:
         """Have the store refuse the calls of some host, or of all."""
         names = [*domain.hosts, '*']
-        domain.rows.refusing.add(names[pick % len(names)])
+        domain.rows.refused_hosts.add(names[pick % len(names)])
 
     async def hide_orders(self, domain: Domain, pick: int) -> None:
         """Hide the operators' rows from some hosts."""
@@ -110,17 +110,17 @@
     async def heal_store(self, domain: Domain, pick: int) -> None:
         """End all faults of the store."""
         domain.unreadable.clear()
-        domain.rows.down.clear()
-        domain.rows.refusing.clear()
+        domain.rows.unresponsive_hosts.clear()
+        domain.rows.refused_hosts.clear()
 
     async def lose_writes(self, domain: Domain, pick: int) -> None:
         """Lose the responses of writes, or apply writes late."""
-        domain.rows.lose_next += pick % 3
-        domain.rows.late_next += pick % 2
+        domain.rows.lost_replies += pick % 3
+        domain.rows.late_commits += pick % 2
 
     async def drop_history(self, domain: Domain, pick: int) -> None:
         """Drop the change history, so that every feed reads all rows again."""
-        domain.rows.forget_history()
+        domain.rows.truncate_history()
 
     async def cut_worker(self, domain: Domain, pick: int) -> None:
         """Toggle whether some worker is cut off."""
@@ -332,8 +332,8 @@
 async def heal(domain: Domain, faults: Faults) -> None:
     """End all faults, and start a host."""
     await faults.heal_store(domain, 0)
-    domain.rows.lose_next = 0
-    domain.rows.late_next = 0
+    domain.rows.lost_replies = 0
+    domain.rows.late_commits = 0
     for worker in domain.workers.values():
         worker.cut = False
         worker.failing = False
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -391,7 +391,7 @@
             with patch.object(events, 'log') as log:
                 write(domain, 'w8', b'{}')
                 await domain.clock.advance(1)
-                domain.rows.forget_history()
+                domain.rows.truncate_history()
                 await domain.clock.advance(3)
                 write(domain, 'w8', b'[]')
                 await domain.clock.advance(1)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -198,7 +198,7 @@
             _, second = await overload(domain)
             self.assertTrue(await is_refused(second, gang('new', domain)))
             second.election.resign()
-            domain.rows.refusing_partitions.add(tables.LEADERS_PARTITION)
+            domain.rows.refused_partitions.add(tables.LEADERS_PARTITION)
             await domain.clock.advance(3.0)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
@@ -235,9 +235,9 @@
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
-            domain.rows.refusing.add('h2')
+            domain.rows.refused_hosts.add('h2')
             await domain.clock.advance(0.6)
-            domain.rows.refusing.clear()
+            domain.rows.refused_hosts.clear()
             await domain.clock.advance(0.6)
             self.assertFalse(await is_refused(second, gang('one', domain)))
             await domain.clock.advance(6.0)
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -280,7 +280,7 @@
             first = start_list(domain, 'a')
             start_list(domain, 'b')
             await domain.clock.advance(4)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(60)
             self.assertEqual(first.addresses, (ADDRESSES['b'],))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -206,7 +206,7 @@
             testbed.rows.apply((), (RowPut('t', 'k', b'v'),), ())
             changes = await follow
             self.assertEqual([row.key for row in changes.rows], ['k'])
-            testbed.rows.forget_history()
+            testbed.rows.truncate_history()
             with self.assertRaises(HistoryLostError):
                 await testbed.store.changes('t', 0, 0.1)
 
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -10,7 +10,7 @@
 import json
 import unittest
 
-from curranthill.standin.rows import GIVE_UP_S
+from curranthill.standin.rows import CLIENT_TIMEOUT_S
 from curranthill.storage.rows import RowPut
 from tests.domain import Domain, in_domain
 from tests.test_paths import make_host
@@ -66,15 +66,15 @@
             for name in ('h2', 'h3', 'h4'):
                 domain.start_host(name)
             await domain.clock.advance(2)
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             # Each of the others reads its last row before the outage.
             await domain.clock.advance(LAST_ROW_READ_S)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(5)
-            domain.rows.down.discard('*')
+            domain.rows.unresponsive_hosts.discard('*')
             await domain.clock.until(
                 lambda: any(one.name != 'h1' for one in domain.leading()),
-                within_s=GIVE_UP_S + TAKEOVER_S,
+                within_s=CLIENT_TIMEOUT_S + TAKEOVER_S,
             )
 
         in_domain(case)
@@ -88,9 +88,9 @@
             for name in ('h2', 'h3', 'h4'):
                 domain.start_host(name)
             await domain.clock.advance(2)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             await domain.clock.advance(5)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             await domain.clock.advance(4)
             self.assertEqual(domain.leading(), [host])
 
