--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -112,7 +112,7 @@
     ended = {name: domain.progress(name) for name in others}
     return Cost(
         crashed=crashed / case.crashing,
-        lost_s=sum(one.lost_s for one in domain.workers.values()),
+        lost_s=sum(one.lost_run_time_s for one in domain.workers.values()),
         given_up=sum(one.state == 'failed' for one in ended.values()),
         on_time=sum(
             one.state == 'completed' and one.ended_at_s <= objectives_s[name]
--- a/bench/soak_waits.py
+++ b/bench/soak_waits.py
@@ -232,7 +232,7 @@
         end.task
         for worker in workers
         for end in (*worker.acknowledged, *worker.ends)
-        if end.kind == 'done' and end not in worker.voided
+        if end.kind == 'done' and end not in worker.expired_ends
     }
 
 
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -107,7 +107,7 @@
         """Let a worker go for good, and another id come in its place."""
         lost = self._servers.pop(name)
         lost.model.runs.clear()
-        lost.model.gone = True
+        lost.model.replaced = True
         await self.proxies.pop(name).close()
         self._rows.apply((), (), (RowRemoval('servers', name),))
         await self._add(f'{name}x')
@@ -164,7 +164,7 @@
             run_s=self._drawn.choice(self._run_times_s),
         )
         model.crashing = self.crashing
-        model.lengths_s = self.lengths_s
+        model.run_s_by_task = self.lengths_s
         model.on_crash = self._crashed
         server = WorkerServer(model=model)
         _, address = await serve(server.handle)
--- a/src/curranthill/standin/task_worker.py
+++ b/src/curranthill/standin/task_worker.py
@@ -45,30 +45,30 @@
     """One life of one worker.
 
     :param run_s: how long each task takes.
-    :param lengths_s: how long some tasks take instead.
+    :param run_s_by_task: how long some tasks take instead.
     :param stalled: whether tasks make no progress.
-    :param gangs: jobs whose tasks stay, with all their work done, until one
+    :param gang_jobs: jobs whose tasks stay, with all their work done, until one
         of them is as old as the longest takes; then they end together.
-    :param held: runs that do not come to their end, whatever their age.
+    :param held_runs: runs that do not come to their end, whatever their age.
     :param failures: all ends as failed, heard of or not.
-    :param voided: ends that were listed when the lease lapsed: such an end may
-        be given up, since nobody had heard of it in time.
+    :param expired_ends: ends that were listed when the lease expired: such an
+        end may be discarded, since the leader had not learned of it in time.
     :param starts: every start that took effect, in order.
-    :param cut: no call gets through.
+    :param disconnected: no call gets through.
     :param start_delay_s: how long a start is on its way.
-    :param late_next: how many of the next starts get no answer and take
+    :param late_starts: how many of the next starts get no answer and take
         effect ``late_s`` later.
     :param failing: every task fails at once.
     :param incarnation: grows with each start of the worker under its id.
-    :param rejecting: a reason for which every start is rejected.
-    :param rejections: how many starts were rejected for it.
-    :param refusing: a reason for which every renewal is rejected.
+    :param start_rejection: a reason for which every start is rejected.
+    :param rejected_starts: how many starts were rejected for it.
+    :param renewal_rejection: a reason for which every renewal is rejected.
     :param crashing: tasks under which the worker crashes.
     :param crash_after_s: how long after the start of such a task.
     :param crashes: how often the worker crashed, by the task that did it.
     :param lost_runs: the task of each run that a crash or restart ended.
-    :param lost_s: seconds of run time that crashes cost tasks that are not
-        among those.
+    :param lost_run_time_s: seconds of run time that crashes cost the tasks
+        that did not cause them.
     :param down: crashed and not back yet; each call breaks off.
     :param on_crash: is told of each crash, and brings the worker back.
     """
@@ -84,35 +84,35 @@
         self.entry = entry
         self.clock = clock
         self.run_s = run_s
-        self.lengths_s: dict[TaskKey, float] = {}
+        self.run_s_by_task: dict[TaskKey, float] = {}
         self.stalled = False
-        self.gangs: set[str] = set()
-        self.held: set[tuple[TaskKey, int]] = set()
+        self.gang_jobs: set[str] = set()
+        self.held_runs: set[tuple[TaskKey, int]] = set()
         self.starts: list[StartOrder] = []
         self.runs: dict[tuple[TaskKey, int], ActiveRun] = {}
         self.ends: list[EndReport] = []
         self.acknowledged: list[EndReport] = []
         self.failures: list[EndReport] = []
-        self.voided: set[EndReport] = set()
+        self.expired_ends: set[EndReport] = set()
         self.incarnation = 1
-        self.cut = False
-        self.gone = False
-        self.late_next = 0
+        self.disconnected = False
+        self.replaced = False
+        self.late_starts = 0
         self.start_delay_s = 0.0
         self.late_s = 2.0
         self.failing = False
-        self.rejecting = ''
-        self.rejections = 0
-        self.refusing = ''
+        self.start_rejection = ''
+        self.rejected_starts = 0
+        self.renewal_rejection = ''
         self.crashing: set[TaskKey] = set()
         self.crash_after_s = 0.0
         self.crashes: list[TaskKey] = []
         self.lost_runs: list[TaskKey] = []
-        self.lost_s = 0.0
+        self.lost_run_time_s = 0.0
         self.down = False
         self.on_crash: Callable[[TaskWorkerModel], None] | None = None
-        self.most_runs = 0
-        self._born_s = 0.0
+        self.peak_runs = 0
+        self._started_s = 0.0
         self._end_count = 0
         self._token = 0
         self._deadline_s = 0.0
@@ -127,7 +127,7 @@
         """
         self.incarnation += 1
         self.down = False
-        self._born_s = self.clock.monotonic_s()
+        self._started_s = self.clock.monotonic_s()
         self._end_count = 0
         self._token = 0
         self._deadline_s = 0.0
@@ -139,7 +139,7 @@
         """Lose everything; who is told of it brings the worker back."""
         self.down = True
         now_s = self._clock_s()
-        self.lost_s += sum(
+        self.lost_run_time_s += sum(
             now_s - run.began_s
             for run in self.runs.values()
             if run.task not in self.crashing
@@ -157,8 +157,8 @@
         """Start a task and return the clock."""
         await self._pass('start')
         await self.clock.sleep(self.start_delay_s)
-        if self.late_next:
-            self.late_next -= 1
+        if self.late_starts:
+            self.late_starts -= 1
             self._start_late(order)
             await self._give_up('start')
         self._start(order)
@@ -177,8 +177,8 @@
     async def renew(self, order: LeaseOrder) -> LeaseReport:
         """Renew the lease and return what runs and what ended."""
         await self._pass('renew')
-        if self.refusing:
-            raise self._rejection('renew', self.refusing)
+        if self.renewal_rejection:
+            raise self._rejection('renew', self.renewal_rejection)
         self._check_token(order.token, 'renew')
         self._deadline_s = max(self._deadline_s, order.deadline_s)
         self.acknowledged.extend(
@@ -196,7 +196,7 @@
             await self._pass('renew')
             if self.incarnation != incarnation:
                 raise self._reply_lost('renew')
-            self.tick()
+            self.end_due_runs()
         return LeaseReport(
             clock_s=self._clock_s(),
             runs=tuple(self._report(run) for run in self.runs.values()),
@@ -204,19 +204,19 @@
             incarnation=self.incarnation,
         )
 
-    def end(self, name: tuple[TaskKey, int], kind: EndKind) -> None:
+    def end_run(self, name: tuple[TaskKey, int], kind: EndKind) -> None:
         """End a run in some way."""
         self._end(self.runs[name], kind)
 
-    def age_s(self, name: tuple[TaskKey, int]) -> float:
+    def run_age_s(self, name: tuple[TaskKey, int]) -> float:
         """Return how long a run has been there."""
         return self._clock_s() - self.runs[name].began_s
 
-    def tick(self) -> None:
+    def end_due_runs(self) -> None:
         """End what is over by now."""
         now_s = self._clock_s()
         if now_s > self._deadline_s:
-            self.voided.update(self.ends)
+            self.expired_ends.update(self.ends)
         for run in list(self.runs.values()):
             if self.failing:
                 self._end(run, 'failed')
@@ -226,22 +226,22 @@
                 self._end(run, 'lapsed')
 
     def _is_done(self, run: ActiveRun, by_s: float) -> bool:
-        if self.stalled or (run.task, run.attempt) in self.held:
+        if self.stalled or (run.task, run.attempt) in self.held_runs:
             return False
         return run.began_s + self._length_s(run) <= by_s
 
     def _length_s(self, run: ActiveRun) -> float:
-        if run.task.job_id in self.gangs:
-            return max(self.run_s, *self.lengths_s.values())
-        return self.lengths_s.get(run.task, self.run_s)
+        if run.task.job_id in self.gang_jobs:
+            return max(self.run_s, *self.run_s_by_task.values())
+        return self.run_s_by_task.get(run.task, self.run_s)
 
     def _start(self, order: StartOrder) -> None:
         self._check_token(order.token, 'start')
         if self._clock_s() > order.deadline_s:
             raise self._rejection('start', 'late')
-        if self.rejecting:
-            self.rejections += 1
-            raise self._rejection('start', self.rejecting)
+        if self.start_rejection:
+            self.rejected_starts += 1
+            raise self._rejection('start', self.start_rejection)
         name = (order.task, order.attempt)
         if name in self._ended:
             raise self._rejection('start', 'old')
@@ -251,7 +251,7 @@
         self.starts.append(order)
         now_s = self._clock_s()
         self.runs[name] = ActiveRun(order.task, order.attempt, now_s)
-        self.most_runs = max(self.most_runs, len(self.runs))
+        self.peak_runs = max(self.peak_runs, len(self.runs))
         if order.task in self.crashing:
             self._crash_soon(order)
 
@@ -283,7 +283,7 @@
         if self.stalled:
             return RunReport(run.task, run.attempt, '', 0)
         ran_s = self._clock_s() - run.began_s
-        share = ran_s / self.lengths_s.get(run.task, self.run_s)
+        share = ran_s / self.run_s_by_task.get(run.task, self.run_s)
         return RunReport(run.task, run.attempt, '', min(int(100 * share), 100))
 
     def _end(self, run: ActiveRun, kind: EndKind) -> None:
@@ -297,7 +297,7 @@
             self.failures.append(end)
 
     def _clock_s(self) -> float:
-        return self.clock.monotonic_s() - self._born_s
+        return self.clock.monotonic_s() - self._started_s
 
     def _check_token(self, token: int, step: str) -> None:
         if token < self._token:
@@ -314,7 +314,7 @@
 
     async def _pass(self, step: str) -> None:
         await self.clock.sleep(CALL_S)
-        if self.cut:
+        if self.disconnected:
             await self._give_up(step)
         if self.down:
             raise WorkerUnreachableError(
@@ -322,13 +322,13 @@
                 step=step,
                 peer=self.entry.address,
             )
-        if self.gone:
+        if self.replaced:
             raise WorkerReplacedError(
                 'Another life answered.',
                 step=step,
                 peer=self.entry.address,
             )
-        self.tick()
+        self.end_due_runs()
 
     async def _give_up(self, step: str) -> None:
         await self.clock.sleep(GIVE_UP_S)
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -218,7 +218,7 @@
             if self.same_id:
                 self.restart_worker(name)
                 return
-            worker.gone = True
+            worker.replaced = True
             worker.down = False
             self.delist_worker(name)
             replacement = self.add_worker(f'{name}+', run_s=worker.run_s)
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -39,7 +39,7 @@
         """Check the current runs, and the starts since the last check."""
         workers = list(self._workers())
         for worker in workers:
-            worker.tick()
+            worker.end_due_runs()
         runs = chain.from_iterable(worker.runs.values() for worker in workers)
         ended = acknowledged_ends(workers, 'done')
         for task, count in Counter(run.task for run in runs).items():
@@ -87,5 +87,5 @@
         end.task
         for worker in workers
         for end in worker.acknowledged
-        if end.kind == kind and end not in worker.voided
+        if end.kind == kind and end not in worker.expired_ends
     )
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -60,7 +60,7 @@
     """Drop a run whose worker is removed, but keep its assignment."""
     run = term.jobs['a1'].runs[FIRST]
     drop_run(domain, term)
-    domain.workers[run.worker_id].gone = True
+    domain.workers[run.worker_id].replaced = True
     term.sessions[run.worker_id].remove()
 
 
@@ -230,7 +230,7 @@
             lost, kept = (job.task(key).worker for key in (FIRST, SECOND))
             host.cut_off.add(kept)
             domain.workers[lost].runs.clear()
-            domain.workers[lost].gone = True
+            domain.workers[lost].replaced = True
             await domain.clock.until(
                 lambda: not domain.progress('a1').task(FIRST).worker,
             )
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -149,7 +149,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.workers['w0'].gone = True
+            domain.workers['w0'].replaced = True
             await host.accept(make_spec('a1', WHOLE, priority=0))
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [2])
@@ -166,12 +166,12 @@
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             await domain.clock.advance(1)
             worker = domain.workers['w0']
-            worker.cut = True
+            worker.disconnected = True
             await domain.clock.until(
                 lambda: domain.progress('a1').task(FIRST).losses == 1,
                 within_s=12,
             )
-            worker.cut = False
+            worker.disconnected = False
             await domain.clock.until(
                 lambda: domain.progress('a1').task(FIRST).losses == 0,
                 within_s=3,
@@ -214,7 +214,7 @@
             worker = domain.workers['w0']
             domain.list_worker(worker.entry._replace(leaving=True))
             await domain.clock.advance(1)
-            worker.gone = True
+            worker.replaced = True
             await domain.clock.until(lambda: len(domain.starts(FIRST)) == 2)
             self.assertEqual(domain.progress('a1').task(FIRST).losses, 0)
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -105,7 +105,7 @@
             wide = Step(width=20, needs=ONE_GPU, estimate_s=1.0)
             await host.accept(make_spec('a1', wide))
             self.assertEqual(await domain.ended('a1'), 'completed')
-            self.assertEqual(domain.workers['w0'].most_runs, 8)
+            self.assertEqual(domain.workers['w0'].peak_runs, 8)
 
         in_domain(case, workers=1)
 
@@ -139,7 +139,7 @@
                 within_s=2.7,
             )
             self.assertLessEqual(
-                max(worker.most_runs for worker in domain.workers.values()),
+                max(worker.peak_runs for worker in domain.workers.values()),
                 8,
             )
 
@@ -247,7 +247,7 @@
             domain.rows.unresponsive_hosts.add('h1')
             while len(domain.starts(FIRST)) == 1:
                 await domain.clock.advance(0.2)
-                holding.tick()
+                holding.end_due_runs()
                 self.assertLessEqual(running(domain), 1)
             self.assertEqual(running(domain), 1)
             self.assertFalse(holding.runs)
@@ -294,7 +294,7 @@
         async def case(domain: Domain) -> None:
             worker = domain.workers['w0']
             second = FIRST._replace(rank=1)
-            worker.lengths_s = {FIRST: 2.0, second: 12.0}
+            worker.run_s_by_task = {FIRST: 2.0, second: 12.0}
             host = domain.start_host('h1')
             await domain.leader()
             step = Step(width=2, needs=ONE_GPU, estimate_s=2.0)
@@ -358,7 +358,7 @@
             await host.accept(make_spec())
             await domain.clock.advance(13)
             lost = next(one for one in domain.workers.values() if one.runs)
-            lost.cut = True
+            lost.disconnected = True
             await domain.clock.advance(2)
             for name in ('h2', 'h3'):
                 leading = domain.leading()[0]
@@ -386,7 +386,7 @@
             await host.accept(make_spec())
             await domain.clock.advance(3)
             lost = next(one for one in domain.workers.values() if one.runs)
-            lost.cut = True
+            lost.disconnected = True
             await host.kill()
             await domain.clock.advance(0.5)
             domain.rows.unresponsive_hosts.add('*')
@@ -408,7 +408,7 @@
             await host.accept(make_spec())
             await domain.clock.advance(3)
             lost = next(one for one in domain.workers.values() if one.runs)
-            lost.cut = True
+            lost.disconnected = True
             await host.kill()
             domain.start_host('h2')
             leading = await domain.leader()
@@ -475,7 +475,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.workers['w0'].late_next = 1
+            domain.workers['w0'].late_starts = 1
             await host.accept(make_spec())
             self.assertEqual(await domain.ended('a1'), 'completed')
             await domain.clock.advance(5)
@@ -489,7 +489,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.workers['w0'].late_next = 1
+            domain.workers['w0'].late_starts = 1
             domain.workers['w0'].late_s = 1e6
             await host.accept(make_spec())
             await domain.clock.until(
@@ -517,7 +517,7 @@
             await host.accept(make_spec('c1', seven))
             await domain.clock.advance(3)
             self.assertEqual(len(domain.starts(TaskKey('c1', 0, 0, 0))), 1)
-            self.assertLessEqual(domain.workers['w0'].most_runs, 2)
+            self.assertLessEqual(domain.workers['w0'].peak_runs, 2)
 
         in_domain(case, workers=1, run_s=60)
 
@@ -530,12 +530,12 @@
             await host.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             cut = next(one for one in domain.workers.values() if one.runs)
-            cut.cut = True
+            cut.disconnected = True
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=20,
             )
-            cut.tick()
+            cut.end_due_runs()
             self.assertEqual(len(cut.runs), 0)
 
         in_domain(case, run_s=30)
@@ -549,7 +549,7 @@
             await host.accept(make_spec())
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             lost = next(one for one in domain.workers.values() if one.runs)
-            lost.gone = True
+            lost.replaced = True
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=2.5,
@@ -649,7 +649,7 @@
             await host.accept(make_spec('a1', gang()))
             await domain.clock.until(lambda: running(domain) == 2)
             lost: TaskWorkerModel = domain.workers['w0']
-            lost.gone = True
+            lost.replaced = True
             domain.add_worker('w9', run_s=2)
             self.assertEqual(await domain.ended('a1'), 'completed')
             for rank in range(2):
@@ -751,11 +751,11 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.workers['w0'].rejecting = 'room'
+            domain.workers['w0'].start_rejection = 'room'
             await host.accept(make_spec())
             await domain.clock.advance(3)
-            self.assertLess(domain.workers['w0'].rejections, 8)
-            domain.workers['w0'].rejecting = ''
+            self.assertLess(domain.workers['w0'].rejected_starts, 8)
+            domain.workers['w0'].start_rejection = ''
             self.assertEqual(await domain.ended('a1'), 'completed')
 
         in_domain(case, workers=1)
@@ -840,7 +840,7 @@
             host = domain.start_host('h1')
             await domain.leader()
             worker = domain.workers['w0']
-            worker.late_next = 1
+            worker.late_starts = 1
             worker.late_s = 60
             await host.accept(make_spec('a1'))
             await domain.clock.advance(0.1)
@@ -948,8 +948,8 @@
         async def case(domain: Domain) -> None:
             slow = FIRST._replace(rank=1)
             for worker in domain.workers.values():
-                worker.lengths_s = {slow: 5.0}
-                worker.gangs = {FIRST.job_id}
+                worker.run_s_by_task = {slow: 5.0}
+                worker.gang_jobs = {FIRST.job_id}
             host = domain.start_host('h1')
             await domain.leader()
             await host.accept(make_spec('a1', gang()))
@@ -993,13 +993,13 @@
             cut = next(one for one in domain.workers.values() if one.runs)
             cut.run_s = 5
             await domain.clock.advance(1)
-            cut.cut = True
+            cut.disconnected = True
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=20,
             )
-            cut.tick()
-            cut.cut = False
+            cut.end_due_runs()
+            cut.disconnected = False
             self.assertEqual(await domain.ended('a1', 3), 'completed')
             await domain.clock.until(lambda: running(domain) == 0, within_s=1)
 
@@ -1037,7 +1037,7 @@
             worker = domain.workers['w0']
             for number in range(8):
                 key = TaskKey(f'a{number}', 0, 0, 0)
-                worker.lengths_s[key] = 2 + 0.4 * number
+                worker.run_s_by_task[key] = 2 + 0.4 * number
                 await host.accept(make_spec(key.job_id))
             await domain.clock.until(lambda: running(domain) == 8)
             with patch.object(
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -125,15 +125,15 @@
     async def cut_worker(self, domain: Domain, pick: int) -> None:
         """Toggle whether some worker is cut off."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        worker.cut = not worker.cut
+        worker.disconnected = not worker.disconnected
 
     async def lose_worker(self, domain: Domain, pick: int) -> None:
         """Replace some worker by another one on its machine."""
         name = f'w{pick % WORKERS}'
         worker = domain.workers[name]
-        if worker.gone or worker.down:
+        if worker.replaced or worker.down:
             return
-        worker.gone = True
+        worker.replaced = True
         worker.runs.clear()
         domain.delist_worker(name)
         domain.add_worker(
@@ -143,7 +143,7 @@
     async def restart_worker(self, domain: Domain, pick: int) -> None:
         """Restart some worker under its id, with or without a new entry."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        if worker.gone or worker.down:
+        if worker.replaced or worker.down:
             return
         worker.restart()
         if pick % 2:
@@ -166,7 +166,7 @@
     def relist_all(self, domain: Domain) -> None:
         """Have every worker that is up write its entry."""
         for worker in domain.workers.values():
-            if not (worker.gone or worker.down):
+            if not (worker.replaced or worker.down):
                 self._relist(domain, worker)
 
     def _relist(self, domain: Domain, worker: TaskWorkerModel) -> None:
@@ -176,7 +176,7 @@
     async def late_starts(self, domain: Domain, pick: int) -> None:
         """Apply the next starts at a worker late, without a response."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        worker.late_next += 1 + pick % 2
+        worker.late_starts += 1 + pick % 2
         worker.late_s = 0.5 + pick % 7
 
     def start_host(self, domain: Domain) -> None:
@@ -335,8 +335,8 @@
     domain.rows.lost_replies = 0
     domain.rows.late_commits = 0
     for worker in domain.workers.values():
-        worker.cut = False
+        worker.disconnected = False
         worker.failing = False
-        worker.late_next = 0
+        worker.late_starts = 0
     faults.relist_all(domain)
     faults.start_host(domain)
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -436,7 +436,7 @@
                 worker for worker in domain.workers.values() if worker.runs
             )
             write(domain, lost.entry.worker_id, b'7')
-            lost.cut = True
+            lost.disconnected = True
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=20,
--- a/tests/test_gangs_end.py
+++ b/tests/test_gangs_end.py
@@ -102,12 +102,14 @@
         """Toggle whether some worker rejects starts."""
         worker = domain.workers[f'w{pick % WORKERS}']
         reasons = ('fence', 'old', 'room')
-        worker.rejecting = '' if worker.rejecting else reasons[pick % 3]
+        worker.start_rejection = (
+            '' if worker.start_rejection else reasons[pick % 3]
+        )
 
     async def reject_renewals(self, domain: Domain, pick: int) -> None:
         """Toggle whether some worker rejects renewals."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        worker.refusing = '' if worker.refusing else '503'
+        worker.renewal_rejection = '' if worker.renewal_rejection else '503'
 
 
 class Member(NamedTuple):
@@ -162,14 +164,14 @@
     def _apply_rule(self, name: tuple[str, int], members: list[Member]) -> None:
         complete = len(members) == self._width(name[0]) or name in self._done
         for worker, run in members:
-            worker.held.discard(run)
+            worker.held_runs.discard(run)
             if complete:
                 continue
-            worker.held.add(run)
+            worker.held_runs.add(run)
             if name in self._complete:
-                worker.end(run, 'broken')
-            elif worker.age_s(run) > GANG_TIMEOUT_S:
-                worker.end(run, 'alone')
+                worker.end_run(run, 'broken')
+            elif worker.run_age_s(run) > GANG_TIMEOUT_S:
+                worker.end_run(run, 'alone')
 
 
 class Watch(InvariantChecker):
@@ -246,8 +248,8 @@
                 await pass_time(domain, watch, wait_s)
             await heal(domain, faults)
             for worker in domain.workers.values():
-                worker.rejecting = ''
-                worker.refusing = ''
+                worker.start_rejection = ''
+                worker.renewal_rejection = ''
             await until_ended(domain, faults, watch)
             self.assertEqual(watch.violations, [])
             self.check_ends(faults, watch)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -336,7 +336,7 @@
             )
             with self.assertRaises(WorkerUnreachableError):
                 await closed.stop(TASK, 1, 8)
-            testbed.worker.cut = True
+            testbed.worker.disconnected = True
             silent = connector.connect(testbed.entry)
             with self.assertRaises(WorkerReplyLostError):
                 await silent.stop(TASK, 1, 8)
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -95,10 +95,10 @@
             await restarted(domain)
             worker = domain.workers['w0']
             worker.run_s = 0.002
-            worker.cut = True
+            worker.disconnected = True
             await domain.hosts['h1'].accept(make_spec('b2'))
             await domain.clock.advance(2)
-            worker.cut = False
+            worker.disconnected = False
             self.assertEqual(await domain.ended('b2'), 'completed')
             done = [end for end in worker.acknowledged if end.task == SECOND]
             self.assertEqual(len(done), 1)
@@ -117,10 +117,10 @@
             await host.accept(make_spec('b2'))
             await domain.clock.until(lambda: bool(domain.starts(SECOND)))
             worker = domain.workers['w0']
-            worker.cut = True
+            worker.disconnected = True
             await domain.clock.advance(0.7)
             domain.restart_worker('w0')
-            worker.cut = False
+            worker.disconnected = False
             self.assertEqual(await domain.ended('b2'), 'completed')
             await domain.clock.advance(5)
             self.assertEqual(domain.starts(SECOND), [1, 2])
@@ -155,7 +155,7 @@
             host = domain.start_host('h1')
             await domain.leader()
             worker = domain.workers['w0']
-            worker.late_next = 1
+            worker.late_starts = 1
             worker.late_s = 60
             await host.accept(make_spec('a1', priority=0))
             await domain.clock.advance(0.2)
@@ -249,7 +249,7 @@
     def restart(self) -> None:
         """Restart with everything but the clock reset."""
         super().restart()
-        self._born_s = 0.0
+        self._started_s = 0.0
 
 
 class SlowResponseWorker(TaskWorkerModel):
@@ -405,7 +405,7 @@
             await single.run_task(FIRST)
             await single.clock.until(lambda: FIRST in single.owner.ended)
             single.model.restart()
-            single.model.late_next = 1
+            single.model.late_starts = 1
             single.model.late_s = 0.0
             order = single.order_start(SECOND)
             await single.clock.advance(0.1)
@@ -455,7 +455,7 @@
         async def case(single: SingleWorker[CountingWorker]) -> None:
             await single.run_task(FIRST)
             await single.clock.until(lambda: FIRST in single.owner.ended)
-            single.model.late_next = 1
+            single.model.late_starts = 1
             order = single.order_start(SECOND)
             await single.clock.until(order.done)
             single.owner.stored.set()
@@ -489,7 +489,7 @@
             await single.run_task(FIRST)
             await single.clock.advance(2)
             single.model.restart()
-            single.model.late_next = 1
+            single.model.late_starts = 1
             single.model.late_s = 0.0
             await single.run_task(SECOND)
             await single.clock.advance(2)
@@ -505,7 +505,7 @@
         """No report is awaited for a run that has already ended."""
 
         async def case(single: SingleWorker[SlowResponseWorker]) -> None:
-            single.model.lengths_s[LONG] = 60.0
+            single.model.run_s_by_task[LONG] = 60.0
             single.owner.stored.set()
             await single.run_task(LONG)
             await single.clock.advance(1)
@@ -533,14 +533,14 @@
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             worker = domain.workers['w0']
             # Lost responses increment the token a few times.
-            worker.cut = True
+            worker.disconnected = True
             await domain.clock.advance(1.5)
-            worker.cut = False
+            worker.disconnected = False
             await domain.clock.advance(1)
-            worker.cut = True
+            worker.disconnected = True
             domain.delist_worker('w0')
             await domain.clock.advance(20)
-            worker.cut = False
+            worker.disconnected = False
             domain.list_worker(worker.entry)
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertIs(host.leader, leader)
--- a/tests/test_shrinking_capacity.py
+++ b/tests/test_shrinking_capacity.py
@@ -50,7 +50,7 @@
             await domain.clock.until(lambda: bool(worker.runs))
             resize(domain, worker, CAPACITY_FOR_TWO)
             await domain.clock.advance(20)
-            self.assertLessEqual(worker.most_runs, 2)
+            self.assertLessEqual(worker.peak_runs, 2)
 
         in_domain(case, workers=1, run_s=60)
 
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -62,7 +62,7 @@
         end = EndReport(rank + 1, task, 1, 'done', '')
         self.workers[0].ends.append(end)
         if voided:
-            self.workers[0].voided.add(end)
+            self.workers[0].expired_ends.add(end)
 
     def faults_after(self, seconds_s: float) -> list[str]:
         """Look twice, so many seconds apart; return what was found."""
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -130,7 +130,7 @@
             host = domain.hosts['h1']
             for worker in domain.workers.values():
                 worker.run_s = 20.0 if worker is slow else 9.0
-                worker.lengths_s = {
+                worker.run_s_by_task = {
                     TaskKey('fill', 0, 0, rank): 2.0 for rank in range(56)
                 }
             usual = Step(width=56, needs=ONE_GPU, estimate_s=20.0)
--- a/tests/test_unfinished_waits.py
+++ b/tests/test_unfinished_waits.py
@@ -23,10 +23,10 @@
             host = domain.start_host('h1')
             await domain.leader()
             worker = domain.workers['w0']
-            worker.rejecting = 'fence'
+            worker.start_rejection = 'fence'
             await host.accept(make_spec('a1'))
-            await domain.clock.until(lambda: bool(worker.rejections))
-            worker.rejecting = ''
+            await domain.clock.until(lambda: bool(worker.rejected_starts))
+            worker.start_rejection = ''
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(len(domain.starts(TASK)), 1)
 
@@ -42,7 +42,7 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            domain.workers['w0'].rejecting = 'fence'
+            domain.workers['w0'].start_rejection = 'fence'
             await host.accept(make_spec('a1'))
             self.assertEqual(await domain.ended('a1', EXPIRY_S), 'completed')
 
@@ -68,9 +68,9 @@
                 # The worker is down for the start, not for a later renewal.
                 await domain.clock.advance(0.0005)
             worker.down = False
-            worker.refusing = '503'
+            worker.renewal_rejection = '503'
             await domain.clock.advance(1)
-            worker.refusing = ''
+            worker.renewal_rejection = ''
             await accepting
             self.assertEqual(await domain.ended('a1'), 'completed')
 
@@ -87,7 +87,7 @@
             used = next(
                 worker for worker in domain.workers.values() if worker.starts
             )
-            used.refusing = '503'
+            used.renewal_rejection = '503'
             await domain.clock.until(
                 lambda: len(domain.starts(TASK)) == 2,
                 within_s=EXPIRY_S,
@@ -108,7 +108,7 @@
             host = domain.start_host('h1')
             await domain.leader()
             await domain.clock.advance(1)
-            domain.workers['w0'].cut = True
+            domain.workers['w0'].disconnected = True
             tasks = [TaskKey(f'j{one}', 0, 0, 0) for one in range(8)]
             for task in tasks:
                 await host.accept(make_spec(task.job_id))
--- a/tests/test_unready.py
+++ b/tests/test_unready.py
@@ -202,7 +202,7 @@
     )
     await domain.clock.advance(5.0)
     assert not lines.lines
-    domain.workers['w0'].cut = True
+    domain.workers['w0'].disconnected = True
     return host
 
 
@@ -222,7 +222,7 @@
                 self.assertEqual(lines.lines, [])
                 await domain.clock.advance(5.0)
                 found = list(lines.lines)
-                domain.workers['w0'].cut = False
+                domain.workers['w0'].disconnected = False
                 await domain.clock.advance(20.0)
                 lines.lines.clear()
                 await domain.clock.advance(5.0)
@@ -268,7 +268,7 @@
                 )
             await domain.clock.advance(2.0)
             for worker in domain.workers.values():
-                worker.cut = True
+                worker.disconnected = True
             with patch.object(unready, 'events', lines):
                 await domain.clock.advance(4.5)
                 # The job that is due later uses a slot that is still free.
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -179,7 +179,7 @@
                 (name for name in domain.workers if name != 'far'),
                 key=lambda name: name != run.worker_id,
             )
-            domain.workers[silent].cut = True
+            domain.workers[silent].disconnected = True
             entry: WorkerEntry = domain.workers[leaving].entry
             domain.list_worker(entry._replace(leaving=True))
             domain.rows.apply((), (RowPut(WORKER_TABLE, bad, b'[]'),), ())
