--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -81,7 +81,7 @@
         self.document: ConfigurationDocument = checked(merge(self.contents))
         self.standin = StandinServer(
             clock=SystemClock(),
-            sites=site_entries(self.document),
+            worker_specs=site_entries(self.document),
         )
         self.schedulers: list[SchedulerDaemon] = []
         self.gateways: list[GatewayDaemon] = []
--- a/src/curranthill/commands/load.py
+++ b/src/curranthill/commands/load.py
@@ -14,7 +14,7 @@
     fail,
     read_settings_or_exit,
 )
-from curranthill.load.report import plot, summary, write_report
+from curranthill.load.report import plot, summarize, write_report
 from curranthill.load.runner import LoadRunner
 from curranthill.load.workload import Workload
 
@@ -61,7 +61,7 @@
         },
     )
     result = asyncio.run(runner.run(definition, seed))
-    measures = summary(result, frozenset(gangs.split(',')))
+    measures = summarize(result, frozenset(gangs.split(',')))
     write_report(out, f'{workload.stem}, seed {seed}', measures)
     if draw:
         plot(out, result)
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -11,7 +11,7 @@
 from curranthill.configuration import checked, merge, read_folder
 from curranthill.configuration.records import ConfigurationDocument
 from curranthill.settings import LogSettings
-from curranthill.standin import SiteEntry, StandinServer
+from curranthill.standin import StandinServer, WorkerSpec
 
 app = typer.Typer(add_completion=True, rich_markup_mode=None)
 
@@ -22,14 +22,14 @@
 class StandinOptions(NamedTuple):
     """The workers, the address and the rate limits of a stand-in."""
 
-    sites: tuple[SiteEntry, ...]
+    sites: tuple[WorkerSpec, ...]
     host: str
     port: int
     writes_per_s: float
     reads_per_s: float
 
 
-def site_entries(document: ConfigurationDocument) -> tuple[SiteEntry, ...]:
+def site_entries(document: ConfigurationDocument) -> tuple[WorkerSpec, ...]:
     """Return the workers of all data centres of a configuration.
 
     Each allows as many connections as the service with the fewest.
@@ -38,11 +38,11 @@
         (service.connections for service in document.services.values()),
         default=_DEFAULT_CONNECTIONS,
     )
-    sites: list[SiteEntry] = []
+    sites: list[WorkerSpec] = []
     for name, data_centre in document.data_centres.items():
         for rack_name, rack in data_centre.racks.items():
             sites.extend(
-                SiteEntry(
+                WorkerSpec(
                     name=f'{rack_name}-w{number:02d}',
                     data_centre=name,
                     rack=rack_name,
@@ -97,7 +97,7 @@
     application = Application(name='standin')
     server = StandinServer(
         clock=SystemClock(),
-        sites=options.sites,
+        worker_specs=options.sites,
         writes_per_s=options.writes_per_s,
         reads_per_s=options.reads_per_s,
     )
--- a/src/curranthill/load/report.py
+++ b/src/curranthill/load/report.py
@@ -12,7 +12,7 @@
 _DONE = frozenset(('finished', 'answered'))
 
 
-def summary(result: LoadResult, gangs: frozenset[str]) -> dict[str, Any]:
+def summarize(result: LoadResult, gangs: frozenset[str]) -> dict[str, Any]:
     """Return the measures of one run.
 
     :param gangs: the kinds that count as gangs.
@@ -124,4 +124,4 @@
     return outcome.workspace
 
 
-__all__ = ('plot', 'summary', 'write_report')
+__all__ = ('plot', 'summarize', 'write_report')
--- a/src/curranthill/standin/server.py
+++ b/src/curranthill/standin/server.py
@@ -51,7 +51,7 @@
 Action = Callable[[WorkerModel, Token, _Body], Any]
 
 
-class SiteEntry(NamedTuple):
+class WorkerSpec(NamedTuple):
     """One worker of the stand-in's site."""
 
     name: str
@@ -64,7 +64,7 @@
 class StandinServer:
     """Serve the table, the object store, the host list and workers.
 
-    :param sites: the workers to stand in for.
+    :param worker_specs: the workers to stand in for.
     :param writes_per_s: the table's bound on transactions a second.
     :param reads_per_s: the table's bound on reads a second.
     """
@@ -73,7 +73,7 @@
         self,
         *,
         clock: Clock,
-        sites: tuple[SiteEntry, ...],
+        worker_specs: tuple[WorkerSpec, ...],
         writes_per_s: float = 400,
         reads_per_s: float = 2000,
     ) -> None:
@@ -87,16 +87,16 @@
         self.hosts: dict[str, HostEntry] = {}
         self.platform_faults = Faults(clock=clock)
         self.workers = {
-            site.name: WorkerModel(
-                name=site.name,
+            spec.name: WorkerModel(
+                name=spec.name,
                 clock=clock,
-                slots=site.slots,
-                connections=site.connections,
+                slots=spec.slots,
+                connections=spec.connections,
             )
-            for site in sites
+            for spec in worker_specs
         }
         self.port = 0
-        self._sites = sites
+        self._worker_specs = worker_specs
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = '127.0.0.1', port: int = 0) -> None:
@@ -109,8 +109,8 @@
         site = web.TCPSite(self._runner, host, port)
         await site.start()
         self.port = self._runner.addresses[0][1]
-        for entry in self._sites:
-            self._list_worker(entry, f'http://{host}:{self.port}')
+        for spec in self._worker_specs:
+            self._list_worker(spec, f'http://{host}:{self.port}')
 
     async def stop(self) -> None:
         """Stop serving."""
@@ -122,20 +122,20 @@
     def free_by_rack(self) -> dict[str, list[int]]:
         """Return the free slots of each worker by rack."""
         racks: dict[str, list[int]] = {}
-        for site in self._sites:
-            worker = self.workers[site.name]
-            racks.setdefault(site.rack, []).append(max(0, worker.free_slots()))
+        for spec in self._worker_specs:
+            worker = self.workers[spec.name]
+            racks.setdefault(spec.rack, []).append(max(0, worker.free_slots()))
         return racks
 
-    def _list_worker(self, entry: SiteEntry, base: str) -> None:
-        self.hosts[entry.name] = HostEntry(
-            host=entry.name,
+    def _list_worker(self, spec: WorkerSpec, base: str) -> None:
+        self.hosts[spec.name] = HostEntry(
+            host=spec.name,
             role='worker',
-            data_centre=entry.data_centre,
-            address=f'{base}/workers/{entry.name}',
-            rack=entry.rack,
-            slots=entry.slots,
-            connections=entry.connections,
+            data_centre=spec.data_centre,
+            address=f'{base}/workers/{spec.name}',
+            rack=spec.rack,
+            slots=spec.slots,
+            connections=spec.connections,
         )
 
     def _platform_routes(self) -> list[web.RouteDef]:
@@ -275,7 +275,7 @@
 
     async def _leave(self, request: web.Request) -> web.StreamResponse:
         worker = self._worker(request)
-        worker.leaving = True
+        worker.draining = True
         listed = self.hosts[worker.name]
         self.hosts[worker.name] = listed._replace(leaving=True)
         return web.Response()
@@ -474,4 +474,4 @@
     'throttle': _throttle,
 }
 
-__all__ = ('SiteEntry', 'StandinServer')
+__all__ = ('StandinServer', 'WorkerSpec')
--- a/src/curranthill/standin/worker.py
+++ b/src/curranthill/standin/worker.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(kw_only=True)
-class StartRecord:
+class ObservedStart:
     """One start as the worker itself saw it, for audits.
 
     :param members: how many members the start call said the gang has.
@@ -76,7 +76,7 @@
     share: float = 1.0
     progress_s: float = 0.0
     answer: bytes = b''
-    record: StartRecord | None = None
+    record: ObservedStart | None = None
 
 
 class WorkerModel:
@@ -99,9 +99,9 @@
         self.name = name
         self.slots = slots
         self.connections = connections
-        self.leaving = False
+        self.draining = False
         self.faults = Faults(clock=clock)
-        self.starts: list[StartRecord] = []
+        self.starts: list[ObservedStart] = []
         self.quick_runs: dict[str, int] = {}
         self.connections_in_use = 0
         self.most_connections = 0
@@ -158,7 +158,7 @@
     def reserve(self, token: Token, request: LeaseRequest) -> None:
         """Hold slots for an attempt; a repeat changes nothing."""
         self._fence(token)
-        if self.leaving:
+        if self.draining:
             raise self._error(WorkerBusyError, 'leaving', 'reserve')
         if request.attempt_id in self._ended_s:
             raise self._error(WorkerError, 'attempt ended', 'reserve')
@@ -181,7 +181,7 @@
             return
         lease.state = RUNNING
         self._started.add(attempt_id)
-        record = StartRecord(
+        record = ObservedStart(
             job=attempt_id.job,
             attempt=attempt_id.attempt,
             members=task.members,
@@ -205,7 +205,7 @@
         self._renew(term_s, named)
         deadline_s = self._clock.monotonic_s() + wait_s
         known = frozenset(known_ended)
-        while not self._any_ended(known) and not self.leaving:
+        while not self._any_ended(known) and not self.draining:
             left_s = deadline_s - self._clock.monotonic_s()
             if left_s <= 0 or self._closed or self._seen != token:
                 break
@@ -215,7 +215,7 @@
             leases=tuple(reports),
             unknown=tuple(one for one in named if one not in self._leases),
             free_slots=self.free_slots(),
-            leaving=self.leaving,
+            leaving=self.draining,
         )
 
     async def stop(
@@ -279,7 +279,7 @@
         )
 
     async def _take_turn(self, request: QuickRequest) -> None:
-        if self.leaving:
+        if self.draining:
             raise self._error(WorkerBusyError, 'leaving', 'quick')
         if self.free_slots() > 0 and not self._quick_waiting:
             return
@@ -482,4 +482,4 @@
     return asked if isinstance(asked, dict) else {}
 
 
-__all__ = ('REMEMBER_ENDED_S', 'StartRecord', 'WorkerModel')
+__all__ = ('REMEMBER_ENDED_S', 'ObservedStart', 'WorkerModel')
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -79,7 +79,7 @@
                 address=worker.name,
                 rack='r1',
                 slots=worker.slots,
-                leaving=worker.leaving,
+                leaving=worker.draining,
             )
             for worker in self.workers.values()
         )
