--- a/src/curranthill/standin/__init__.py
+++ b/src/curranthill/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform and for workers: tests, demo and load only."""
+"""Simulated platform and workers, for tests, demos and load tests only."""
 
 from curranthill.standin.faults import Faults, FaultSettings
 from curranthill.standin.server import StandinServer, WorkerSpec
--- a/src/curranthill/standin/faults.py
+++ b/src/curranthill/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show."""
+"""Faults that can be injected into a stand-in."""
 
 import random
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class FaultSettings(NamedTuple):
-    """Which faults a stand-in shows now.
-
-    :param down: refuse every call before anything is done.
-    :param slow_s: wait this long before each call.
-    :param lose_replies: the share of calls whose reply is dropped after
-        the effect, from 0 to 1.
-    :param paused: hold every call until the fault is taken back.
-    :param fails: run every task to a failure.
+    """The faults that a stand-in injects.
+
+    :param down: refuse every call before it has any effect.
+    :param slow_s: delay each call by so many seconds.
+    :param lose_replies: the share of calls, from 0 to 1, that take effect but
+        whose reply is dropped.
+    :param paused: hold every call until this fault is cleared.
+    :param fails: let every task fail at the end of its run.
     """
 
     down: bool = False
@@ -25,19 +25,19 @@
 
 
 class Faults:
-    """The faults of one stand-in, changed while it runs.
+    """The faults of one stand-in, which can be changed while it runs.
 
-    :param seed: makes the choice of lost replies the same on each run.
+    :param seed: the seed of the random choice of lost replies.
     """
 
     def __init__(self, *, clock: Clock, seed: int = 0) -> None:
-        """Start with no fault."""
+        """Initialize without faults."""
         self.settings = FaultSettings()
         self._clock = clock
         self._random = random.Random(seed)  # noqa: S311
 
     async def refuses(self) -> bool:
-        """Wait as told; return whether the call is refused."""
+        """Delay the call as set; return whether it must be refused."""
         while self.settings.paused:
             await self._clock.sleep(0.05)
         if self.settings.slow_s:
@@ -45,7 +45,7 @@
         return self.settings.down
 
     def loses_reply(self) -> bool:
-        """Return whether the reply of this call is dropped."""
+        """Return whether to drop the reply of this call."""
         return self._random.random() < self.settings.lose_replies
 
 
--- a/src/curranthill/standin/rows.py
+++ b/src/curranthill/standin/rows.py
@@ -1,4 +1,4 @@
-"""A store of rows in memory, with the faults that a real one shows."""
+"""An in-memory row store with the faults of a real one."""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,33 +17,39 @@
 )
 from curranthill.tasks import tables
 
-#: What a commit takes in its partition, in seconds.
+#: How long a commit occupies its partition, in seconds.
 COMMIT_S: Final = 0.005
 
-#: When a caller gives up on an answer, in seconds.
+#: How long a client waits for a response, in seconds.
 CLIENT_TIMEOUT_S: Final = 0.7
 
-#: How soon a client gives up what it asked while the store was away once it is
-#: back, in seconds: the interval at which a host tries a store that is away.
-RETURN_NOTICE_S: Final = 0.2
+#: How often a client without a response checks whether the store is back, in
+#: seconds. It then abandons the call, as a host does, which probes an
+#: unavailable store at this interval.
+RECOVERY_POLL_S: Final = 0.2
 
-#: How often a waiting feed looks for news, in seconds.
+#: How often a waiting feed checks for changes, in seconds.
 FEED_POLL_S: Final = 0.005
 
 
 class RowStoreModel:
-    """The rows and their history.
+    """The rows of all tables, their change history and the injected faults.
 
-    :param unresponsive_hosts: hosts that get no answer; ``*`` stands for all.
-    :param refused_hosts: hosts whose calls are refused; ``*`` stands for all.
+    :param rows: the current rows by table and key.
+    :param unresponsive_hosts: hosts that get no response; ``*`` means all.
+    :param refused_hosts: hosts whose calls are refused; ``*`` means all.
     :param refused_partitions: partitions whose commits are refused.
-    :param lost_replies: how many of the next commits apply without an answer.
-    :param late_commits: how many of the next commits apply ``late_s`` later.
-    :param commit_s: what a commit takes; those of one partition take turns.
+    :param lost_replies: how many of the next commits take effect without a
+        response.
+    :param late_commits: how many of the next commits get no response and take
+        effect ``late_s`` seconds later.
+    :param commits: how many commits were applied.
+    :param commit_s: how long a commit takes, in seconds; the commits of one
+        partition are applied sequentially.
     """
 
     def __init__(self, *, clock: Clock) -> None:
-        """Start empty and without faults."""
+        """Initialize an empty store without faults."""
         self.clock = clock
         self.rows: dict[tuple[str, str], StoredRow] = {}
         self.unresponsive_hosts: set[str] = set()
@@ -54,20 +60,20 @@
         self.late_s = 2.0
         self.commits = 0
         self.commit_s = COMMIT_S
-        self._turns: dict[str, asyncio.Lock] = {}
+        self._partition_locks: dict[str, asyncio.Lock] = {}
         self._version = 0
         self._history: list[StoredRow] = []
-        self._oldest = 0
-        self._late: set[asyncio.Task[None]] = set()
+        self._oldest_version = 0
+        self._background: set[asyncio.Task[None]] = set()
 
     def client(self, host: str) -> 'RowStoreClient':
-        """Return the store as one host reaches it."""
+        """Return a client for one host."""
         return RowStoreClient(model=self, host=host)
 
     def truncate_history(self) -> None:
-        """Drop all history, so that feeds must read again."""
+        """Drop the change history, so that feeds must read all rows again."""
         self._history.clear()
-        self._oldest = self._version
+        self._oldest_version = self._version
 
     def apply(
         self,
@@ -75,43 +81,61 @@
         puts: Sequence[RowPut],
         removals: Sequence[RowRemoval],
     ) -> int:
-        """Apply all or nothing and return the new version."""
-        _partition_of_all(checks, puts, removals)
-        names = [(check.table, check.key) for check in checks]
+        """Apply all changes or none and return the new version.
+
+        :raises RowConflictError: if a check failed.
+        :raises ValueError: if the rows belong to several partitions.
+        """
+        _common_partition(checks, puts, removals)
+        row_ids = [(check.table, check.key) for check in checks]
         for check in checks:
             row = self.rows.get((check.table, check.key))
             version = row.version if row else 0
             if version != check.version:
                 raise RowConflictError(
-                    'A row has another version.',
+                    'A row has another version than expected.',
                     step='commit',
                     rows=tuple(
-                        self.rows[name] for name in names if name in self.rows
+                        self.rows[row_id]
+                        for row_id in row_ids
+                        if row_id in self.rows
                     ),
                 )
         self.commits += 1
         self._version += 1
         for put in puts:
-            self._note(
+            self._record(
                 StoredRow(put.table, put.key, put.content, self._version)
             )
-        for one in removals:
-            if (one.table, one.key) in self.rows:
-                self._note(
-                    StoredRow(one.table, one.key, b'', self._version, True),
+        for removal in removals:
+            if (removal.table, removal.key) in self.rows:
+                self._record(
+                    StoredRow(
+                        removal.table,
+                        removal.key,
+                        b'',
+                        self._version,
+                        True,
+                    ),
                 )
         return self._version
 
     def scan(self, table: str) -> RowChanges:
         """Return a table's rows in the order of their keys."""
-        rows = [row for name, row in self.rows.items() if name[0] == table]
+        rows = [row for row_id, row in self.rows.items() if row_id[0] == table]
         rows.sort(key=lambda row: row.key)
         return RowChanges(tuple(rows), self._version)
 
     def changes(self, table: str, after: int) -> RowChanges:
-        """Return what changed since a version."""
-        if after < self._oldest:
-            raise HistoryLostError('The history is gone.', step='changes')
+        """Return a table's changes after a version.
+
+        :raises HistoryLostError: if the history no longer reaches so far back.
+        """
+        if after < self._oldest_version:
+            raise HistoryLostError(
+                'The history no longer reaches so far back.',
+                step='changes',
+            )
         rows = [
             row
             for row in self._history
@@ -119,15 +143,15 @@
         ]
         return RowChanges(tuple(rows), self._version)
 
-    async def apply_in_turn(
+    async def apply_in_order(
         self,
         checks: Sequence[RowCheck],
         puts: Sequence[RowPut],
         removals: Sequence[RowRemoval],
     ) -> int:
-        """Apply a commit after those before it in its partition."""
-        partition = _partition_of_all(checks, puts, removals)
-        async with self._turns.setdefault(partition, asyncio.Lock()):
+        """Apply a commit after the earlier ones of its partition."""
+        partition = _common_partition(checks, puts, removals)
+        async with self._partition_locks.setdefault(partition, asyncio.Lock()):
             await self.clock.sleep(self.commit_s)
             return self.apply(checks, puts, removals)
 
@@ -137,7 +161,7 @@
         puts: Sequence[RowPut],
         removals: Sequence[RowRemoval],
     ) -> None:
-        """Apply a commit some seconds on, if its checks hold then."""
+        """Apply a commit ``late_s`` seconds later, if its checks hold then."""
 
         async def apply() -> None:
             await self.clock.sleep(self.late_s)
@@ -147,10 +171,10 @@
                 return
 
         task = asyncio.ensure_future(apply())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._background.add(task)
+        task.add_done_callback(self._background.discard)
 
-    def _note(self, row: StoredRow) -> None:
+    def _record(self, row: StoredRow) -> None:
         self._history.append(row)
         if row.removed:
             self.rows.pop((row.table, row.key))
@@ -159,10 +183,10 @@
 
 
 class RowStoreClient:
-    """A :class:`RowStore` over a model, with the model's faults."""
+    """A :class:`RowStore` client of one host, with the model's faults."""
 
     def __init__(self, *, model: RowStoreModel, host: str) -> None:
-        """Keep whose calls these are."""
+        """Initialize the client of a host."""
         self._model = model
         self._host = host
 
@@ -173,40 +197,48 @@
         puts: Sequence[RowPut] = (),
         removals: Sequence[RowRemoval] = (),
     ) -> int:
-        """Apply all or nothing and return the new version."""
-        await self._pass('commit')
-        partition = _partition_of_all(checks, puts, removals)
+        """Apply all changes or none and return the new version."""
+        await self._check_reachable('commit')
+        partition = _common_partition(checks, puts, removals)
         if partition in self._model.refused_partitions:
-            raise NotSentError('Refused.', step='commit', peer='rows')
+            raise NotSentError(
+                'The store refused the commit.',
+                step='commit',
+                peer='rows',
+            )
         if self._model.late_commits:
             self._model.late_commits -= 1
             self._model.apply_late(checks, puts, removals)
-            await self._give_up('commit')
-        # A commit takes effect in its turn, also when its caller gave up.
-        turn = asyncio.ensure_future(
-            self._model.apply_in_turn(checks, puts, removals),
+            await self._time_out('commit')
+        # A commit takes effect in order even if its client has timed out.
+        commit = asyncio.ensure_future(
+            self._model.apply_in_order(checks, puts, removals),
         )
-        turn.add_done_callback(_forget_error)
+        commit.add_done_callback(_retrieve_error)
         if not await wait_at_most(
-            turn,
+            commit,
             timeout_s=CLIENT_TIMEOUT_S,
             clock=self._model.clock,
         ):
-            raise ReplyLostError('Too slow.', step='commit', peer='rows')
-        version = turn.result()
+            raise ReplyLostError(
+                'The commit timed out.',
+                step='commit',
+                peer='rows',
+            )
+        version = commit.result()
         if self._model.lost_replies:
             self._model.lost_replies -= 1
-            await self._give_up('commit')
+            await self._time_out('commit')
         return version
 
     async def read(self, table: str, key: str) -> StoredRow | None:
-        """Return one row or nothing."""
-        await self._pass('read')
+        """Return a row, or nothing if there is none."""
+        await self._check_reachable('read')
         return self._model.rows.get((table, key))
 
     async def scan(self, table: str) -> RowChanges:
         """Return all rows of a table."""
-        await self._pass('scan')
+        await self._check_reachable('scan')
         return self._model.scan(table)
 
     async def changes(
@@ -215,61 +247,73 @@
         after: int,
         wait_s: float,
     ) -> RowChanges:
-        """Return changes past a version, waiting for the first one."""
-        until_s = self._model.clock.monotonic_s() + wait_s
+        """Return changes after a version, waiting for the first one."""
+        deadline_s = self._model.clock.monotonic_s() + wait_s
         while True:
-            await self._pass('changes')
+            await self._check_reachable('changes')
             changes = self._model.changes(table, after)
-            if changes.rows or self._model.clock.monotonic_s() >= until_s:
+            if changes.rows or self._model.clock.monotonic_s() >= deadline_s:
                 return changes
             await self._model.clock.sleep(FEED_POLL_S)
 
-    async def _pass(self, step: str) -> None:
-        """Fail as the faults say."""
-        if self._is_in(self._model.refused_hosts):
-            raise NotSentError('Refused.', step=step, peer='rows')
-        if self._is_in(self._model.unresponsive_hosts):
-            await self._hang(step)
-
-    async def _hang(self, step: str) -> None:
-        """Wait for an answer until it is late, or the store is back."""
-        until_s = self._model.clock.monotonic_s() + CLIENT_TIMEOUT_S
-        while self._model.clock.monotonic_s() < until_s:
-            await self._model.clock.sleep(RETURN_NOTICE_S)
-            if not self._is_in(self._model.unresponsive_hosts):
+    async def _check_reachable(self, step: str) -> None:
+        """Fail the call if a fault affects this host."""
+        if self._includes_host(self._model.refused_hosts):
+            raise NotSentError(
+                'The store refused the call.',
+                step=step,
+                peer='rows',
+            )
+        if self._includes_host(self._model.unresponsive_hosts):
+            await self._wait_unresponsive(step)
+
+    async def _wait_unresponsive(self, step: str) -> None:
+        """Wait until the client times out or the store is back, then fail."""
+        deadline_s = self._model.clock.monotonic_s() + CLIENT_TIMEOUT_S
+        while self._model.clock.monotonic_s() < deadline_s:
+            await self._model.clock.sleep(RECOVERY_POLL_S)
+            if not self._includes_host(self._model.unresponsive_hosts):
                 break
-        raise ReplyLostError('No answer.', step=step, peer='rows')
+        raise ReplyLostError(
+            'The store did not respond.',
+            step=step,
+            peer='rows',
+        )
 
-    async def _give_up(self, step: str) -> None:
+    async def _time_out(self, step: str) -> None:
         await self._model.clock.sleep(CLIENT_TIMEOUT_S)
-        raise ReplyLostError('No answer.', step=step, peer='rows')
+        raise ReplyLostError(
+            'The store did not respond.',
+            step=step,
+            peer='rows',
+        )
 
-    def _is_in(self, hosts: set[str]) -> bool:
+    def _includes_host(self, hosts: set[str]) -> bool:
         return '*' in hosts or self._host in hosts
 
 
-def _partition_of_all(
+def _common_partition(
     checks: Sequence[RowCheck],
     puts: Sequence[RowPut],
     removals: Sequence[RowRemoval],
 ) -> str:
-    """Return the one partition of a commit's rows.
+    """Return the partition of a commit's rows, empty without rows.
 
-    :raises ValueError: if there are several.
+    :raises ValueError: if the rows belong to several partitions.
     """
-    names = [(one.table, one.key) for one in checks]
-    names.extend((one.table, one.key) for one in puts)
-    names.extend((one.table, one.key) for one in removals)
-    partitions = {tables.partition_of(table, key) for table, key in names}
+    row_ids = [(check.table, check.key) for check in checks]
+    row_ids.extend((put.table, put.key) for put in puts)
+    row_ids.extend((removal.table, removal.key) for removal in removals)
+    partitions = {tables.partition_of(table, key) for table, key in row_ids}
     if len(partitions) > 1:
-        raise ValueError(f'One commit over {sorted(partitions)}.')
+        raise ValueError(f'A commit spans partitions {sorted(partitions)}.')
     return partitions.pop() if partitions else ''
 
 
-def _forget_error(turn: asyncio.Future[int]) -> None:
-    """Take note that nobody may wait for a commit's error any more."""
-    if not turn.cancelled():
-        turn.exception()
+def _retrieve_error(commit: asyncio.Future[int]) -> None:
+    """Mark a commit's error as retrieved, as its client may have timed out."""
+    if not commit.cancelled():
+        commit.exception()
 
 
 __all__ = ('RowStoreClient', 'RowStoreModel')
--- a/src/curranthill/standin/table.py
+++ b/src/curranthill/standin/table.py
@@ -1,4 +1,4 @@
-"""The table of the platform's stand-in: rows, versions and a rate bound."""
+"""The in-memory table of the simulated platform, with rate limits."""
 
 from bisect import bisect_right, insort
 from typing import Any
@@ -8,33 +8,33 @@
 from curranthill.storage.records import Page, Row, Transaction
 
 
-class RateBound:
-    """Allow a number of calls a second, with a burst of one second."""
+class RateLimiter:
+    """A token bucket for calls; a burst may use one second's calls at once."""
 
     def __init__(self, *, clock: Clock, per_s: float) -> None:
-        """Start with a full second's allowance."""
+        """Initialize with a full bucket."""
         self._clock = clock
         self._per_s = per_s
-        self._left = per_s
-        self._at_s = clock.monotonic_s()
+        self._tokens = per_s
+        self._refilled_at_s = clock.monotonic_s()
 
-    def take(self) -> bool:
-        """Return whether one more call is allowed now."""
+    def try_acquire(self) -> bool:
+        """Take a token; return whether there was one."""
         now_s = self._clock.monotonic_s()
-        gained = (now_s - self._at_s) * self._per_s
-        self._left = min(self._per_s, self._left + gained)
-        self._at_s = now_s
-        if self._left < 1:
+        refill = (now_s - self._refilled_at_s) * self._per_s
+        self._tokens = min(self._per_s, self._tokens + refill)
+        self._refilled_at_s = now_s
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class TableModel:
-    """Rows in key order, changed only by conditional transactions.
+    """A table of rows in key order, changed by conditional transactions.
 
-    :param writes_per_s: transactions allowed a second.
-    :param reads_per_s: reads and scans allowed a second.
+    :param writes_per_s: transactions allowed per second.
+    :param reads_per_s: reads and scans allowed per second.
     """
 
     def __init__(
@@ -44,22 +44,29 @@
         writes_per_s: float,
         reads_per_s: float,
     ) -> None:
-        """Start empty."""
+        """Initialize an empty table."""
         self.write_count = 0
         self.read_count = 0
-        self._writes = RateBound(clock=clock, per_s=writes_per_s)
-        self._reads = RateBound(clock=clock, per_s=reads_per_s)
+        self._write_limiter = RateLimiter(clock=clock, per_s=writes_per_s)
+        self._read_limiter = RateLimiter(clock=clock, per_s=reads_per_s)
         self._rows: dict[str, Row] = {}
         self._keys: list[str] = []
         self._last_version = 0
 
     def read(self, key: str) -> Row | None:
-        """Return one row or nothing."""
+        """Return a row, or nothing if there is none.
+
+        :raises NotSentError: if reads exceed the rate limit.
+        """
         self._count_read()
         return self._rows.get(key)
 
     def scan(self, prefix: str, after: str, limit: int) -> Page:
-        """Return one page of rows under a prefix."""
+        """Return a page of the rows whose keys have a prefix.
+
+        :param after: return only keys above this one, if not empty.
+        :raises NotSentError: if reads exceed the rate limit.
+        """
         self._count_read()
         start = bisect_right(self._keys, max(prefix, after))
         if prefix in self._rows and not after:
@@ -73,11 +80,16 @@
         return Page(rows=tuple(rows), after=last)
 
     def transact(self, transaction: Transaction) -> dict[str, int]:
-        """Apply all writes or none."""
-        if not self._writes.take():
+        """Apply all writes or none; return the new versions by key.
+
+        :raises NotSentError: if transactions exceed the rate limit.
+        :raises ConflictError: if a row has another version than expected;
+            its ``peer`` lists the keys of these rows.
+        """
+        if not self._write_limiter.try_acquire():
             raise NotSentError('Too many writes.', step='transact')
         self.write_count += 1
-        self._refuse_conflicts(transaction)
+        self._check_versions(transaction)
         versions: dict[str, int] = {}
         for write in transaction.writes:
             versions[write.key] = self._apply(
@@ -88,11 +100,11 @@
         return versions
 
     def _count_read(self) -> None:
-        if not self._reads.take():
+        if not self._read_limiter.try_acquire():
             raise NotSentError('Too many reads.', step='read')
         self.read_count += 1
 
-    def _refuse_conflicts(self, transaction: Transaction) -> None:
+    def _check_versions(self, transaction: Transaction) -> None:
         expected = {
             write.key: write.expected_version for write in transaction.writes
         }
@@ -100,7 +112,7 @@
         conflicts = [
             key
             for key, version in expected.items()
-            if self._version(key) != version
+            if self._version_of(key) != version
         ]
         if conflicts:
             raise ConflictError(
@@ -109,7 +121,7 @@
                 peer=','.join(conflicts),
             )
 
-    def _version(self, key: str) -> int:
+    def _version_of(self, key: str) -> int:
         row = self._rows.get(key)
         return row.version if row else 0
 
@@ -135,4 +147,4 @@
         return self._last_version
 
 
-__all__ = ('RateBound', 'TableModel')
+__all__ = ('RateLimiter', 'TableModel')
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -249,7 +249,7 @@
     def restart(self) -> None:
         """Restart with everything but the clock reset."""
         super().restart()
-        self._started_s = 0.0
+        self._clock_start_s = 0.0
 
 
 class SlowResponseWorker(TaskWorkerModel):
