--- a/src/curranthill/load/__init__.py
+++ b/src/curranthill/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load and its measures: tests, demo and load only."""
+"""Generated load and its measures, for tests, demos and load tests only."""
 
 from curranthill.load.measures import GANG_SIZES, fragmentation, percentile
 
--- a/src/curranthill/load/measures.py
+++ b/src/curranthill/load/measures.py
@@ -1,9 +1,9 @@
-"""The two measures of the system; docs/measures.md gives the formulas."""
+"""The system's two measures; docs/measures.md gives their formulas."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-#: The gang sizes for which fragmentation is stated.
+#: The gang sizes for which fragmentation is computed.
 GANG_SIZES: Final = (1, 2, 4, 8, 16, 32, 64)
 
 
@@ -12,7 +12,7 @@
 ) -> dict[int, float]:
     """Return the share of free slots that gangs of each size cannot use.
 
-    :param free_by_rack: free slots of each worker, by rack.
+    :param free_by_rack: the free slots of each worker, by rack.
     """
     free = sum(sum(workers) for workers in free_by_rack.values())
     if free == 0:
@@ -23,7 +23,7 @@
 def percentile(values: Sequence[float], share: float) -> float:
     """Return the value below which a share of the values lies.
 
-    The nearest rank is taken, so the answer is one of the values; of no
+    The nearest rank is used, so the result is one of the values; without
     values it is 0.
     """
     if not values:
@@ -34,7 +34,11 @@
 
 
 def _usable(size: int, free_by_rack: Mapping[str, Sequence[int]]) -> int:
-    """Return how many free slots gangs of one size could take together."""
+    """Return how many free slots gangs of one size can use in total.
+
+    A gang that fits into a single worker is kept within one; larger gangs use
+    the free slots of one rack.
+    """
     largest = max(
         (max(workers, default=0) for workers in free_by_rack.values()),
         default=0,
--- a/src/curranthill/load/runner.py
+++ b/src/curranthill/load/runner.py
@@ -1,4 +1,4 @@
-"""Drive a workload against real gateways and watch the stand-in's workers."""
+"""Runs a workload against gateways and samples the stand-in's workers."""
 
 import asyncio
 import json
@@ -9,20 +9,20 @@
 import aiohttp
 
 from curranthill.load.measures import fragmentation
-from curranthill.load.workload import Arrival, Workload, arrivals_of
+from curranthill.load.workload import Arrival, Workload, generate_arrivals
 
-_WAIT_S: Final = 20
-_SAMPLE_S: Final = 0.25
+_POLL_WAIT_S: Final = 20
+_SAMPLE_INTERVAL_S: Final = 0.25
 _OK: Final = 200
 _ACCEPTED: Final = 202
 
 
 class Outcome(NamedTuple):
-    """What became of one request.
+    """The outcome of one request.
 
-    :param completion_s: from the request to its end, as its job's row or
-        its caller saw it.
-    :param started: whether it was accepted as a job.
+    :param run_s: the run time that was requested, in seconds.
+    :param completion_s: the time from the request to its end, in seconds, by
+        the job's row or, for a quick request, by the caller's clock.
     """
 
     workspace: str
@@ -35,7 +35,12 @@
 
 
 class Sample(NamedTuple):
-    """One look at the workers' free slots."""
+    """The workers' free slots at one time.
+
+    :param at_s: seconds since the start of the workload.
+    :param fragmentation: the share of free slots that gangs cannot use, by
+        gang size.
+    """
 
     at_s: float
     free: int
@@ -43,7 +48,10 @@
 
 
 class LoadResult(NamedTuple):
-    """All that one run of a workload saw."""
+    """The outcomes and samples of one run of a workload.
+
+    :param took_s: how long the run took, in seconds.
+    """
 
     outcomes: tuple[Outcome, ...]
     samples: tuple[Sample, ...]
@@ -51,11 +59,11 @@
 
 
 class LoadRunner:
-    """Run one workload once.
+    """Runs a workload against gateways.
 
-    :param gateways: base URLs, used in turns.
-    :param standin: base URL of the stand-in whose workers are watched.
-    :param tokens: bearer token of each workspace.
+    :param gateways: base URLs of the gateways, used round robin.
+    :param standin: base URL of the stand-in whose workers are sampled.
+    :param tokens: the bearer token of each workspace.
     """
 
     def __init__(
@@ -65,121 +73,128 @@
         standin: str,
         tokens: dict[str, str],
     ) -> None:
-        """Keep the addresses."""
+        """Initialize a runner, without connecting yet."""
         self._gateways = tuple(gateways)
         self._standin = standin
         self._tokens = tokens
-        self._begun_s = 0.0
+        self._started_s = 0.0
 
     async def run(self, workload: Workload, seed: int) -> LoadResult:
-        """Send every request at its time and wait for the ends."""
-        arrivals = arrivals_of(workload, seed)
+        """Send each request at its time of arrival and wait for all ends.
+
+        :param seed: the seed of the arrivals.
+        """
+        arrivals = generate_arrivals(workload, seed)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
-            self._begun_s = time.monotonic()
+            self._started_s = time.monotonic()
             samples: list[Sample] = []
-            watch = asyncio.create_task(
-                self._watch(session, samples, workload.duration_s),
+            sampling = asyncio.create_task(
+                self._sample_free_slots(session, samples, workload.duration_s),
             )
             outcomes = await asyncio.gather(
                 *(
-                    self._one(session, number, arrival, workload)
+                    self._send(session, number, arrival, workload)
                     for number, arrival in enumerate(arrivals)
                 ),
             )
-            watch.cancel()
+            sampling.cancel()
         return LoadResult(
             outcomes=tuple(outcomes),
             samples=tuple(samples),
-            took_s=time.monotonic() - self._begun_s,
+            took_s=time.monotonic() - self._started_s,
         )
 
-    async def _one(
+    async def _send(
         self,
         session: aiohttp.ClientSession,
         number: int,
         arrival: Arrival,
         workload: Workload,
     ) -> Outcome:
-        await asyncio.sleep(self._until(arrival.at_s))
+        await asyncio.sleep(self._seconds_until(arrival.at_s))
         url = self._gateways[number % len(self._gateways)]
         sent_s = time.monotonic()
         headers = {
             'Authorization': f'Bearer {self._tokens[arrival.workspace]}',
         }
-        path = (
+        request_url = (
             f'{url}/v1/workspaces/{arrival.workspace}'
             f'/kinds/{arrival.kind}/requests'
         )
-        body = {'run_s': arrival.run_s, 'fail': arrival.fails}
+        options = {'run_s': arrival.run_s, 'fail': arrival.fails}
         try:
-            async with session.post(path, headers=headers, json=body) as reply:
-                answer = json.loads(await reply.read())
-                status = reply.status
+            async with session.post(
+                request_url, headers=headers, json=options
+            ) as response:
+                body = json.loads(await response.read())
+                status = response.status
         except aiohttp.ClientError:
-            return _outcome(arrival, 'quick', 'unreached', 0)
+            return _make_outcome(arrival, 'quick', 'unreached', 0)
         took_s = time.monotonic() - sent_s
         if status == _ACCEPTED:
-            job = await self._follow(
+            job = await self._wait_for_end(
                 session,
-                f'{url}/v1/jobs/{answer["id"]}',
+                f'{url}/v1/jobs/{body["id"]}',
                 headers,
                 arrival,
                 workload,
             )
             return _job_outcome(arrival, job)
-        state = 'answered' if status == _OK else answer.get('outcome', '?')
-        return _outcome(arrival, 'quick', state, took_s)
+        state = 'answered' if status == _OK else body.get('outcome', '?')
+        return _make_outcome(arrival, 'quick', state, took_s)
 
-    async def _follow(
+    async def _wait_for_end(
         self,
         session: aiohttp.ClientSession,
-        path: str,
+        job_url: str,
         headers: dict[str, str],
         arrival: Arrival,
         workload: Workload,
     ) -> dict[str, Any]:
-        """Wait for a job's end, giving it up if its caller does."""
+        """Wait for a job's end, and cancel the job if its caller does."""
         if arrival.cancelled:
-            at_s = workload.cancel_wave_s or arrival.at_s + arrival.run_s / 2
-            await asyncio.sleep(self._until(at_s))
-            reply = await session.delete(path, headers=headers)
-            reply.release()
+            cancel_s = (
+                workload.cancel_wave_s or arrival.at_s + arrival.run_s / 2
+            )
+            await asyncio.sleep(self._seconds_until(cancel_s))
+            response = await session.delete(job_url, headers=headers)
+            response.release()
         end_s = workload.duration_s + workload.drain_s
         job: dict[str, Any] = {}
-        while self._until(end_s) > 0:
+        while self._seconds_until(end_s) > 0:
             async with session.get(
-                f'{path}?wait_s={_WAIT_S}',
+                f'{job_url}?wait_s={_POLL_WAIT_S}',
                 headers=headers,
-            ) as reply:
-                job = json.loads(await reply.read())
+            ) as response:
+                job = json.loads(await response.read())
             if job.get('ended_at_s'):
                 break
         return job
 
-    async def _watch(
+    async def _sample_free_slots(
         self,
         session: aiohttp.ClientSession,
         samples: list[Sample],
         duration_s: float,
     ) -> None:
-        while self._until(duration_s) > 0:
-            async with session.get(f'{self._standin}/free') as reply:
-                racks = json.loads(await reply.read())
+        while self._seconds_until(duration_s) > 0:
+            async with session.get(f'{self._standin}/free') as response:
+                racks = json.loads(await response.read())
             samples.append(
                 Sample(
-                    at_s=time.monotonic() - self._begun_s,
+                    at_s=time.monotonic() - self._started_s,
                     free=sum(sum(workers) for workers in racks.values()),
                     fragmentation=fragmentation(racks),
                 ),
             )
-            await asyncio.sleep(_SAMPLE_S)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
 
-    def _until(self, at_s: float) -> float:
-        return max(0.0, at_s - (time.monotonic() - self._begun_s))
+    def _seconds_until(self, at_s: float) -> float:
+        return max(0.0, at_s - (time.monotonic() - self._started_s))
 
 
-def _outcome(
+def _make_outcome(
     arrival: Arrival,
     lane: str,
     state: str,
--- a/src/curranthill/load/workload.py
+++ b/src/curranthill/load/workload.py
@@ -1,4 +1,4 @@
-"""A workload: which work arrives, how often, in what bursts, how wrong."""
+"""Workloads: arrival rates, bursts, run times, failures and cancellations."""
 
 import math
 import random
@@ -6,16 +6,16 @@
 
 
 class Stream(NamedTuple):
-    """One kind of work of one workspace.
-
-    :param rate_per_s: mean arrivals a second, in compressed time.
-    :param run_s: median run time, in compressed time.
-    :param spread: how far run times scatter (sigma of a log-normal); what a
-        kind declares is then as far off.
-    :param burst_every_s: mean time between bursts; 0 for none.
-    :param burst_size: arrivals of one burst.
-    :param fail_share: the part that fails on every worker.
-    :param cancel_share: the part whose callers give it up.
+    """The requests of one kind in one workspace.
+
+    :param rate_per_s: the mean arrivals per second of compressed time.
+    :param run_s: the median run time, in seconds of compressed time.
+    :param spread: the sigma of the log-normal distribution of run times; the
+        run time that a kind declares is off by as much.
+    :param burst_every_s: the mean time between bursts; 0 for none.
+    :param burst_size: the number of arrivals in a burst.
+    :param fail_share: the share of requests that fail on every worker.
+    :param cancel_share: the share of requests that their callers cancel.
     """
 
     workspace: str
@@ -30,12 +30,12 @@
 
 
 class Workload(NamedTuple):
-    """All streams and how long they last.
+    """All streams of requests and their duration.
 
-    :param duration_s: how long work arrives.
-    :param drain_s: how long to wait for its end.
-    :param cancel_wave_s: when every caller that gives up does so at once; 0
-        for never.
+    :param duration_s: how long requests arrive.
+    :param drain_s: how long to wait for their ends afterwards.
+    :param cancel_wave_s: when all callers that cancel do so at once; 0 lets
+        each cancel at half of its run time.
     """
 
     duration_s: float
@@ -45,7 +45,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request of a workload."""
+    """One request of a workload, with its time of arrival."""
 
     at_s: float
     workspace: str
@@ -55,49 +55,52 @@
     cancelled: bool
 
 
-def arrivals_of(workload: Workload, seed: int) -> list[Arrival]:
-    """Return all requests in order; a seed always gives the same."""
-    source = random.Random(seed)  # noqa: S311
+def generate_arrivals(workload: Workload, seed: int) -> list[Arrival]:
+    """Return all requests in the order of their arrival.
+
+    :param seed: the seed of all random choices; equal seeds give equal results.
+    """
+    rng = random.Random(seed)  # noqa: S311
     arrivals: list[Arrival] = []
     for stream in workload.streams:
-        times = _poisson(source, stream.rate_per_s, workload.duration_s)
+        times = _poisson_times(rng, stream.rate_per_s, workload.duration_s)
         if stream.burst_every_s:
-            starts = _poisson(
-                source,
+            starts = _poisson_times(
+                rng,
                 1 / stream.burst_every_s,
                 workload.duration_s,
             )
             for start_s in starts:
                 times.extend(start_s for _ in range(stream.burst_size))
-        arrivals.extend(_arrival(source, stream, at_s) for at_s in times)
+        arrivals.extend(_arrival(rng, stream, at_s) for at_s in times)
     return sorted(arrivals)
 
 
-def _poisson(
-    source: random.Random,
+def _poisson_times(
+    rng: random.Random,
     rate_per_s: float,
     duration_s: float,
 ) -> list[float]:
     times: list[float] = []
     if rate_per_s <= 0:
         return times
-    at_s = source.expovariate(rate_per_s)
+    at_s = rng.expovariate(rate_per_s)
     while at_s < duration_s:
         times.append(at_s)
-        at_s += source.expovariate(rate_per_s)
+        at_s += rng.expovariate(rate_per_s)
     return times
 
 
-def _arrival(source: random.Random, stream: Stream, at_s: float) -> Arrival:
-    factor = math.exp(source.gauss(0, stream.spread))
+def _arrival(rng: random.Random, stream: Stream, at_s: float) -> Arrival:
+    factor = math.exp(rng.gauss(0, stream.spread))
     return Arrival(
         at_s=at_s,
         workspace=stream.workspace,
         kind=stream.kind,
         run_s=stream.run_s * min(factor, 5),
-        fails=source.random() < stream.fail_share,
-        cancelled=source.random() < stream.cancel_share,
+        fails=rng.random() < stream.fail_share,
+        cancelled=rng.random() < stream.cancel_share,
     )
 
 
-__all__ = ('Arrival', 'Stream', 'Workload', 'arrivals_of')
+__all__ = ('Arrival', 'Stream', 'Workload', 'generate_arrivals')
--- a/src/curranthill/standin/server.py
+++ b/src/curranthill/standin/server.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform and of workers as one HTTP server."""
+"""An HTTP server that simulates the platform and its workers."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
-_STATUS: tuple[tuple[type[CurranthillError], int], ...] = (
+_STATUS_BY_ERROR: tuple[tuple[type[CurranthillError], int], ...] = (
     (ConflictError, 409),
     (NotSentError, 429),
     (WorkerBusyError, 409),
@@ -52,7 +52,7 @@
 
 
 class WorkerSpec(NamedTuple):
-    """One worker of the stand-in's site."""
+    """A worker to simulate."""
 
     name: str
     data_centre: str
@@ -62,11 +62,11 @@
 
 
 class StandinServer:
-    """Serve the table, the object store, the host list and workers.
+    """Serves a table, an object store, a host list and workers.
 
-    :param worker_specs: the workers to stand in for.
-    :param writes_per_s: the table's bound on transactions a second.
-    :param reads_per_s: the table's bound on reads a second.
+    :param worker_specs: the workers to simulate.
+    :param writes_per_s: how many transactions per second the table allows.
+    :param reads_per_s: how many reads per second the table allows.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         writes_per_s: float = 400,
         reads_per_s: float = 2000,
     ) -> None:
-        """Make the models; nothing is served yet."""
+        """Create the models, without serving them yet."""
         self.table = TableModel(
             clock=clock,
             writes_per_s=writes_per_s,
@@ -100,7 +100,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = '127.0.0.1', port: int = 0) -> None:
-        """Serve on an address; port 0 takes a free one."""
+        """Start to serve on an address; port 0 selects a free port."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.add_routes(self._platform_routes())
         app.add_routes(self._worker_routes())
@@ -120,7 +120,7 @@
             await self._runner.cleanup()
 
     def free_by_rack(self) -> dict[str, list[int]]:
-        """Return the free slots of each worker by rack."""
+        """Return the free slots of each worker, by rack."""
         racks: dict[str, list[int]] = {}
         for spec in self._worker_specs:
             worker = self.workers[spec.name]
@@ -139,28 +139,28 @@
         )
 
     def _platform_routes(self) -> list[web.RouteDef]:
-        faulty = self._with_platform_faults
+        with_faults = self._with_platform_faults
         return [
-            web.get('/v1/rows', faulty(self._read_rows)),
-            web.post('/v1/transactions', faulty(self._transact)),
-            web.put('/v1/objects/{name:.+}', faulty(self._put_object)),
-            web.get('/v1/objects/{name:.+}', faulty(self._get_object)),
-            web.get('/v1/hosts', faulty(self._list_hosts)),
+            web.get('/v1/rows', with_faults(self._read_rows)),
+            web.post('/v1/transactions', with_faults(self._transact)),
+            web.put('/v1/objects/{name:.+}', with_faults(self._put_object)),
+            web.get('/v1/objects/{name:.+}', with_faults(self._get_object)),
+            web.get('/v1/hosts', with_faults(self._list_hosts)),
             web.put('/v1/hosts/{name}', self._put_host),
             web.post('/faults', self._set_faults),
-            web.get('/counts', self._counts),
-            web.get('/free', self._free),
+            web.get('/counts', self._get_counts),
+            web.get('/free', self._get_free_slots),
         ]
 
     def _worker_routes(self) -> list[web.RouteDef]:
         root = '/workers/{worker}'
         return [
-            web.post(f'{root}/v1/quick/{{service}}/{{kind}}', self._quick),
-            web.get(f'{root}/v1/results/{{job}}/{{attempt}}', self._result),
-            web.post(f'{root}/v1/{{action}}', self._lease_action),
+            web.post(f'{root}/v1/quick/{{service}}/{{kind}}', self._run_quick),
+            web.get(f'{root}/v1/results/{{job}}/{{attempt}}', self._get_result),
+            web.post(f'{root}/v1/{{action}}', self._run_action),
             web.post(f'{root}/faults', self._set_worker_faults),
-            web.post(f'{root}/leave', self._leave),
-            web.get(f'{root}/audit', self._audit),
+            web.post(f'{root}/leave', self._drain_worker),
+            web.get(f'{root}/audit', self._get_audit),
         ]
 
     def _with_platform_faults(self, handler: Handler) -> Handler:
@@ -169,7 +169,7 @@
         ) -> web.StreamResponse:
             if await self.platform_faults.refuses():
                 return web.Response(status=503)
-            return await _answer(request, handler, self.platform_faults)
+            return await _respond(request, handler, self.platform_faults)
 
         return wrapped
 
@@ -189,11 +189,11 @@
         return web.json_response({'rows': rows, 'after': page.after})
 
     async def _transact(self, request: web.Request) -> web.StreamResponse:
-        asked = await request.json()
+        body = await request.json()
         transaction = Transaction(
-            operation_id=asked['operation_id'],
-            writes=tuple(Write(**write) for write in asked['writes']),
-            checks=tuple(Check(**check) for check in asked['checks']),
+            operation_id=body['operation_id'],
+            writes=tuple(Write(**write) for write in body['writes']),
+            checks=tuple(Check(**check) for check in body['checks']),
         )
         try:
             versions = self.table.transact(transaction)
@@ -220,11 +220,11 @@
         )
 
     async def _list_hosts(self, request: web.Request) -> web.StreamResponse:
-        wanted = request.query.get('data_centre', '')
+        data_centre = request.query.get('data_centre', '')
         hosts = [
             entry._asdict()
             for entry in self.hosts.values()
-            if wanted in {'', entry.data_centre}
+            if data_centre in {'', entry.data_centre}
         ]
         body = json.dumps({'hosts': hosts}).encode()
         digest = content_digest(body)
@@ -246,7 +246,7 @@
         self.platform_faults.settings = FaultSettings(**await request.json())
         return web.Response()
 
-    async def _counts(self, request: web.Request) -> web.StreamResponse:
+    async def _get_counts(self, request: web.Request) -> web.StreamResponse:
         return web.json_response(
             {
                 'writes': self.table.write_count,
@@ -255,11 +255,11 @@
             },
         )
 
-    async def _free(self, request: web.Request) -> web.StreamResponse:
-        """Return the free slots of each worker by rack."""
+    async def _get_free_slots(self, request: web.Request) -> web.StreamResponse:
+        """Respond with the free slots of each worker, by rack."""
         return web.json_response(self.free_by_rack())
 
-    def _worker(self, request: web.Request) -> WorkerModel:
+    def _find_worker(self, request: web.Request) -> WorkerModel:
         worker = self.workers.get(request.match_info['worker'])
         if worker is None:
             raise web.HTTPNotFound
@@ -270,48 +270,48 @@
         request: web.Request,
     ) -> web.StreamResponse:
         settings = FaultSettings(**await request.json())
-        self._worker(request).faults.settings = settings
+        self._find_worker(request).faults.settings = settings
         return web.Response()
 
-    async def _leave(self, request: web.Request) -> web.StreamResponse:
-        worker = self._worker(request)
+    async def _drain_worker(self, request: web.Request) -> web.StreamResponse:
+        worker = self._find_worker(request)
         worker.draining = True
-        listed = self.hosts[worker.name]
-        self.hosts[worker.name] = listed._replace(leaving=True)
+        entry = self.hosts[worker.name]
+        self.hosts[worker.name] = entry._replace(leaving=True)
         return web.Response()
 
-    async def _audit(self, request: web.Request) -> web.StreamResponse:
-        worker = self._worker(request)
+    async def _get_audit(self, request: web.Request) -> web.StreamResponse:
+        worker = self._find_worker(request)
         return web.json_response(
             {
                 'starts': [asdict(start) for start in worker.starts],
                 'quick_runs': worker.quick_runs,
                 'quick_running': worker.quick_running,
-                'most_connections': worker.most_connections,
+                'most_connections': worker.peak_connections,
                 'free_slots': worker.free_slots(),
             },
         )
 
-    async def _lease_action(self, request: web.Request) -> web.StreamResponse:
+    async def _run_action(self, request: web.Request) -> web.StreamResponse:
         action = _ACTIONS.get(request.match_info['action'])
         if action is None:
             raise web.HTTPNotFound
-        worker = self._worker(request)
+        worker = self._find_worker(request)
 
         async def act(  # noqa: WPS430
             request: web.Request,
         ) -> web.StreamResponse:
-            asked = await request.json()
-            token = Token(epoch=asked['epoch'], holder=asked['holder'])
-            reply = action(worker, token, asked)
+            body = await request.json()
+            token = Token(epoch=body['epoch'], holder=body['holder'])
+            reply = action(worker, token, body)
             if asyncio.iscoroutine(reply):
                 reply = await reply
             return web.json_response(reply)
 
-        return await _on_worker(request, worker, act)
+        return await _call_worker(request, worker, act)
 
-    async def _result(self, request: web.Request) -> web.StreamResponse:
-        worker = self._worker(request)
+    async def _get_result(self, request: web.Request) -> web.StreamResponse:
+        worker = self._find_worker(request)
 
         async def fetch(  # noqa: WPS430
             request: web.Request,
@@ -327,22 +327,22 @@
                 headers={'Content-Digest': content_digest(body)},
             )
 
-        return await _on_worker(request, worker, fetch)
+        return await _call_worker(request, worker, fetch)
 
-    async def _quick(self, request: web.Request) -> web.StreamResponse:
-        worker = self._worker(request)
+    async def _run_quick(self, request: web.Request) -> web.StreamResponse:
+        worker = self._find_worker(request)
 
         async def run(  # noqa: WPS430
             request: web.Request,
         ) -> web.StreamResponse:
-            asked = QuickRequest(
+            quick_request = QuickRequest(
                 request_id=request.headers['Request-Id'],
                 service=request.match_info['service'],
                 kind=request.match_info['kind'],
                 body=await request.read(),
                 deadline_s=float(request.headers['Deadline-S']),
             )
-            reply = await worker.quick(asked)
+            reply = await worker.quick(quick_request)
             return web.Response(
                 body=reply.body,
                 content_type=reply.content_type,
@@ -352,47 +352,47 @@
                 },
             )
 
-        return await _on_worker(request, worker, run)
+        return await _call_worker(request, worker, run)
 
 
-async def _on_worker(
+async def _call_worker(
     request: web.Request,
     worker: WorkerModel,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Count a worker's call against its connections and show its faults."""
+    """Handle a worker's call, within its connection limit and its faults."""
     if worker.connections_in_use >= worker.connections:
         return web.Response(status=503, text='connections taken')
     worker.connections_in_use += 1
-    worker.most_connections = max(
-        worker.most_connections,
+    worker.peak_connections = max(
+        worker.peak_connections,
         worker.connections_in_use,
     )
     try:
         if await worker.faults.refuses():
             return web.Response(status=503, text='down')
-        return await _answer(request, handler, worker.faults)
+        return await _respond(request, handler, worker.faults)
     finally:
         worker.connections_in_use -= 1
 
 
-async def _answer(
+async def _respond(
     request: web.Request,
     handler: Handler,
     faults: Faults,
 ) -> web.StreamResponse:
-    """Run a handler, turn errors into statuses, maybe lose the reply."""
+    """Run a handler; turn errors into statuses and drop some replies."""
     try:
         response = await handler(request)
     except CurranthillError as error:
-        response = _refusal(error)
+        response = _error_response(error)
     if faults.loses_reply() and request.transport is not None:
         request.transport.abort()
     return response
 
 
-def _refusal(error: CurranthillError) -> web.Response:
-    for kind, status in _STATUS:
+def _error_response(error: CurranthillError) -> web.Response:
+    for kind, status in _STATUS_BY_ERROR:
         if isinstance(error, kind):
             headers = {}
             if isinstance(error, FencedError):
@@ -405,62 +405,62 @@
     raise error
 
 
-def _attempt_id(asked: _Body) -> AttemptId:
-    return AttemptId(job=asked['job'], attempt=asked['attempt'])
+def _attempt_id(body: _Body) -> AttemptId:
+    return AttemptId(job=body['job'], attempt=body['attempt'])
 
 
-def _fence(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _fence(worker: WorkerModel, token: Token, body: _Body) -> _Body:
     return {'leases': [lease._asdict() for lease in worker.fence(token)]}
 
 
-def _reserve(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+def _reserve(worker: WorkerModel, token: Token, body: _Body) -> _Body:
     request = LeaseRequest(
-        attempt_id=_attempt_id(asked),
-        slots=asked['slots'],
-        term_s=asked['term_s'],
+        attempt_id=_attempt_id(body),
+        slots=body['slots'],
+        term_s=body['term_s'],
     )
     worker.reserve(token, request)
     return {}
 
 
-def _start(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
-    worker.start(token, _attempt_id(asked), Task(**asked['task']))
+def _start(worker: WorkerModel, token: Token, body: _Body) -> _Body:
+    worker.start(token, _attempt_id(body), Task(**body['task']))
     return {}
 
 
-async def _poll(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+async def _poll(worker: WorkerModel, token: Token, body: _Body) -> _Body:
     report = await worker.poll(
         token,
-        asked['term_s'],
-        asked['wait_s'],
-        _named(asked['attempts']),
-        [AttemptId(*attempt_id) for attempt_id in asked['known_ended']],
+        body['term_s'],
+        body['wait_s'],
+        _attempt_ids(body['attempts']),
+        [AttemptId(*attempt_id) for attempt_id in body['known_ended']],
     )
     leases = [lease._asdict() for lease in report.leases]
     return report._asdict() | {'leases': leases}
 
 
-def _named(attempts: list[Any] | None) -> list[AttemptId] | None:
+def _attempt_ids(attempts: list[Any] | None) -> list[AttemptId] | None:
     if attempts is None:
         return None
     return [AttemptId(*attempt_id) for attempt_id in attempts]
 
 
-async def _stop(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
+async def _stop(worker: WorkerModel, token: Token, body: _Body) -> _Body:
     checkpoint = await worker.stop(
         token,
-        _attempt_id(asked),
-        asked['grace_s'],
+        _attempt_id(body),
+        body['grace_s'],
     )
     return {'checkpoint': checkpoint}
 
 
-def _release(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
-    return {'started': worker.release(token, _attempt_id(asked))}
+def _release(worker: WorkerModel, token: Token, body: _Body) -> _Body:
+    return {'started': worker.release(token, _attempt_id(body))}
 
 
-def _throttle(worker: WorkerModel, token: Token, asked: _Body) -> _Body:
-    worker.throttle(token, _attempt_id(asked), asked['share'])
+def _throttle(worker: WorkerModel, token: Token, body: _Body) -> _Body:
+    worker.throttle(token, _attempt_id(body), body['share'])
     return {}
 
 
--- a/src/curranthill/standin/worker.py
+++ b/src/curranthill/standin/worker.py
@@ -1,7 +1,8 @@
-"""A worker of the stand-in: slots under leases, fencing, tasks that sleep.
+"""A simulated worker with leases on slots and fencing; its tasks only sleep.
 
-A task's body is JSON; ``run_s`` says how long it runs, ``fail`` whether it
-then fails, and ``use_slots`` what it is measured to use.
+The body of a task is JSON: ``run_s`` is how long it runs in seconds, ``fail``
+whether it then fails, ``use_slots`` how many slots it is measured to use, and
+``result_bytes`` how many bytes its result is padded by.
 """
 
 import asyncio
@@ -38,23 +39,23 @@
     WorkerReport,
 )
 
-#: How long an ended attempt is remembered, in seconds; longer than any call
-#: can travel, so that a late start finds it ended.
-REMEMBER_ENDED_S = 900.0
+#: How long an ended attempt is remembered, in seconds: longer than any call
+#: can be in transit, so that a late start finds it ended.
+ENDED_RETENTION_S = 900.0
 
-#: How long after a start the first usage is reported, in seconds.
-USAGE_LAG_S = 1.0
+#: How long after a start the measured usage is first reported, in seconds.
+USAGE_DELAY_S = 1.0
 
-#: How often the quick lane of a full worker looks for its turn, in seconds.
-_TURN_S = 0.002
+#: How often a queued quick request checks for a free slot, in seconds.
+_SLOT_POLL_S = 0.002
 
 
 @dataclass(kw_only=True)
 class ObservedStart:
-    """One start as the worker itself saw it, for audits.
+    """One start as the worker observed it, for audits.
 
-    :param members: how many members the start call said the gang has.
-    :param ended_s: when the task ended here; 0 while it runs.
+    :param members: the size of the gang according to the start call.
+    :param ended_s: when the task ended at this worker; 0 while it runs.
     """
 
     job: str
@@ -75,8 +76,8 @@
     used_slots: float = 0.0
     share: float = 1.0
     progress_s: float = 0.0
-    answer: bytes = b''
-    record: ObservedStart | None = None
+    result: bytes = b''
+    observed: ObservedStart | None = None
 
 
 class WorkerModel:
@@ -84,7 +85,7 @@
 
     :param name: the worker's name.
     :param slots: how many slots it has.
-    :param connections: how many calls it takes at the same time.
+    :param connections: how many calls it handles at the same time.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
         slots: int,
         connections: int,
     ) -> None:
-        """Start with all slots free."""
+        """Initialize a worker whose slots are all free."""
         self.name = name
         self.slots = slots
         self.connections = connections
@@ -104,27 +105,27 @@
         self.starts: list[ObservedStart] = []
         self.quick_runs: dict[str, int] = {}
         self.connections_in_use = 0
-        self.most_connections = 0
+        self.peak_connections = 0
         self._clock = clock
         self._closed = False
-        self._seen = Token(epoch=0, holder='')
-        self._last_poll: tuple[Token, frozenset[AttemptId]] | None = None
+        self._highest_token = Token(epoch=0, holder='')
+        self._previous_poll: tuple[Token, frozenset[AttemptId]] | None = None
         self._leases: dict[AttemptId, _Lease] = {}
         self._started: set[AttemptId] = set()
         self._tasks: dict[AttemptId, asyncio.Task[None]] = {}
-        self._ended_s: dict[AttemptId, float] = {}
+        self._ended_at_s: dict[AttemptId, float] = {}
         self.quick_running = 0
         self._quick_waiting: deque[str] = deque()
         self._changed = asyncio.Event()
 
     def free_slots(self) -> int:
-        """Return the slots that neither a lease nor quick work holds."""
-        self._lapse()
-        return self.slots - self._held_slots() - self.quick_running
+        """Return the number of slots that no lease or quick request holds."""
+        self._expire_leases()
+        return self.slots - self._leased_slots() - self.quick_running
 
     def running(self) -> list[AttemptId]:
-        """Return the attempts that run now."""
-        self._lapse()
+        """Return the attempts that are running."""
+        self._expire_leases()
         return [
             lease.attempt_id
             for lease in self._leases.values()
@@ -132,7 +133,7 @@
         ]
 
     def close(self) -> None:
-        """End all tasks and polls, as when the worker's machine goes."""
+        """End all tasks and polls, as if the machine were shut down."""
         self._closed = True
         self._notify()
         for lease in self._leases.values():
@@ -140,27 +141,27 @@
                 self._end(lease, STOPPED, 'the worker went')
 
     def crash(self) -> None:
-        """Lose all leases and start again with nothing of before."""
+        """Lose all leases and restart without them."""
         for lease in list(self._leases.values()):
             if lease.state not in ENDED_STATES:
                 self._end(lease, STOPPED, 'the worker crashed')
         self._leases.clear()
-        self._ended_s.clear()
+        self._ended_at_s.clear()
         self._started.clear()
-        self._last_poll = None
+        self._previous_poll = None
         self._notify()
 
     def fence(self, token: Token) -> tuple[LeaseReport, ...]:
-        """Raise the epoch seen and return all leases."""
-        self._fence(token)
+        """Record the fencing token and return all leases."""
+        self._check_token(token)
         return self._reports()
 
     def reserve(self, token: Token, request: LeaseRequest) -> None:
-        """Hold slots for an attempt; a repeat changes nothing."""
-        self._fence(token)
+        """Reserve slots for an attempt; a repeated call changes nothing."""
+        self._check_token(token)
         if self.draining:
             raise self._error(WorkerBusyError, 'leaving', 'reserve')
-        if request.attempt_id in self._ended_s:
+        if request.attempt_id in self._ended_at_s:
             raise self._error(WorkerError, 'attempt ended', 'reserve')
         if request.attempt_id in self._leases:
             return
@@ -174,21 +175,21 @@
         )
 
     def start(self, token: Token, attempt_id: AttemptId, task: Task) -> None:
-        """Start a reserved attempt; a repeat changes nothing."""
-        self._fence(token)
-        lease = self._lease(attempt_id, 'start')
+        """Start a reserved attempt; a repeated call changes nothing."""
+        self._check_token(token)
+        lease = self._find_lease(attempt_id, 'start')
         if lease.state != RESERVED:
             return
         lease.state = RUNNING
         self._started.add(attempt_id)
-        record = ObservedStart(
+        observed = ObservedStart(
             job=attempt_id.job,
             attempt=attempt_id.attempt,
             members=task.members,
             started_s=self._clock.monotonic_s(),
         )
-        self.starts.append(record)
-        lease.record = record
+        self.starts.append(observed)
+        lease.observed = observed
         self._tasks[attempt_id] = asyncio.create_task(self._run(lease, task))
 
     async def poll(
@@ -199,21 +200,33 @@
         attempts: Sequence[AttemptId] | None,
         known_ended: Sequence[AttemptId],
     ) -> WorkerReport:
-        """Renew leases; answer once another has ended or time passes."""
-        self._fence(token)
-        named = self._named(token, attempts)
-        self._renew(term_s, named)
+        """Renew leases; respond once another has ended or after ``wait_s``.
+
+        :param term_s: how long the renewed leases last, in seconds.
+        :param attempts: the attempts to renew; ``None`` repeats those of the
+            previous poll.
+        :param known_ended: ended attempts that the caller knows of.
+        """
+        self._check_token(token)
+        polled = self._polled_attempts(token, attempts)
+        self._renew(term_s, polled)
         deadline_s = self._clock.monotonic_s() + wait_s
         known = frozenset(known_ended)
-        while not self._any_ended(known) and not self.draining:
+        while not self._has_new_end(known) and not self.draining:
             left_s = deadline_s - self._clock.monotonic_s()
-            if left_s <= 0 or self._closed or self._seen != token:
+            if left_s <= 0 or self._closed or self._highest_token != token:
                 break
-            await self._wait_change(left_s)
-        reports = [lease for lease in self._reports() if _is_news(lease, named)]
+            await self._wait_for_change(left_s)
+        reports = [
+            lease for lease in self._reports() if _must_report(lease, polled)
+        ]
         return WorkerReport(
             leases=tuple(reports),
-            unknown=tuple(one for one in named if one not in self._leases),
+            unknown=tuple(
+                attempt_id
+                for attempt_id in polled
+                if attempt_id not in self._leases
+            ),
             free_slots=self.free_slots(),
             leaving=self.draining,
         )
@@ -224,9 +237,9 @@
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
-        """Checkpoint and stop an attempt; a repeat changes nothing."""
-        self._fence(token)
-        lease = self._lease(attempt_id, 'stop')
+        """Checkpoint and stop an attempt; a repeated call changes nothing."""
+        self._check_token(token)
+        lease = self._find_lease(attempt_id, 'stop')
         if lease.state in ENDED_STATES:
             return ''
         checkpoint = f'progress-{lease.progress_s:.3f}'
@@ -234,15 +247,15 @@
         return checkpoint
 
     def release(self, token: Token, attempt_id: AttemptId) -> bool:
-        """Give an attempt's slots back; say whether it had ever started."""
-        self._fence(token)
+        """Release an attempt's slots; return whether it had ever started."""
+        self._check_token(token)
         lease = self._leases.get(attempt_id)
         if lease is not None and lease.state not in ENDED_STATES:
             self._end(lease, STOPPED, 'released')
-        # An unknown attempt counts as ended too: a late reserve must fail.
+        # An unknown attempt is recorded as ended too: a late reserve must fail.
         self._leases.pop(attempt_id, None)
-        self._ended_s.pop(attempt_id, None)
-        self._ended_s[attempt_id] = self._clock.monotonic_s()
+        self._ended_at_s.pop(attempt_id, None)
+        self._ended_at_s[attempt_id] = self._clock.monotonic_s()
         return attempt_id in self._started
 
     def throttle(
@@ -251,91 +264,91 @@
         attempt_id: AttemptId,
         share: float,
     ) -> None:
-        """Let the task use only this share of its slots."""
-        self._fence(token)
-        self._lease(attempt_id, 'throttle').share = share
+        """Limit the task to a share of its slots."""
+        self._check_token(token)
+        self._find_lease(attempt_id, 'throttle').share = share
 
     def fetch_result(self, attempt_id: AttemptId) -> bytes:
         """Return the result of a finished attempt."""
-        lease = self._lease(attempt_id, 'result')
+        lease = self._find_lease(attempt_id, 'result')
         if lease.state != FINISHED:
             raise self._error(WorkerError, 'not finished', 'result')
-        return lease.answer
+        return lease.result
 
     async def quick(self, request: QuickRequest) -> QuickReply:
-        """Run one quick request as soon as a slot is free."""
-        await self._take_turn(request)
+        """Run a quick request as soon as a slot is free."""
+        await self._wait_for_slot(request)
         self.quick_running += 1
         runs = self.quick_runs.get(request.request_id, 0)
         self.quick_runs[request.request_id] = runs + 1
         try:
-            answer = await self._run_quick(request)
+            body = await self._run_quick(request)
         finally:
             self.quick_running -= 1
         return QuickReply(
-            body=answer,
+            body=body,
             content_type='application/json',
             free_slots=max(0, self.free_slots()),
         )
 
-    async def _take_turn(self, request: QuickRequest) -> None:
+    async def _wait_for_slot(self, request: QuickRequest) -> None:
         if self.draining:
             raise self._error(WorkerBusyError, 'leaving', 'quick')
         if self.free_slots() > 0 and not self._quick_waiting:
             return
-        if self._held_slots() >= self.slots:
+        if self._leased_slots() >= self.slots:
             raise self._error(WorkerBusyError, 'no quick slot', 'quick')
-        until_s = self._clock.monotonic_s() + request.deadline_s
+        deadline_s = self._clock.monotonic_s() + request.deadline_s
         self._quick_waiting.append(request.request_id)
         try:
             while self._quick_waiting[0] != request.request_id or (
                 self.free_slots() <= 0
             ):
-                if self._clock.monotonic_s() >= until_s:
+                if self._clock.monotonic_s() >= deadline_s:
                     raise self._error(WorkerBusyError, 'too late', 'quick')
-                await self._clock.sleep(_TURN_S)
+                await self._clock.sleep(_SLOT_POLL_S)
         finally:
             self._quick_waiting.remove(request.request_id)
 
     async def _run_quick(self, request: QuickRequest) -> bytes:
-        asked = _asked(request.body)
-        await self._clock.sleep(float(asked.get('run_s', 0)))
-        if self.faults.settings.fails or asked.get('fail'):
+        options = _task_options(request.body)
+        await self._clock.sleep(float(options.get('run_s', 0)))
+        if self.faults.settings.fails or options.get('fail'):
             raise self._error(TaskFailedError, 'The task failed.', 'quick')
         return json.dumps(
-            {'worker': self.name, 'request': request.request_id, 'of': asked},
+            {'worker': self.name, 'request': request.request_id, 'of': options},
         ).encode()
 
     async def _run(self, lease: _Lease, task: Task) -> None:
-        asked = _asked(task.body.encode())
-        lease.used_slots = float(asked.get('use_slots', lease.slots))
-        run_s = float(asked.get('run_s', 0))
+        options = _task_options(task.body.encode())
+        lease.used_slots = float(options.get('use_slots', lease.slots))
+        run_s = float(options.get('run_s', 0))
         if task.checkpoint.startswith('progress-'):
             lease.progress_s = float(task.checkpoint.removeprefix('progress-'))
-        await self._progress(lease, run_s)
-        if self.faults.settings.fails or asked.get('fail'):
+        await self._sleep_through(lease, run_s)
+        if self.faults.settings.fails or options.get('fail'):
             self._end(lease, TASK_FAILED, 'The task failed.')
             return
-        lease.answer = json.dumps(
+        lease.result = json.dumps(
             {
                 'job': lease.attempt_id.job,
                 'attempt': lease.attempt_id.attempt,
                 'members': task.members,
                 'worker': self.name,
-                'pad': 'x' * int(asked.get('result_bytes', 0)),
+                'pad': 'x' * int(options.get('result_bytes', 0)),
             },
         ).encode()
         self._end(lease, FINISHED, '')
 
-    async def _progress(self, lease: _Lease, run_s: float) -> None:
+    async def _sleep_through(self, lease: _Lease, run_s: float) -> None:
         while lease.progress_s < run_s:
-            # A checkpoint keeps whole steps; a tenth of the run is a step.
+            # A checkpoint contains whole steps; a step is a tenth of the run.
             step_s = min(run_s - lease.progress_s, max(run_s / 10, 0.01))
             await self._clock.sleep(step_s / lease.share)
             lease.progress_s += step_s
 
-    def _fence(self, token: Token) -> None:
-        seen = self._seen
+    def _check_token(self, token: Token) -> None:
+        seen = self._highest_token
         if token.epoch < seen.epoch or (
             token.epoch == seen.epoch and token.holder != seen.holder
         ):
@@ -346,21 +359,24 @@
                 seen_epoch=seen.epoch,
             )
         if token.epoch > seen.epoch:
-            self._seen = token
+            self._highest_token = token
             self._notify()
-        self._lapse()
+        self._expire_leases()
 
-    def _named(
+    def _polled_attempts(
         self,
         token: Token,
         attempts: Sequence[AttemptId] | None,
     ) -> frozenset[AttemptId]:
-        """Return the attempts that a poll names, if only by the last one."""
+        """Return the attempts of this poll, or else those of the previous one.
+
+        :raises LastPollForgottenError: if there is none of this token.
+        """
         if attempts is not None:
-            self._last_poll = (token, frozenset(attempts))
-        if self._last_poll is None or self._last_poll[0] != token:
+            self._previous_poll = (token, frozenset(attempts))
+        if self._previous_poll is None or self._previous_poll[0] != token:
             raise self._error(LastPollForgottenError, 'no last poll', 'poll')
-        return self._last_poll[1]
+        return self._previous_poll[1]
 
     def _renew(self, term_s: float, attempts: Iterable[AttemptId]) -> None:
         expires_s = self._clock.monotonic_s() + term_s
@@ -368,16 +384,16 @@
             lease = self._leases.get(attempt_id)
             if lease is not None and lease.state not in ENDED_STATES:
                 lease.expires_s = expires_s
-                lease.token = self._seen
+                lease.token = self._highest_token
 
-    def _any_ended(self, known: frozenset[AttemptId]) -> bool:
-        self._lapse()
+    def _has_new_end(self, known: frozenset[AttemptId]) -> bool:
+        self._expire_leases()
         return any(
             lease.state in ENDED_STATES and attempt_id not in known
             for attempt_id, lease in self._leases.items()
         )
 
-    async def _wait_change(self, left_s: float) -> None:
+    async def _wait_for_change(self, left_s: float) -> None:
         waiter = asyncio.ensure_future(self._changed.wait())
         timer = asyncio.ensure_future(self._clock.sleep(left_s))
         try:
@@ -393,33 +409,33 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _lapse(self) -> None:
+    def _expire_leases(self) -> None:
         now_s = self._clock.monotonic_s()
         for lease in self._leases.values():
             if lease.state not in ENDED_STATES and lease.expires_s <= now_s:
                 self._end(lease, STOPPED, 'lease lapsed')
-        while self._ended_s:
-            # Entries stand in the order of their ends.
-            oldest, ended_s = next(iter(self._ended_s.items()))
-            if now_s - ended_s <= REMEMBER_ENDED_S:
+        while self._ended_at_s:
+            # The entries are in the order in which the attempts ended.
+            oldest, ended_s = next(iter(self._ended_at_s.items()))
+            if now_s - ended_s <= ENDED_RETENTION_S:
                 break
-            self._ended_s.pop(oldest)
+            self._ended_at_s.pop(oldest)
             self._leases.pop(oldest, None)
             self._started.discard(oldest)
 
     def _end(self, lease: _Lease, state: LeaseState, reason: str) -> None:
         lease.state = state
         lease.reason = reason
-        self._ended_s.pop(lease.attempt_id, None)
-        self._ended_s[lease.attempt_id] = self._clock.monotonic_s()
-        if lease.record is not None:
-            lease.record.ended_s = self._clock.monotonic_s()
+        self._ended_at_s.pop(lease.attempt_id, None)
+        self._ended_at_s[lease.attempt_id] = self._clock.monotonic_s()
+        if lease.observed is not None:
+            lease.observed.ended_s = self._clock.monotonic_s()
         task = self._tasks.pop(lease.attempt_id, None)
         if task is not None and task is not asyncio.current_task():
             task.cancel()
         self._notify()
 
-    def _held_slots(self) -> int:
+    def _leased_slots(self) -> int:
         return sum(
             lease.slots
             for lease in self._leases.values()
@@ -427,7 +443,7 @@
         )
 
     def _reports(self) -> tuple[LeaseReport, ...]:
-        self._lapse()
+        self._expire_leases()
         return tuple(
             LeaseReport(
                 job=lease.attempt_id.job,
@@ -437,12 +453,12 @@
                 epoch=lease.token.epoch,
                 holder=lease.token.holder,
                 reason=lease.reason,
-                used_slots=_usage_told(lease, self._clock.monotonic_s()),
+                used_slots=_measured_usage(lease, self._clock.monotonic_s()),
             )
             for lease in self._leases.values()
         )
 
-    def _lease(self, attempt_id: AttemptId, step: str) -> _Lease:
+    def _find_lease(self, attempt_id: AttemptId, step: str) -> _Lease:
         lease = self._leases.get(attempt_id)
         if lease is None:
             raise self._error(WorkerError, 'no such lease', step)
@@ -457,29 +473,29 @@
         return kind(message, step=step, peer=self.name)
 
 
-def _is_news(lease: LeaseReport, named: frozenset[AttemptId]) -> bool:
-    """Return whether the caller of a poll cannot know this of a lease."""
+def _must_report(lease: LeaseReport, polled: frozenset[AttemptId]) -> bool:
+    """Return whether the caller of a poll cannot know a lease's state."""
     return (
-        lease.attempt_id not in named
+        lease.attempt_id not in polled
         or lease.state in ENDED_STATES
         or lease.used_slots > lease.slots
     )
 
 
-def _usage_told(lease: _Lease, now_s: float) -> float:
-    """Return the usage as it was measured some time ago: none at first."""
-    if lease.record is None:
+def _measured_usage(lease: _Lease, now_s: float) -> float:
+    """Return the measured usage in slots, which is 0 for some time at first."""
+    if lease.observed is None:
         return 0.0
-    age_s = now_s - lease.record.started_s
-    return lease.used_slots if age_s >= USAGE_LAG_S else 0.0
+    age_s = now_s - lease.observed.started_s
+    return lease.used_slots if age_s >= USAGE_DELAY_S else 0.0
 
 
-def _asked(body: bytes) -> dict[str, Any]:
+def _task_options(body: bytes) -> dict[str, Any]:
     try:
-        asked = json.loads(body or b'{}')
+        options = json.loads(body or b'{}')
     except ValueError:
         return {}
-    return asked if isinstance(asked, dict) else {}
+    return options if isinstance(options, dict) else {}
 
 
-__all__ = ('REMEMBER_ENDED_S', 'ObservedStart', 'WorkerModel')
+__all__ = ('ENDED_RETENTION_S', 'ObservedStart', 'WorkerModel')
