--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -15,9 +15,9 @@
 from curranthill.configuration import (
     ConfigurationDocument,
     RevisionStore,
-    checked,
     merge,
     read_folder,
+    validate_document,
 )
 from curranthill.gateway.daemon import GatewayDaemon
 from curranthill.load.measures import fragmentation
@@ -78,7 +78,9 @@
         """Initialize from the folder, without starting anything."""
         self.name = folder.parent.name
         self.contents = read_folder(folder).contents
-        self.document: ConfigurationDocument = checked(merge(self.contents))
+        self.document: ConfigurationDocument = validate_document(
+            merge(self.contents)
+        )
         self.standin = StandinServer(
             clock=SystemClock(),
             worker_specs=site_entries(self.document),
@@ -144,7 +146,7 @@
             platform=gateway.node.platform,
             clock=SystemClock(),
         )
-        await store.change(self.contents, 'demo')
+        await store.apply_change(self.contents, 'demo')
 
     async def _wait_ready(self) -> None:
         """Wait until each data centre has a leader and the revision.
--- a/src/curranthill/dispatch/consistency.py
+++ b/src/curranthill/dispatch/consistency.py
@@ -184,7 +184,7 @@
         if finding in self._logged:
             return
         self._logged.add(finding)
-        metrics.inconsistencies.add(1, {'kind': finding.kind})
+        metrics.job_inconsistencies.add(1, {'kind': finding.kind})
         events.log(
             'job_inconsistent',
             found=finding.kind,
@@ -221,7 +221,7 @@
 
 
 def _is_done(job: ActiveJob, key: TaskKey) -> bool:
-    task = job.progress.peek(key)
+    task = job.progress.find_task(key)
     return task is not None and task.done
 
 
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -9,10 +9,10 @@
 
 from curranthill.clock import Clock
 from curranthill.configuration import (
+    ActiveConfiguration,
     ConfigurationDocument,
-    ConfigurationHolder,
     Shape,
-    fits,
+    shape_fits,
 )
 from curranthill.errors import (
     FAILED,
@@ -68,7 +68,7 @@
         store: JobStore,
         objects: ObjectStore,
         notifier: Notifier,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         data_centre: str,
     ) -> None:
         """Initialize with the stores and the configuration."""
@@ -268,7 +268,7 @@
         fitting = [
             name
             for name, data_centre in document.data_centres.items()
-            if fits(shape, data_centre)
+            if shape_fits(shape, data_centre)
         ]
         # Prefer this data centre: the load balancer already spreads callers.
         # Known loads are seconds old, so that choosing by them would send a
--- a/src/curranthill/gateway/server.py
+++ b/src/curranthill/gateway/server.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from curranthill.clock import Clock
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import RefusedError
 from curranthill.gateway.idempotency import IdempotentRunner
 from curranthill.gateway.jobs import JobHandler, job_body
@@ -42,7 +42,7 @@
         *,
         clock: Clock,
         settings: CallerSettings,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         router: Router,
         idempotent_runner: IdempotentRunner,
         job_handler: JobHandler,
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import FencedError, StorageError
 from curranthill.membership import Member, View
 from curranthill.scheduler.context import Context
@@ -35,7 +35,7 @@
         context: Context,
         data_centre: str,
         directory: HostDirectory,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         view: View,
         notify_moved: Callable[[str, str], None],
     ) -> None:
@@ -52,7 +52,7 @@
         self._takeover: asyncio.Task[None] | None = None
         self._seen_epoch = 0
         directory.listen(self._on_workers_changed)
-        configuration.listen(self._on_configuration)
+        configuration.add_listener(self._on_configuration)
 
     async def start(self) -> None:
         """Start the election, the scan of open jobs and the load updates."""
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -8,7 +8,7 @@
 
 from curranthill.errors import (
     FencedError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     WorkerBusyError,
     WorkerError,
 )
@@ -83,7 +83,7 @@
             result for result in results if isinstance(result, BaseException)
         ]
         for error in failed:
-            if isinstance(error, (FencedError, LeaseLapsedError)):
+            if isinstance(error, (FencedError, LeaseExpiredError)):
                 raise error
             self._log('failed to start a member', error)
         return not failed
@@ -114,7 +114,7 @@
         During an outage of the table the leader waits; once another scheduler
         leads, it stops waiting.
 
-        :raises LeaseLapsedError: if this process no longer leads.
+        :raises LeaseExpiredError: if this process no longer leads.
         """
         election = self._context.election
         while election.leading and election.lease_left_s() <= 0:
--- a/src/curranthill/standin/worker.py
+++ b/src/curranthill/standin/worker.py
@@ -15,8 +15,8 @@
 from curranthill.clock import Clock
 from curranthill.errors import (
     FencedError,
-    LastPollForgottenError,
     TaskFailedError,
+    UnknownPollError,
     WorkerBusyError,
     WorkerError,
 )
@@ -29,13 +29,13 @@
     STOPPED,
     TASK_FAILED,
     AttemptId,
+    FencingToken,
     LeaseReport,
     LeaseRequest,
     LeaseState,
     QuickReply,
     QuickRequest,
     Task,
-    Token,
     WorkerReport,
 )
 
@@ -69,7 +69,7 @@
 class _Lease:
     attempt_id: AttemptId
     slots: int
-    token: Token
+    token: FencingToken
     expires_s: float
     state: LeaseState = RESERVED
     reason: str = ''
@@ -108,8 +108,10 @@
         self.peak_connections = 0
         self._clock = clock
         self._closed = False
-        self._highest_token = Token(epoch=0, holder='')
-        self._previous_poll: tuple[Token, frozenset[AttemptId]] | None = None
+        self._highest_token = FencingToken(epoch=0, holder='')
+        self._previous_poll: (
+            tuple[FencingToken, frozenset[AttemptId]] | None
+        ) = None
         self._leases: dict[AttemptId, _Lease] = {}
         self._started: set[AttemptId] = set()
         self._tasks: dict[AttemptId, asyncio.Task[None]] = {}
@@ -151,12 +153,12 @@
         self._previous_poll = None
         self._notify()
 
-    def fence(self, token: Token) -> tuple[LeaseReport, ...]:
+    def fence(self, token: FencingToken) -> tuple[LeaseReport, ...]:
         """Record the fencing token and return all leases."""
         self._check_token(token)
         return self._reports()
 
-    def reserve(self, token: Token, request: LeaseRequest) -> None:
+    def reserve(self, token: FencingToken, request: LeaseRequest) -> None:
         """Reserve slots for an attempt; a repeated call changes nothing."""
         self._check_token(token)
         if self.draining:
@@ -174,7 +176,9 @@
             expires_s=self._clock.monotonic_s() + request.term_s,
         )
 
-    def start(self, token: Token, attempt_id: AttemptId, task: Task) -> None:
+    def start(
+        self, token: FencingToken, attempt_id: AttemptId, task: Task
+    ) -> None:
         """Start a reserved attempt; a repeated call changes nothing."""
         self._check_token(token)
         lease = self._find_lease(attempt_id, 'start')
@@ -194,7 +198,7 @@
 
     async def poll(
         self,
-        token: Token,
+        token: FencingToken,
         term_s: float,
         wait_s: float,
         attempts: Sequence[AttemptId] | None,
@@ -233,7 +237,7 @@
 
     async def stop(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         grace_s: float,
     ) -> str:
@@ -246,7 +250,7 @@
         self._end(lease, STOPPED, 'stopped')
         return checkpoint
 
-    def release(self, token: Token, attempt_id: AttemptId) -> bool:
+    def release(self, token: FencingToken, attempt_id: AttemptId) -> bool:
         """Release an attempt's slots; return whether it had ever started."""
         self._check_token(token)
         lease = self._leases.get(attempt_id)
@@ -260,7 +264,7 @@
 
     def throttle(
         self,
-        token: Token,
+        token: FencingToken,
         attempt_id: AttemptId,
         share: float,
     ) -> None:
@@ -347,7 +351,7 @@
             await self._clock.sleep(step_s / lease.share)
             lease.progress_s += step_s
 
-    def _check_token(self, token: Token) -> None:
+    def _check_token(self, token: FencingToken) -> None:
         seen = self._highest_token
         if token.epoch < seen.epoch or (
             token.epoch == seen.epoch and token.holder != seen.holder
@@ -365,17 +369,17 @@
 
     def _polled_attempts(
         self,
-        token: Token,
+        token: FencingToken,
         attempts: Sequence[AttemptId] | None,
     ) -> frozenset[AttemptId]:
         """Return the attempts of this poll, or else those of the previous one.
 
-        :raises LastPollForgottenError: if there is none of this token.
+        :raises UnknownPollError: if there is none of this token.
         """
         if attempts is not None:
             self._previous_poll = (token, frozenset(attempts))
         if self._previous_poll is None or self._previous_poll[0] != token:
-            raise self._error(LastPollForgottenError, 'no last poll', 'poll')
+            raise self._error(UnknownPollError, 'no last poll', 'poll')
         return self._previous_poll[1]
 
     def _renew(self, term_s: float, attempts: Iterable[AttemptId]) -> None:
--- a/src/curranthill/workers/__init__.py
+++ b/src/curranthill/workers/__init__.py
@@ -1,4 +1,4 @@
-"""The interface of a worker and its HTTP client."""
+"""The interface of a worker, and its implementation over HTTP."""
 
 from curranthill.workers.http import http_worker_clients
 from curranthill.workers.interface import (
@@ -14,13 +14,13 @@
     STOPPED,
     TASK_FAILED,
     AttemptId,
+    FencingToken,
     LeaseReport,
     LeaseRequest,
     LeaseState,
     QuickReply,
     QuickRequest,
     Task,
-    Token,
     WorkerReport,
 )
 
@@ -32,13 +32,13 @@
     'STOPPED',
     'TASK_FAILED',
     'AttemptId',
+    'FencingToken',
     'LeaseReport',
     'LeaseRequest',
     'LeaseState',
     'QuickReply',
     'QuickRequest',
     'Task',
-    'Token',
     'Worker',
     'WorkerClients',
     'WorkerReport',
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,7 +5,7 @@
 
 from curranthill.jobs import job_from_document, job_to_document
 from curranthill.settings import reference
-from curranthill.workers.records import lease_from
+from curranthill.workers.records import lease_from_document
 from tests.support import make_job, members_on
 
 ROOT = Path(__file__).parent.parent
@@ -31,7 +31,7 @@
 
     def test_a_lease_report_may_have_more_fields(self) -> None:
         """Workers are operated and upgraded separately."""
-        lease = lease_from(
+        lease = lease_from_document(
             {
                 'job': 'j',
                 'attempt': 1,
@@ -51,4 +51,4 @@
     def test_the_settings_page_matches_the_records(self) -> None:
         """Run ``python -m curranthill.settings.reference`` to update it."""
         page = ROOT / 'docs' / 'operations' / 'settings.md'
-        self.assertEqual(page.read_text('utf-8'), reference.page())
+        self.assertEqual(page.read_text('utf-8'), reference.render_page())
