--- a/src/curranthill/standin/worker.py
+++ b/src/curranthill/standin/worker.py
@@ -206,6 +206,9 @@
     ) -> WorkerReport:
         """Renew leases; respond once another has ended or after ``wait_s``.
 
+        It responds early while the worker is draining or closed, and when a
+        newer token arrives.
+
         :param term_s: how long the renewed leases last, in seconds.
         :param attempts: the attempts to renew; ``None`` repeats those of the
             previous poll.
