--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.storage.follower import FEED_WAIT_S, RETRY_S, TableFollower
 from curranthill.storage.rows import RowChanges, RowPut, StoredRow
 from tests.support import ManualClock, run
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         """Initialize with an empty table."""
         self.clock = ManualClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.seen: dict[str, bytes] = {}
         self._follower = TableFollower(
             store=self.rows.client('h1'),
@@ -68,10 +68,10 @@
             followed = Followed()
             following = asyncio.ensure_future(followed.follow())
             await followed.clock.advance(0.5)
-            followed.rows.down.add('h1')
+            followed.rows.unresponsive_hosts.add('h1')
             await followed.clock.advance(FEED_WAIT_S)
             followed.write('k', b'1')
-            followed.rows.down.clear()
+            followed.rows.unresponsive_hosts.clear()
             await followed.clock.advance(IN_FORCE_S - RETRY_S)
             self.assertEqual(followed.seen, {'k': b'1'})
             following.cancel()
@@ -85,10 +85,10 @@
             followed = Followed()
             following = asyncio.ensure_future(followed.follow())
             await followed.clock.advance(0.5)
-            followed.rows.down.add('h1')
+            followed.rows.unresponsive_hosts.add('h1')
             followed.write('k', b'1')
-            followed.rows.forget_history()
-            followed.rows.down.clear()
+            followed.rows.truncate_history()
+            followed.rows.unresponsive_hosts.clear()
             await followed.clock.advance(IN_FORCE_S)
             self.assertEqual(followed.seen, {'k': b'1'})
             following.cancel()
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -6,7 +6,7 @@
 from bench.soak_waits import CALM_S, WAIT_S, WaitWatch
 from curranthill.dispatch import EndReport
 from curranthill.placement import WorkerEntry
-from curranthill.standin.tasks import ActiveRun, TaskWorkerModel
+from curranthill.standin.task_worker import ActiveRun, TaskWorkerModel
 from curranthill.tasks import Resources, TaskKey
 from tests.support import ManualClock, run
 
@@ -62,7 +62,7 @@
         end = EndReport(rank + 1, task, 1, 'done', '')
         self.workers[0].ends.append(end)
         if voided:
-            self.workers[0].voided.add(end)
+            self.workers[0].expired_ends.add(end)
 
     def faults_after(self, seconds_s: float) -> list[str]:
         """Look twice, so many seconds apart; return what was found."""
