--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -51,7 +51,7 @@
     async def start(self) -> None:
         """Start reporting in the background."""
         self._app.spawn(self._run(), name='allotment')
-        self._directory.listen(self._mark_draining)
+        self._directory.add_listener(self._mark_draining)
 
     async def _run(self) -> None:
         while True:
--- a/src/curranthill/membership/replication.py
+++ b/src/curranthill/membership/replication.py
@@ -47,7 +47,7 @@
         self._channels = channels
         self._interval_s = interval_s
         self._fetching = False
-        view.listen(self._on_member)
+        view.add_listener(self._on_member)
         configuration.add_listener(self._publish_revision)
 
     async def start(self) -> None:
--- a/src/curranthill/membership/view.py
+++ b/src/curranthill/membership/view.py
@@ -83,7 +83,7 @@
         """Return a member by name; this process is a member too."""
         return self.own if name == self.own.name else self._members.get(name)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call ``listener`` with each member that changes."""
         self._listeners.append(listener)
 
--- a/src/curranthill/scheduler/leader.py
+++ b/src/curranthill/scheduler/leader.py
@@ -51,7 +51,7 @@
         self._view = view
         self._takeover: asyncio.Task[None] | None = None
         self._seen_epoch = 0
-        directory.listen(self._on_workers_changed)
+        directory.add_listener(self._on_workers_changed)
         configuration.add_listener(self._on_configuration)
 
     async def start(self) -> None:
--- a/src/curranthill/storage/directory.py
+++ b/src/curranthill/storage/directory.py
@@ -34,7 +34,7 @@
         self._interval_s = interval_s
         self._listeners: list[Listener] = []
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call ``listener`` whenever the list has changed."""
         self._listeners.append(listener)
 
