--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -92,7 +92,7 @@
     async def wait_until_confirmed(self) -> bool:
         """Wait until the configuration was read since it was last invalidated.
 
-        Returns whether it was within the timeout.
+        Returns whether that happened within the timeout.
         """
         if self._confirmed.is_set():
             return True
--- a/src/curranthill/membership/__init__.py
+++ b/src/curranthill/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip membership: views, probes and replication by them."""
+"""Gossip membership: views, probes and configuration replication."""
 
 from curranthill.membership.node import Node, NodeSettings
 from curranthill.membership.prober import PeerService, Prober
--- a/src/curranthill/membership/prober.py
+++ b/src/curranthill/membership/prober.py
@@ -13,7 +13,7 @@
 from curranthill.protocol.methods import probe_method, relay_method
 from curranthill.settings import MembershipSettings
 
-#: Maximum number of member updates on one probe or its reply.
+#: Maximum number of member updates in one probe or its reply.
 UPDATES_PER_PROBE = 6
 
 #: Peers that probe an unresponsive member before it is suspected.
@@ -60,7 +60,7 @@
     async def leave(self) -> None:
         """Announce to some peers that this process leaves."""
         self._view.update_own(status=LEFT)
-        for member in self._nearest(3):
+        for member in self._random_local_peers(3):
             await self.probe(member.address)
 
     async def probe(self, address: str, *, full_view: bool = False) -> bool:
@@ -160,7 +160,11 @@
                 by_data_centre.setdefault(member.data_centre, []).append(member)
         for members in by_data_centre.values():
             contacts.extend(
-                _nearest_by_rank(own, members, self._settings.remote_contacts),
+                _preferred_contacts(
+                    own,
+                    members,
+                    self._settings.remote_contacts,
+                ),
             )
         return contacts
 
@@ -168,7 +172,7 @@
         """Return whether another peer reaches an unresponsive member."""
         relays = [
             member
-            for member in self._nearest(RELAYS + 1)
+            for member in self._random_local_peers(RELAYS + 1)
             if member.name != target.name
         ]
         for relay in relays[:RELAYS]:
@@ -185,7 +189,7 @@
                 return True
         return False
 
-    def _nearest(self, count: int) -> list[Member]:
+    def _random_local_peers(self, count: int) -> list[Member]:
         own = self._view.own
         peers = [
             member
@@ -232,7 +236,7 @@
         view.apply(member_of(message))
 
 
-def _nearest_by_rank(
+def _preferred_contacts(
     own: Member,
     members: list[Member],
     count: int,
--- a/src/curranthill/routing/pool.py
+++ b/src/curranthill/routing/pool.py
@@ -13,7 +13,9 @@
 
 
 class AllottedWorker(NamedTuple):
-    """A worker with slots for quick requests, by a scheduler or the host list.
+    """A worker with slots for quick requests.
+
+    A scheduler allots it; without an allotment, the host list names it.
 
     :param spill: whether it is in another data centre, for overflow only.
     """
@@ -91,7 +93,7 @@
         *,
         spill: bool = False,
     ) -> None:
-        """Replace the grant of connections, be the new one larger or smaller.
+        """Replace the grant of connections by a larger or smaller one.
 
         :param requested_s: when the grant was requested, from which on its
             term counts.
--- a/src/curranthill/scheduler/cluster.py
+++ b/src/curranthill/scheduler/cluster.py
@@ -67,7 +67,7 @@
         )
 
     def capacity(self, kind: CapacityKind) -> int:
-        """Return the slots of this kind, which a search may use."""
+        """Return how many slots a search for this kind of capacity may use."""
         if kind == 'free':
             return self.free
         if kind == 'open':
--- a/src/curranthill/scheduler/fair.py
+++ b/src/curranthill/scheduler/fair.py
@@ -35,8 +35,9 @@
 #: own.
 RESERVE_AFTER_RUN_TIMES: Final = 4.0
 
-#: How many preemptions of a job double that wait each; further ones do not, as
-#: their number is unbounded where guarantees leave no non-preemptible capacity.
+#: Each preemption of a job doubles that wait, up to this many; further ones do
+#: not, as their number is unbounded where guarantees leave no non-preemptible
+#: capacity.
 MAX_COUNTED_PREEMPTIONS: Final = 2
 
 #: The interval at which the order of all subqueues is computed, in seconds.
@@ -49,7 +50,7 @@
 
 
 class _SearchKey(NamedTuple):
-    """The parameters that decide whether a search fails during one pass."""
+    """Search parameters; after a failure they are not tried again in a pass."""
 
     slots: int
     adjacent: str
--- a/src/curranthill/scheduler/gang.py
+++ b/src/curranthill/scheduler/gang.py
@@ -74,8 +74,8 @@
     :param members: the workers, with slots.
     :param attempt: the attempt's number, above all previous ones.
     :param watches: the watch of each worker by name.
-    :param wait_for: set when the preempted attempts have stopped; awaited
-        before the members are reserved.
+    :param wait_for: events, each set once a preempted attempt has stopped;
+        awaited before the members are reserved.
     """
 
     def __init__(
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -75,7 +75,7 @@
     def set_units(self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]) -> None:
         """Set the guarantee units; those that remain keep their plans."""
         for unit_id in list(self._units):
-            if unit_id not in wanted or self._resized(wanted[unit_id]):
+            if unit_id not in wanted or self._shape_changed(wanted[unit_id]):
                 self._drop(unit_id)
         for unit_id, unit in wanted.items():
             if unit_id not in self._units:
@@ -189,7 +189,7 @@
         """Undo :meth:`unplan_for_search`."""
         self._set_plan(unit, planned)
 
-    def _resized(self, wanted: GuaranteeUnit) -> bool:
+    def _shape_changed(self, wanted: GuaranteeUnit) -> bool:
         unit = self._units[wanted.unit_id]
         return (unit.slots, unit.adjacent) != (wanted.slots, wanted.adjacent)
 
--- a/src/curranthill/scheduler/members.py
+++ b/src/curranthill/scheduler/members.py
@@ -98,14 +98,14 @@
     async def release(self) -> bool:
         """Release all members; return whether any may ever have started.
 
-        A worker that does not respond stops its member when the lease
-        expires, which is not renewed any more.
+        A worker that does not respond stops its member when the lease, which
+        is no longer renewed, expires.
         """
         may_have_started = await asyncio.gather(
             *(self._release(member) for member in self.members),
         )
-        # A worker that has crashed since reports no start: relying on the
-        # report alone, work that must run at most once would run again.
+        # A worker that has crashed meanwhile reports no start. If its report
+        # alone counted, work that must run at most once would run again.
         return self._any_started or any(may_have_started)
 
     async def wait_for_lease(self, step: str) -> None:
--- a/src/curranthill/scheduler/offload.py
+++ b/src/curranthill/scheduler/offload.py
@@ -1,8 +1,9 @@
 """Moves of waiting jobs to data centres that have free capacity for them.
 
 A job that may run here soon is not moved: it must have waited for a minimum
-time, no guarantee of its workspace may cover it here, and its shape must fit
-the other data centre according to its last known load.
+time, its workspace must be allowed to borrow and must have no unused guarantee
+of its shape here, and the job must fit into one rack of the other data centre
+according to the last known load there.
 """
 
 from collections.abc import Callable, Sequence
--- a/src/curranthill/scheduler/quick.py
+++ b/src/curranthill/scheduler/quick.py
@@ -12,7 +12,8 @@
 #: Slots reserved for each request that was in flight at the peak.
 HEADROOM_FACTOR: Final = 1.25
 
-#: How long a demand peak is kept, in seconds.
+#: How long a peak of demand is kept when lower ones are reported, in seconds;
+#: it counts for twice as long if its gateway reports nothing more.
 DEMAND_WINDOW_S: Final = 30.0
 
 #: The maximum share of a data centre's slots that is reserved for quick work.
@@ -237,7 +238,7 @@
 
 
 def _growth_order(worker: WorkerState) -> tuple[bool, int, int, str]:
-    """Prefer workers with quick slots, then those with the most open slots."""
+    """Prefer workers with quick slots, few planned slots, many open slots."""
     return (worker.quick == 0, worker.planned, -worker.open, worker.name)
 
 
--- a/src/curranthill/scheduler/recovery.py
+++ b/src/curranthill/scheduler/recovery.py
@@ -28,7 +28,7 @@
 
 
 class Recovered(NamedTuple):
-    """The result of a takeover, for its log line and its measurement."""
+    """The result of a takeover, as logged and measured."""
 
     waiting: int
     resumed: int
@@ -70,7 +70,7 @@
     context: Context,
     workers: list[HostEntry],
 ) -> WorkerLeases:
-    """Increment the epoch on each worker and get its leases in one call."""
+    """Fence each worker by a call that also returns its leases."""
     semaphore = asyncio.Semaphore(MAX_PARALLEL_CALLS)
     replies = await asyncio.gather(
         *(_fence(context, entry, semaphore) for entry in workers),
--- a/src/curranthill/scheduler/search.py
+++ b/src/curranthill/scheduler/search.py
@@ -32,8 +32,9 @@
     """Return members for a shape, or nothing if it does not fit now.
 
     Best fit, to limit fragmentation: the worker with the least sufficient
-    capacity, of equal ones that in the rack with the least; a gang larger
-    than a worker takes whole workers of the fullest rack that holds it.
+    capacity and, among equal ones, the one whose rack has the least. A gang
+    larger than any worker takes whole workers of the fullest rack that holds
+    it.
 
     :param kind: which slots may be used.
     :param excluded: workers reserved for other jobs; their racks are not
--- a/src/curranthill/scheduler/service.py
+++ b/src/curranthill/scheduler/service.py
@@ -43,7 +43,7 @@
         self._view = view
         self._gateways = gateways
         self._grants: ConnectionGrants | None = None
-        self._granting: Term | None = None
+        self._granting_term: Term | None = None
 
     async def Notify(self, stream: Any) -> None:  # noqa: N802
         """Schedule reads of the rows of changed jobs."""
@@ -82,8 +82,8 @@
 
     def _allot(self, term: Term, gateway: str) -> inner_pb2.Allotment:
         connections = self._connections()
-        if self._granting is not term:
-            self._granting = term
+        if self._granting_term is not term:
+            self._granting_term = term
             self._grants = ConnectionGrants(
                 clock=self._context.clock,
                 pool=granted_pool(connections, self._gateways),
--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -23,7 +23,7 @@
 
 
 class Committer:
-    """Commits transactions exactly once, also if a reply is lost.
+    """Commits transactions exactly once, even if a reply is lost.
 
     :param table: the platform's table.
     :param clock: the clock of the delays between read-backs.
--- a/src/curranthill/storage/interface.py
+++ b/src/curranthill/storage/interface.py
@@ -56,7 +56,7 @@
     """One entry of the platform's host list.
 
     :param role: ``worker`` for endpoints, ``entry`` for this system's hosts.
-    :param address: the IP number and port, or for an entry host the IP.
+    :param address: the IP address and port; of an entry host the IP address.
     """
 
     host: str
--- a/src/curranthill/storage/rate_limit.py
+++ b/src/curranthill/storage/rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits each process's write rate, so that their sum stays within bounds."""
+"""Limits the writes of each process, so that the total stays within bounds."""
 
 from curranthill.clock import Clock
 from curranthill.errors import NotSentError
@@ -8,7 +8,7 @@
 
 
 class WriteRateLimiter:
-    """Delays writes beyond a rate.
+    """Delays writes that exceed a rate.
 
     The leader's heartbeat bypasses the limiter, because a burst of jobs must
     not cost the leader its lease. Writes that queued up during an outage are
