--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -274,7 +274,7 @@
         self.assertTrue(found.allows_starts('a'))
 
     def test_rows_are_current_for_three_fifths_of_the_bound(self) -> None:
-        """Counted from when they were requested."""
+        """The time counts from when the rows were requested."""
 
         async def case() -> None:
             clock = ManualClock()
@@ -297,7 +297,16 @@
 SERIES = st.lists(
     st.tuples(
         st.sampled_from(
-            ('close', 'open', 'kill', 'lose', 'find', 'away', 'back', 'job'),
+            (
+                'close',
+                'open',
+                'kill',
+                'block_reads',
+                'allow_reads',
+                'stop_store',
+                'restore_store',
+                'job',
+            ),
         ),
         st.sampled_from(('dc', 'east')),
         st.sampled_from((0.05, 0.4, 1.6, 4.0)),
@@ -356,7 +365,7 @@
         self._hosts = 2
 
     async def do(self, what: str, where: str) -> None:
-        """Perform an action by the name of its method."""
+        """Perform an action of ``SERIES``: call the method of that name."""
         await getattr(self, what)(where)
 
     async def close(self, where: str) -> None:
@@ -377,19 +386,19 @@
             self._hosts += 1
             self.domain.start_host(f'h{self._hosts}')
 
-    async def lose(self, where: str) -> None:
+    async def block_reads(self, where: str) -> None:
         """Make the operators' rows unreadable for all hosts."""
         self.domain.unreadable.update(self.domain.hosts)
 
-    async def find(self, where: str) -> None:
+    async def allow_reads(self, where: str) -> None:
         """Make the operators' rows readable again."""
         self.domain.unreadable.clear()
 
-    async def away(self, where: str) -> None:
+    async def stop_store(self, where: str) -> None:
         """Make the store unavailable."""
         self.domain.rows.unresponsive_hosts.add('*')
 
-    async def back(self, where: str) -> None:
+    async def restore_store(self, where: str) -> None:
         """Make the store available again."""
         self.domain.rows.unresponsive_hosts.clear()
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -45,7 +45,7 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Changes arrive in bounded time, also if a read is lost."""
+    """Changes arrive in bounded time, even if a read is lost."""
 
     def test_a_change_arrives_at_once(self) -> None:
         """The feed's read is waiting at the store."""
@@ -184,10 +184,13 @@
 
 
 class ConfirmationTest(unittest.TestCase):
-    """Up to when a table is known, in seconds after its read was requested."""
+    """Up to when the responses of a feed confirm that a table is known."""
 
     def confirmed_s(self, response: RowChanges, after_s: float) -> list[float]:
-        """Return it for each of two responses, the second one empty."""
+        """Return what each of two responses confirms; the second one is empty.
+
+        The times are in seconds after the first read was requested.
+        """
         confirmed_s: list[float] = []
         taken: list[StoredRow] = []
         self.source = HeldSource()
@@ -217,7 +220,7 @@
         return confirmed_s
 
     def test_an_empty_response_confirms_up_to_the_end_of_its_wait(self) -> None:
-        """This holds however late it is; an early one confirms up to then."""
+        """However late it arrives; an early one confirms up to its arrival."""
         empty = RowChanges((), 5)
         late_s = self.confirmed_s(empty, FEED_WAIT_S + 0.4)[0]
         self.assertEqual(late_s, FEED_WAIT_S)
--- a/tests/test_job_handler.py
+++ b/tests/test_job_handler.py
@@ -34,7 +34,7 @@
     def test_a_response_leaves_time_to_ask_another_host(
         self,
     ) -> None:
-        """If the outcome is unknown after half of the timeout: 504."""
+        """After half of the timeout an unknown outcome is reported as a 504."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of gossip membership: updates, suspicion, restarts and strangers."""
+"""Tests of gossip membership: updates, suspicion, restarts and peer keys."""
 
 import asyncio
 import unittest
@@ -226,7 +226,7 @@
 
         run(case())
 
-    def test_a_strangers_message_changes_no_content(self) -> None:
+    def test_a_probe_without_the_key_changes_no_view(self) -> None:
         """Without the key the call is refused and the view unchanged."""
 
         async def case() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -126,8 +126,8 @@
 
         on_site(scenario)
 
-    def test_holder_paused_between_check_and_effect(self) -> None:
-        """A start after a passed check and a suspension is still rejected."""
+    def test_holder_suspended_between_check_and_effect(self) -> None:
+        """The start is rejected although its lease check had passed."""
 
         async def scenario(site: Site) -> None:
             old = await site.scheduler('s1')
@@ -363,8 +363,8 @@
 class KeyTest(unittest.TestCase):
     """Idempotency keys and the expiry of jobs."""
 
-    def test_two_hosts_accept_one_job_for_a_key(self) -> None:
-        """The second of two simultaneous repeats conflicts."""
+    def test_concurrent_requests_with_one_key_accept_one_job(self) -> None:
+        """Of five concurrent requests one is accepted; the others conflict."""
 
         async def scenario(site: Site) -> None:
             key_row = 'keys/audit/k'
@@ -460,7 +460,7 @@
     """A burst of jobs must neither cost the lease nor overload the table."""
 
     def test_writes_pass_at_the_limiters_rate(self) -> None:
-        """After a burst of one second, writes pass at the budgeted rate."""
+        """After a burst of one second's worth, writes pass at that rate."""
 
         async def scenario(site: Site) -> None:
             limiter = WriteRateLimiter(clock=site.clock, per_s=10)
--- a/tests/test_scheduler_starvation.py
+++ b/tests/test_scheduler_starvation.py
@@ -63,7 +63,7 @@
             self._ends_s[job_id] = self.now_s + 10.0
         return started
 
-    def started_s(
+    def wait_s(
         self,
         job_id: str,
         within_s: float,
@@ -107,7 +107,7 @@
         simulation = simulate_overdue_job(run_s=10.0)
         small = make_job('small', run_time_s=1.0)
         enqueue_job(simulation.state, small, simulation.now_s)
-        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
+        self.assertIsNotNone(simulation.wait_s('small', MAX_WAIT_S))
 
     def test_each_later_job_starts_in_time_as_well(self) -> None:
         """Later reservation windows of the gang end as well."""
@@ -116,11 +116,11 @@
             job_id = f'small-{number}'
             small = make_job(job_id, run_time_s=1000.0)
             enqueue_job(simulation.state, small, simulation.now_s)
-            self.assertIsNotNone(simulation.started_s(job_id, MAX_WAIT_S))
+            self.assertIsNotNone(simulation.wait_s(job_id, MAX_WAIT_S))
             simulation.state.release(job_id)
 
     def test_the_cooldown_of_a_worker_applies_to_all_gangs(self) -> None:
-        """Four gangs that wait for the same job do not alternate."""
+        """Four gangs that wait for one job cannot reserve a worker in turn."""
         simulation = simulate_overdue_job(run_s=10.0)
         for number in range(3):
             workspace = f'other-{number}'
@@ -128,20 +128,20 @@
             enqueue_job(simulation.state, gang, -1000.0)
         small = make_job('small', run_time_s=1000.0)
         enqueue_job(simulation.state, small, simulation.now_s)
-        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
+        self.assertIsNotNone(simulation.wait_s('small', MAX_WAIT_S))
 
     def test_the_run_time_of_a_gang_does_not_extend_its_window(self) -> None:
         """The window depends on the expected wait only."""
         simulation = simulate_overdue_job(run_s=10.0, gang_s=20.0)
         small = make_job('small', run_time_s=1000.0)
         enqueue_job(simulation.state, small, simulation.now_s)
-        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
+        self.assertIsNotNone(simulation.wait_s('small', MAX_WAIT_S))
 
     def test_what_ends_before_long_work_starts_beside_it(self) -> None:
         """A job that ends before the gang is expected to start runs."""
         simulation = simulate_overdue_job(run_s=9000.0)
         enqueue_job(simulation.state, make_job('small', run_time_s=1.0), 400.0)
-        self.assertIsNotNone(simulation.started_s('small', MAX_WAIT_S))
+        self.assertIsNotNone(simulation.wait_s('small', MAX_WAIT_S))
 
     def test_what_ends_after_long_work_waits(self) -> None:
         """The worker stays reserved while the estimate holds."""
@@ -149,23 +149,23 @@
         enqueue_job(
             simulation.state, make_job('small', run_time_s=5000.0), 400.0
         )
-        self.assertIsNone(simulation.started_s('small', 1500.0))
+        self.assertIsNone(simulation.wait_s('small', 1500.0))
 
     def test_a_gang_starts_soon_after_the_overdue_job_has_ended(self) -> None:
         """Small jobs use the worker during each cooldown."""
         simulation = simulate_overdue_job(run_s=10.0)
-        self.assertIsNone(simulation.started_s('gang', 300.0, streaming=True))
+        self.assertIsNone(simulation.wait_s('gang', 300.0, streaming=True))
         simulation.state.release('long')
-        started_s = simulation.started_s(
+        wait_s = simulation.wait_s(
             'gang',
             MAX_GANG_WAIT_S,
             streaming=True,
         )
-        self.assertIsNotNone(started_s)
+        self.assertIsNotNone(wait_s)
 
 
 class PreemptedGangTest(unittest.TestCase):
-    """A gang of one second beside a stream of small jobs."""
+    """A gang that runs for one second, beside a stream of small jobs."""
 
     def test_a_gang_that_was_not_preempted_gets_a_reservation(self) -> None:
         """Workers are reserved after sixteen of its run times."""
@@ -189,8 +189,8 @@
             preemptions=preemptions,
         )
         enqueue_job(simulation.state, gang, simulation.now_s)
-        started_s = simulation.started_s('gang', within_s, streaming=True)
-        self.assertIsNotNone(started_s)
+        wait_s = simulation.wait_s('gang', within_s, streaming=True)
+        self.assertIsNotNone(wait_s)
 
 
 if __name__ == '__main__':
--- a/tests/test_unread_operators.py
+++ b/tests/test_unread_operators.py
@@ -30,7 +30,7 @@
     """One, some or all hosts cannot read the operators' rows."""
 
     def test_a_host_that_can_read_leads_in_its_place(self) -> None:
-        """The new leader starts the job that the blind one may not start."""
+        """The new leader starts the job that the previous one may not start."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
