--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -202,7 +202,7 @@
         on_testbed(case)
 
     def test_the_direct_path_is_used_again_when_it_recovers(self) -> None:
-        """The probe detects it without a call of a caller."""
+        """The probe detects it without any request of a caller."""
 
         async def case(testbed: Testbed) -> None:
             hosts = TwoHosts(testbed=testbed)
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -177,7 +177,7 @@
     def test_a_resumed_host_is_not_ready_before_the_store_replies(
         self,
     ) -> None:
-        """Its last reply of the store is as old as the suspension."""
+        """Its last reply from the store is as old as the suspension."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
