--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -74,7 +74,7 @@
         in_domain(case, run_s=60)
 
     def test_a_queued_start_is_not_sent(self) -> None:
-        """Five starts queue for a slow worker; it is closed after the first."""
+        """Its data centre is closed after the first of five slow starts."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
