--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -115,7 +115,7 @@
     progress = {name: domain.progress(name) for name in others}
     return CrashCost(
         crashed=crashed / scenario.crashing,
-        lost_s=sum(one.lost_s for one in domain.workers.values()),
+        lost_s=sum(one.lost_run_time_s for one in domain.workers.values()),
         given_up=sum(one.state == 'failed' for one in progress.values()),
         on_time=sum(
             one.state == 'completed' and one.ended_at_s <= objectives_s[name]
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -92,7 +92,7 @@
 @register_fault
 async def store_history(soak: 'Soak') -> None:
     """Truncate the store's history."""
-    soak.rows.forget_history()
+    soak.rows.truncate_history()
 
 
 @register_fault
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -41,7 +41,7 @@
 from bench.soak_workers import RUN_TIMES_S, WORKERS, SoakWorkers
 from curranthill.clock import SystemClock
 from curranthill.placement.suspects import SUSPECT_LOSSES
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.tasks import (
     COMPLETED,
     FAILED,
@@ -130,7 +130,7 @@
     ) -> None:
         """Create the stand-ins and callers; run() starts everything."""
         self.rng = random.Random(seed)  # noqa: S311
-        self.rows = RowModel(clock=SystemClock())
+        self.rows = RowStoreModel(clock=SystemClock())
         self.store = StoreServer(model=self.rows)
         self.processes: list[asyncio.subprocess.Process] = []
         self.started: list[asyncio.subprocess.Process] = []
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -8,8 +8,8 @@
 from bench.proxy import Proxy
 from curranthill.clock import Clock
 from curranthill.placement import WorkerEntry
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import Resources, TaskKey
 from tests.platform_standin import WorkerServer, serve, worker_row
@@ -42,7 +42,7 @@
     def __init__(
         self,
         *,
-        rows: RowModel,
+        rows: RowStoreModel,
         clock: Clock,
         rng: random.Random,
         count: int = WORKERS,
@@ -112,7 +112,7 @@
         """Remove a worker for good and add one with another id."""
         server = self._servers.pop(name)
         server.model.runs.clear()
-        server.model.gone = True
+        server.model.replaced = True
         await self.proxies.pop(name).close()
         self._rows.apply((), (), (RowRemoval('servers', name),))
         await self._add(f'{name}x')
@@ -173,7 +173,7 @@
             run_s=self._rng.choice(self._run_times_s),
         )
         model.crashing = self.crashing
-        model.lengths_s = self.run_s_by_task
+        model.run_s_by_task = self.run_s_by_task
         model.on_crash = self._on_crash
         server = WorkerServer(model=model)
         _, address = await serve(server.handle)
--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -83,7 +83,7 @@
         )
         self.standin = StandinServer(
             clock=SystemClock(),
-            sites=site_entries(self.document),
+            worker_specs=site_entries(self.document),
         )
         self.schedulers: list[SchedulerDaemon] = []
         self.gateways: list[GatewayDaemon] = []
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -74,7 +74,7 @@
         in_domain(case, run_s=60)
 
     def test_a_queued_start_is_not_sent(self) -> None:
-        """Five starts queue at a slow worker, closed after the first one."""
+        """Its data centre is closed after the first of five slow starts."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -183,7 +183,7 @@
             domain.unreadable.add('h1')
             await domain.clock.advance(0.5)
             domain.close_data_centre('dc')
-            domain.rows.forget_history()
+            domain.rows.truncate_history()
             domain.unreadable.clear()
             await domain.clock.advance(1.5)
             await host.accept(make_spec('a1', wide(3)))
@@ -274,7 +274,7 @@
         self.assertTrue(found.allows_starts('a'))
 
     def test_rows_are_current_for_three_fifths_of_the_bound(self) -> None:
-        """Counted from when they were requested."""
+        """The time counts from when the rows were requested."""
 
         async def case() -> None:
             clock = ManualClock()
@@ -297,7 +297,16 @@
 SERIES = st.lists(
     st.tuples(
         st.sampled_from(
-            ('close', 'open', 'kill', 'lose', 'find', 'away', 'back', 'job'),
+            (
+                'close',
+                'open',
+                'kill',
+                'block_reads',
+                'allow_reads',
+                'stop_store',
+                'restore_store',
+                'job',
+            ),
         ),
         st.sampled_from(('dc', 'east')),
         st.sampled_from((0.05, 0.4, 1.6, 4.0)),
@@ -329,7 +338,7 @@
             for what, where, wait_s in series:
                 await watch.do(what, where)
                 await watch.advance(wait_s)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             domain.unreadable.clear()
             for name in ('dc', 'east'):
                 domain.open_data_centre(name)
@@ -356,7 +365,7 @@
         self._hosts = 2
 
     async def do(self, what: str, where: str) -> None:
-        """Perform an action by the name of its method."""
+        """Perform an action of ``SERIES``: call the method of that name."""
         await getattr(self, what)(where)
 
     async def close(self, where: str) -> None:
@@ -377,25 +386,25 @@
             self._hosts += 1
             self.domain.start_host(f'h{self._hosts}')
 
-    async def lose(self, where: str) -> None:
+    async def block_reads(self, where: str) -> None:
         """Make the operators' rows unreadable for all hosts."""
         self.domain.unreadable.update(self.domain.hosts)
 
-    async def find(self, where: str) -> None:
+    async def allow_reads(self, where: str) -> None:
         """Make the operators' rows readable again."""
         self.domain.unreadable.clear()
 
-    async def away(self, where: str) -> None:
+    async def stop_store(self, where: str) -> None:
         """Make the store unavailable."""
-        self.domain.rows.down.add('*')
+        self.domain.rows.unresponsive_hosts.add('*')
 
-    async def back(self, where: str) -> None:
+    async def restore_store(self, where: str) -> None:
         """Make the store available again."""
-        self.domain.rows.down.clear()
+        self.domain.rows.unresponsive_hosts.clear()
 
     async def job(self, where: str) -> None:
         """Submit a job, unless the store is unavailable."""
-        if self.domain.rows.down:
+        if self.domain.rows.unresponsive_hosts:
             return
         host = next(iter(self.domain.hosts.values()))
         job_id = f'job{len(self.jobs)}'
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from curranthill.errors import RefusedError
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.invariants import InvariantChecker
@@ -94,12 +94,12 @@
     async def cut_store(self, domain: Domain, pick: int) -> None:
         """Disconnect some host, or all, from the store."""
         names = [*domain.hosts, '*']
-        domain.rows.down.add(names[pick % len(names)])
+        domain.rows.unresponsive_hosts.add(names[pick % len(names)])
 
     async def refuse_store(self, domain: Domain, pick: int) -> None:
         """Have the store refuse the calls of some host, or of all."""
         names = [*domain.hosts, '*']
-        domain.rows.refusing.add(names[pick % len(names)])
+        domain.rows.refused_hosts.add(names[pick % len(names)])
 
     async def hide_orders(self, domain: Domain, pick: int) -> None:
         """Hide the operators' rows from some hosts."""
@@ -110,30 +110,30 @@
     async def heal_store(self, domain: Domain, pick: int) -> None:
         """End all faults of the store."""
         domain.unreadable.clear()
-        domain.rows.down.clear()
-        domain.rows.refusing.clear()
+        domain.rows.unresponsive_hosts.clear()
+        domain.rows.refused_hosts.clear()
 
     async def lose_writes(self, domain: Domain, pick: int) -> None:
         """Lose the responses of writes, or apply writes late."""
-        domain.rows.lose_next += pick % 3
-        domain.rows.late_next += pick % 2
+        domain.rows.lost_replies += pick % 3
+        domain.rows.late_commits += pick % 2
 
     async def drop_history(self, domain: Domain, pick: int) -> None:
         """Drop the change history, so that every feed reads all rows again."""
-        domain.rows.forget_history()
+        domain.rows.truncate_history()
 
     async def cut_worker(self, domain: Domain, pick: int) -> None:
         """Toggle whether some worker is cut off."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        worker.cut = not worker.cut
+        worker.disconnected = not worker.disconnected
 
     async def lose_worker(self, domain: Domain, pick: int) -> None:
         """Replace some worker by another one on its machine."""
         name = f'w{pick % WORKERS}'
         worker = domain.workers[name]
-        if worker.gone or worker.down:
+        if worker.replaced or worker.down:
             return
-        worker.gone = True
+        worker.replaced = True
         worker.runs.clear()
         domain.delist_worker(name)
         domain.add_worker(
@@ -143,7 +143,7 @@
     async def restart_worker(self, domain: Domain, pick: int) -> None:
         """Restart some worker under its id, with or without a new entry."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        if worker.gone or worker.down:
+        if worker.replaced or worker.down:
             return
         worker.restart()
         if pick % 2:
@@ -166,7 +166,7 @@
     def relist_all(self, domain: Domain) -> None:
         """Have every worker that is up write its entry."""
         for worker in domain.workers.values():
-            if not (worker.gone or worker.down):
+            if not (worker.replaced or worker.down):
                 self._relist(domain, worker)
 
     def _relist(self, domain: Domain, worker: TaskWorkerModel) -> None:
@@ -176,7 +176,7 @@
     async def late_starts(self, domain: Domain, pick: int) -> None:
         """Apply the next starts at a worker late, without a response."""
         worker = domain.workers[f'w{pick % WORKERS}']
-        worker.late_next += 1 + pick % 2
+        worker.late_starts += 1 + pick % 2
         worker.late_s = 0.5 + pick % 7
 
     def start_host(self, domain: Domain) -> None:
@@ -332,11 +332,11 @@
 async def heal(domain: Domain, faults: Faults) -> None:
     """End all faults, and start a host."""
     await faults.heal_store(domain, 0)
-    domain.rows.lose_next = 0
-    domain.rows.late_next = 0
+    domain.rows.lost_replies = 0
+    domain.rows.late_commits = 0
     for worker in domain.workers.values():
-        worker.cut = False
+        worker.disconnected = False
         worker.failing = False
-        worker.late_next = 0
+        worker.late_starts = 0
     faults.relist_all(domain)
     faults.start_host(domain)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from curranthill.standin.rows import RowModel
+from curranthill.standin.rows import RowStoreModel
 from curranthill.storage.follower import FEED_WAIT_S, RETRY_S, TableFollower
 from curranthill.storage.rows import RowChanges, RowPut, StoredRow
 from tests.support import ManualClock, run
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         """Initialize with an empty table."""
         self.clock = ManualClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.seen: dict[str, bytes] = {}
         self._follower = TableFollower(
             store=self.rows.client('h1'),
@@ -45,7 +45,7 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Changes arrive in bounded time, also if a read is lost."""
+    """Changes arrive in bounded time, even if a read is lost."""
 
     def test_a_change_arrives_at_once(self) -> None:
         """The feed's read is waiting at the store."""
@@ -68,10 +68,10 @@
             followed = Followed()
             following = asyncio.ensure_future(followed.follow())
             await followed.clock.advance(0.5)
-            followed.rows.down.add('h1')
+            followed.rows.unresponsive_hosts.add('h1')
             await followed.clock.advance(FEED_WAIT_S)
             followed.write('k', b'1')
-            followed.rows.down.clear()
+            followed.rows.unresponsive_hosts.clear()
             await followed.clock.advance(IN_FORCE_S - RETRY_S)
             self.assertEqual(followed.seen, {'k': b'1'})
             following.cancel()
@@ -85,10 +85,10 @@
             followed = Followed()
             following = asyncio.ensure_future(followed.follow())
             await followed.clock.advance(0.5)
-            followed.rows.down.add('h1')
+            followed.rows.unresponsive_hosts.add('h1')
             followed.write('k', b'1')
-            followed.rows.forget_history()
-            followed.rows.down.clear()
+            followed.rows.truncate_history()
+            followed.rows.unresponsive_hosts.clear()
             await followed.clock.advance(IN_FORCE_S)
             self.assertEqual(followed.seen, {'k': b'1'})
             following.cancel()
@@ -184,10 +184,13 @@
 
 
 class ConfirmationTest(unittest.TestCase):
-    """Up to when a table is known, in seconds after its read was requested."""
+    """Up to when the responses of a feed confirm that a table is known."""
 
     def confirmed_s(self, response: RowChanges, after_s: float) -> list[float]:
-        """Return it for each of two responses, the second one empty."""
+        """Return what each of two responses confirms; the second one is empty.
+
+        The times are in seconds after the first read was requested.
+        """
         confirmed_s: list[float] = []
         taken: list[StoredRow] = []
         self.source = HeldSource()
@@ -217,7 +220,7 @@
         return confirmed_s
 
     def test_an_empty_response_confirms_up_to_the_end_of_its_wait(self) -> None:
-        """This holds however late it is; an early one confirms up to then."""
+        """However late it arrives; an early one confirms up to its arrival."""
         empty = RowChanges((), 5)
         late_s = self.confirmed_s(empty, FEED_WAIT_S + 0.4)[0]
         self.assertEqual(late_s, FEED_WAIT_S)
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -391,7 +391,7 @@
             with patch.object(events, 'log') as log:
                 write(domain, 'w8', b'{}')
                 await domain.clock.advance(1)
-                domain.rows.forget_history()
+                domain.rows.truncate_history()
                 await domain.clock.advance(3)
                 write(domain, 'w8', b'[]')
                 await domain.clock.advance(1)
@@ -436,7 +436,7 @@
                 worker for worker in domain.workers.values() if worker.runs
             )
             write(domain, lost.entry.worker_id, b'7')
-            lost.cut = True
+            lost.disconnected = True
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=20,
--- a/tests/test_job_handler.py
+++ b/tests/test_job_handler.py
@@ -34,7 +34,7 @@
     def test_a_response_leaves_time_to_ask_another_host(
         self,
     ) -> None:
-        """If the outcome is unknown after half of the timeout: 504."""
+        """After half of the timeout an unknown outcome is reported as a 504."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -106,11 +106,11 @@
             step = Step(width=2, needs=ONE_GPU, estimate_s=1.0)
             await host.accept(make_spec('a1', step))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            domain.rows.refusing_partitions.add(tables.LEADER_PARTITION)
+            domain.rows.refused_partitions.add(tables.LEADER_PARTITION)
             await domain.clock.advance(4)
             self.assertIn((tables.INTAKE, 'a1'), domain.rows.rows)
             await host.kill()
-            domain.rows.refusing_partitions.clear()
+            domain.rows.refused_partitions.clear()
             domain.start_host('h2')
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [1])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -36,8 +36,8 @@
 from curranthill.platform.http_client import HttpClient
 from curranthill.platform.store import PAGE_ROWS, PlatformStore
 from curranthill.platform.workers import PlatformConnector, RegisteredWorkers
-from curranthill.standin.rows import RowModel
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.rows import RowStoreModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.storage.paths import StorePaths
 from curranthill.storage.rows import (
     HistoryLostError,
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         """Initialize an empty store; no server runs yet."""
         self.clock = SystemClock()
-        self.rows = RowModel(clock=self.clock)
+        self.rows = RowStoreModel(clock=self.clock)
         self.store_server = StoreServer(model=self.rows)
         self.closers: list[Callable[[], Awaitable[Any]]] = []
 
@@ -206,7 +206,7 @@
             testbed.rows.apply((), (RowPut('t', 'k', b'v'),), ())
             changes = await follow
             self.assertEqual([row.key for row in changes.rows], ['k'])
-            testbed.rows.forget_history()
+            testbed.rows.truncate_history()
             with self.assertRaises(HistoryLostError):
                 await testbed.store.changes('t', 0, 0.1)
 
@@ -336,7 +336,7 @@
             )
             with self.assertRaises(WorkerUnreachableError):
                 await closed.stop(TASK, 1, 8)
-            testbed.worker.cut = True
+            testbed.worker.disconnected = True
             silent = connector.connect(testbed.entry)
             with self.assertRaises(WorkerReplyLostError):
                 await silent.stop(TASK, 1, 8)
--- a/tests/test_shrinking_capacity.py
+++ b/tests/test_shrinking_capacity.py
@@ -11,7 +11,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from curranthill.standin.tasks import TaskWorkerModel
+from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import Resources, Step, TaskKey
 from tests.domain import ONE_GPU, WORKER_CAPACITY, Domain, in_domain, make_spec
 
@@ -50,7 +50,7 @@
             await domain.clock.until(lambda: bool(worker.runs))
             resize(domain, worker, CAPACITY_FOR_TWO)
             await domain.clock.advance(20)
-            self.assertLessEqual(worker.most_runs, 2)
+            self.assertLessEqual(worker.peak_runs, 2)
 
         in_domain(case, workers=1, run_s=60)
 
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -6,7 +6,7 @@
 from bench.soak_waits import MAX_WAIT_S, RECOVERY_S, WaitChecker
 from curranthill.dispatch import EndReport
 from curranthill.placement import WorkerEntry
-from curranthill.standin.tasks import ActiveRun, TaskWorkerModel
+from curranthill.standin.task_worker import ActiveRun, TaskWorkerModel
 from curranthill.tasks import Resources, TaskKey
 from tests.support import ManualClock, run
 
@@ -65,7 +65,7 @@
         end = EndReport(rank + 1, task, 1, 'done', '')
         self.workers[0].ends.append(end)
         if expired:
-            self.workers[0].voided.add(end)
+            self.workers[0].expired_ends.add(end)
 
     def violations_after(self, seconds_s: float) -> list[str]:
         """Check twice, some seconds apart; return the violations."""
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -141,11 +141,11 @@
             await domain.leader()
             await host.accept(make_spec('a1', busy(4)))
             await domain.clock.advance(0.5)
-            domain.rows.down.add('*')
+            domain.rows.unresponsive_hosts.add('*')
             resumed_s = await suspend(domain, host, 8.0)
             await domain.clock.advance(3)
             self.assertEqual(stale_orders(host, resumed_s), [])
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             self.assertEqual(await domain.ended('a1'), 'completed')
 
         in_domain(case, run_s=4)
@@ -177,7 +177,7 @@
     def test_a_resumed_host_is_not_ready_before_the_store_replies(
         self,
     ) -> None:
-        """Its last reply of the store is as old as the suspension."""
+        """Its last reply from the store is as old as the suspension."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -223,13 +223,13 @@
             await domain.clock.advance(0.1)
             host.clock.suspend()
             domain.rows.apply((), (revision_row(2),), ())
-            domain.rows.down.add('h1')
+            domain.rows.unresponsive_hosts.add('h1')
             await domain.clock.advance(5)
             host.clock.resume()
             revisions.invalidate()
             confirmed = await host.during(revisions.wait_until_confirmed())
             self.assertFalse(confirmed)
-            domain.rows.down.clear()
+            domain.rows.unresponsive_hosts.clear()
             await domain.clock.advance(2)
             confirmed = await host.during(revisions.wait_until_confirmed())
             self.assertTrue(confirmed)
