--- a/src/curranthill/admission/forecast.py
+++ b/src/curranthill/admission/forecast.py
@@ -25,9 +25,9 @@
 )
 from curranthill.tasks import JobProgress, Resources
 
-#: Shorter waits are left out of the forecast, in seconds: whether a job that
-#: must end within less than this after its longest chain is in time can't be
-#: predicted.
+#: Shorter waits are left out of the forecast, in seconds: of a job that has
+#: less time than this beyond its longest chain it can't be predicted whether it
+#: ends in time.
 MIN_FORECAST_WAIT_S: Final = 1.0
 
 #: The waiting jobs that are sampled for each priority: those with the earliest,
@@ -152,12 +152,13 @@
             wait_s = _drain_time_s(ahead, total)
             if wait_s >= MIN_FORECAST_WAIT_S:
                 due_s = round(job.objective_s - now_s, 1)
-                step = (due_s, round(wait_s, 1))
-                waits[job.spec.queue.priority].append(step)
+                point = (due_s, round(wait_s, 1))
+                waits[job.spec.queue.priority].append(point)
         else:
             ahead = _add_work(ahead, _work_of(job))
     return {
-        priority: tuple(sorted(set(steps))) for priority, steps in waits.items()
+        priority: tuple(sorted(set(points)))
+        for priority, points in waits.items()
     }
 
 
@@ -268,7 +269,7 @@
 
 
 def _max_wait_s(waits: Mapping[int, _WaitCurve]) -> float:
-    return max(wait_s for steps in waits.values() for _, wait_s in steps)
+    return max(wait_s for curve in waits.values() for _, wait_s in curve)
 
 
 __all__ = ('MIN_FORECAST_WAIT_S', 'ServiceResources', 'make_forecast')
--- a/src/curranthill/admission/shedding.py
+++ b/src/curranthill/admission/shedding.py
@@ -2,7 +2,7 @@
 
 Under overload, an accepted job that ends too late for its caller takes
 capacity from jobs that would be in time. If it is refused at once, its caller
-can use another service. Only jobs that are too late by a margin are refused.
+can submit it elsewhere. Only jobs that are too late by a margin are refused.
 The number of waiting jobs is limited too; this bounds the leader's memory and
 the reads of a takeover.
 """
@@ -38,7 +38,7 @@
 #: whole seconds.
 MIN_RETRY_AFTER_S: Final = 1.0
 
-#: A refused caller is asked to retry early enough for so many more attempts.
+#: A refused caller is asked to retry early enough for this many more attempts.
 RETRIES: Final = 4
 
 #: A job with a step wider than this share of the capacity takes longer than its
@@ -180,9 +180,9 @@
 
 
 def _must_wait(spec: JobSpec, service: ServiceForecast) -> bool:
-    """Return whether no task can start now and the chain bounds the job.
+    """Return whether no task of a job can start now and no step is wide.
 
-    The longest chain is no measure of a job with a wide step.
+    The longest chain does not show how long a job with a wide step takes.
     """
     return not any(
         _is_wide(step, service.total)
--- a/src/curranthill/placement/backlog.py
+++ b/src/curranthill/placement/backlog.py
@@ -14,7 +14,7 @@
 #: time of a round under a backlog.
 JOBS_PER_ROUND: Final = 200
 
-#: How many of the others one round considers in addition.
+#: How many of the other waiting jobs one round considers in addition.
 LATER_JOBS_PER_ROUND: Final = 50
 
 
@@ -26,12 +26,15 @@
         self._position = 0
 
     def take(self, later: Sequence[ActiveJob]) -> Sequence[ActiveJob]:
-        """Return the next part of the jobs after the first; wrap at the end."""
+        """Return the next part of the later jobs; wrap around at the end.
+
+        :param later: the waiting jobs after the first ``JOBS_PER_ROUND``.
+        """
         if self._position >= len(later):
             self._position = 0
-        began = self._position
+        start = self._position
         self._position += LATER_JOBS_PER_ROUND
-        return later[began : self._position]
+        return later[start : self._position]
 
 
 __all__ = ('JOBS_PER_ROUND', 'LATER_JOBS_PER_ROUND', 'BacklogCursor')
--- a/src/curranthill/placement/capacity.py
+++ b/src/curranthill/placement/capacity.py
@@ -24,7 +24,6 @@
     SERVING: FILLING,
 }
 
-
 #: The width of a speed level, as a natural logarithm (about a quarter): speeds
 #: within one level count as equal.
 SPEED_LEVEL: Final = 0.22
@@ -41,7 +40,7 @@
     :param failure_score: recent failures and stalled runs here; 0 if none.
     :param speed: as a multiple of a typical worker's; 1.0 if it is not known
         to differ.
-    :param level: the speed in levels above the typical one.
+    :param level: the speed in levels above that of a typical worker.
     :param held_exclusively: whether a suspect started here exclusively and is
         still on trial, so that only its own gang may start beside it.
     :param shared_with_suspect: whether a suspect started here exclusively and
@@ -124,8 +123,8 @@
         :param exclusive: only beside members of its own gang.
         :param starving: also beside a suspect that is still on trial.
         """
-        closed = exclusive or (self.held_exclusively and not starving)
-        if closed and not self._runs_only_gang_of(key, step):
+        gang_only = exclusive or (self.held_exclusively and not starving)
+        if gang_only and not self._runs_only_gang_of(key, step):
             return False
         if step.label and step.label not in self.entry.labels:
             return False
@@ -244,7 +243,7 @@
         return self._by_label.get(rack, [])
 
     def racks_fitting(self, step: Step, wanted: int) -> list[str]:
-        """Return the racks that hold so many tasks once runs have ended."""
+        """Return the racks that hold ``wanted`` tasks once runs have ended."""
         found = self._fitting_racks.get((step, wanted))
         if found is None:
             found = [
@@ -256,11 +255,11 @@
         return found
 
     def rack_fits(self, rack: str, step: Step, wanted: int) -> bool:
-        """Return whether a rack holds so many tasks once runs have ended."""
-        held = 0
+        """Return whether a rack holds ``wanted`` tasks once runs have ended."""
+        fitting = 0
         for worker in self.in_rack(rack):
-            held += max_tasks_once_free(worker, step)
-            if held >= wanted:
+            fitting += max_tasks_once_free(worker, step)
+            if fitting >= wanted:
                 return True
         return False
 
@@ -278,7 +277,7 @@
 def max_tasks_once_free(worker: WorkerCapacity, step: Step) -> int:
     """Return how many tasks of a step a worker holds once its runs have ended.
 
-    Perpetual runs are counted as running.
+    Perpetual runs do not end, so their resources count as in use.
     """
     perpetual = [run for run in worker.runs if run.perpetual]
     if not perpetual:
--- a/src/curranthill/placement/evictions.py
+++ b/src/curranthill/placement/evictions.py
@@ -142,7 +142,7 @@
 
 
 class _Search:
-    """The search for one step: its victims and what their end would free.
+    """The search for one step: its victims, and what their ends would free.
 
     :param loss: the work lost so far, in core-seconds.
     """
--- a/src/curranthill/placement/fitting.py
+++ b/src/curranthill/placement/fitting.py
@@ -32,7 +32,7 @@
 class _Rank(NamedTuple):
     """A worker's rank among those that a task fits on; the lowest is first.
 
-    :param speed: the rank by the speed that the step requires.
+    :param speed: the worker's rank by speed, see :class:`RequiredSpeed`.
     :param left_gpus: the accelerators that stay free beside the task.
     :param left_cpu_millis: the processor time that is free now.
     :param position: its index in the list of workers.
@@ -60,7 +60,7 @@
 
 def candidate_groups(
     ready: ReadyStep,
-    workers: ServiceCapacity,
+    capacity: ServiceCapacity,
     *,
     wait_for_rack: bool,
 ) -> list[Sequence[WorkerCapacity]]:
@@ -71,14 +71,14 @@
 
     :param wait_for_rack: whether to continue to wait for the right rack.
     """
-    racks = _fast_racks(ready, workers)
+    racks = _fast_racks(ready, capacity)
     if racks is None:
-        return [workers.workers]
+        return [capacity.workers]
     groups: list[Sequence[WorkerCapacity]] = [
-        workers.in_rack(rack) for rack in racks
+        capacity.in_rack(rack) for rack in racks
     ]
     if not groups or not wait_for_rack:
-        groups.append(workers.workers)
+        groups.append(capacity.workers)
     return groups
 
 
@@ -98,10 +98,11 @@
     groups: Sequence[Sequence[WorkerCapacity]],
     required: RequiredSpeed = ANY,
 ) -> Fit:
-    """Choose workers of the first group without penalty, or the lowest one.
+    """Choose workers of the first group without a penalty.
 
-    One member on a worker that fails every task fails the whole gang, each
-    time it is placed there, and one on a slow worker makes all of it late.
+    If all groups have one, that with the lowest penalty is used. One member
+    on a worker that fails every task fails the whole gang, each time it is
+    placed there, and one on a slow worker makes all of it late.
     """
     best: tuple[float, Sequence[WorkerCapacity]] | None = None
     for group in groups:
@@ -213,7 +214,9 @@
         worker.release(key, ready.step)
 
 
-def _fast_racks(ready: ReadyStep, workers: ServiceCapacity) -> list[str] | None:
+def _fast_racks(
+    ready: ReadyStep, capacity: ServiceCapacity
+) -> list[str] | None:
     """Return the racks in which a step runs fast; nothing if it does in any.
 
     Racks that could never hold the tasks that start together are left out.
@@ -222,10 +225,10 @@
     together = step.gang or step.same_rack
     wanted = len(ready.tasks) if together else 1
     if step.near_rack:
-        fits = workers.rack_fits(step.near_rack, step, wanted)
+        fits = capacity.rack_fits(step.near_rack, step, wanted)
         return [step.near_rack] if fits else []
-    if step.same_rack and workers.racks:
-        return workers.racks_fitting(step, wanted)
+    if step.same_rack and capacity.racks:
+        return capacity.racks_fitting(step, wanted)
     return None
 
 
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -28,8 +28,8 @@
     :param tickets: by worker, for queues whose advisor allows only some.
     :param exclusive: whether nothing else may run on their workers.
     :param suspect: whether one of the tasks is suspected of crashing workers.
-    :param starving: whether their job has waited for long while most capacity
-        is free, so that they may use reserved capacity.
+    :param starving: whether their job has waited for a long time while most
+        capacity is free, so that they may use reserved capacity.
     """
 
     occurrence: int
@@ -57,8 +57,8 @@
     :param runs: the newest run of each task that may exist.
     :param perpetual: whether some of its tasks run until it is cancelled.
     :param objective_s: when it should be done, in wall-clock seconds.
-    :param first_due_s: when the time of the objective starts, in wall-clock
-        seconds.
+    :param first_due_s: from when the time of the objective counts, in
+        wall-clock seconds.
     :param critical_path_s: the estimated time of its longest chain of steps,
         in seconds.
     :param gpus: the accelerators that all its tasks use together.
@@ -305,7 +305,7 @@
 
 
 def newest_checkpoint(tasks: list[TaskProgress]) -> str:
-    """Return the newest checkpoint of any of the tasks."""
+    """Return the newest checkpoint of the tasks, empty if none has one."""
     return max((task.checkpoint for task in tasks), default='')
 
 
--- a/src/curranthill/placement/lost_work.py
+++ b/src/curranthill/placement/lost_work.py
@@ -52,7 +52,7 @@
         return loss
 
     def _gang_of(self, run: Run) -> _Gang | None:
-        """Return the gang of a run; older runs of its task belong to none."""
+        """Return the gang of a run; only the newest run of a task is in one."""
         key = run.key
         job = self._jobs.get(key.job_id)
         if job is None or not job.step_of(key).gang:
--- a/src/curranthill/placement/mechanisms.py
+++ b/src/curranthill/placement/mechanisms.py
@@ -52,7 +52,7 @@
 
 
 def validate_mechanisms(names: Iterable[str]) -> frozenset[str]:
-    """Return names of mechanisms as a set, all of them checked.
+    """Return the names of mechanisms as a set, after checking each.
 
     :raises SettingsError: if there is no mechanism of such a name.
     """
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -53,8 +53,8 @@
 from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
-#: An urgent job that no guarantee covers may destroy at most so many times its
-#: own work: beyond that, others lose more than its caller gains.
+#: An urgent job that no guarantee covers may destroy at most this multiple of
+#: its own work: beyond that, others lose more than its caller gains.
 MAX_LOSS_FACTOR: Final = 3.0
 
 #: The capacity of a service without workers.
@@ -89,7 +89,7 @@
 
 
 def ratio_of_one(queue: str) -> float:
-    """Return 1, the ratio of run time to estimate of an unknown queue."""
+    """Return 1, the ratio of run time to estimate if none is known."""
     return 1.0
 
 
@@ -321,11 +321,11 @@
         ready: ReadyStep,
     ) -> list[Sequence[WorkerCapacity]]:
         """Return the sets of workers that a step may use, best first."""
-        workers = self._services.get(job.spec.queue.service, _NO_CAPACITY)
+        capacity = self._services.get(job.spec.queue.service, _NO_CAPACITY)
         if ready.tickets is not None:
-            workers = workers.limited_to(ready.tickets)
+            capacity = capacity.limited_to(ready.tickets)
         return candidate_groups(
-            ready, workers, wait_for_rack=self._waits_for_rack(job, ready)
+            ready, capacity, wait_for_rack=self._waits_for_rack(job, ready)
         )
 
     def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
@@ -375,7 +375,7 @@
             max_loss = self._max_loss(job, ready.step, len(tasks))
             best = self._best_eviction(tasks, ready.step, groups, max_loss)
             if best is None:
-                # The remaining tasks need as much.
+                # The remaining tasks have the same needs.
                 return
             if required.is_met_by_typical and any(
                 map(required.delays_gang, best.workers)
@@ -435,7 +435,7 @@
 
 
 def _work_core_s(step: Step, tasks: int) -> float:
-    """Return the work of so many tasks of a step, in core-seconds."""
+    """Return the work of a number of tasks of a step, in core-seconds."""
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
--- a/src/curranthill/placement/required_speed.py
+++ b/src/curranthill/placement/required_speed.py
@@ -13,7 +13,7 @@
 from curranthill.placement.order import is_urgent
 from curranthill.tasks import JobSpec
 
-#: Lateness beyond so many speed levels is not distinguished further.
+#: The maximum lateness in speed levels: beyond it, workers rank equally.
 MAX_LEVELS: Final = 5
 
 #: Added to the rank of workers that are too slow, so that they rank last.
--- a/src/curranthill/placement/runs.py
+++ b/src/curranthill/placement/runs.py
@@ -34,9 +34,8 @@
 #: the start.
 RESTART_COST_S: Final = 0.3
 
-
-#: A run is stalled if its percentage does not change for so long, in seconds:
-#: just under the interval of reports while no run ends.
+#: A run is stalled if its percentage does not change for this long, in
+#: seconds: just under the interval of reports while no run ends.
 MIN_STALL_S: Final = 1.4
 
 #: The same for an urgent run before its first progress report, in seconds:
@@ -236,7 +235,8 @@
     def update_final_rate(self, clock_s: float) -> None:
         """Set the progress rate of a run that is done.
 
-        The members of a gang end together, so the wait for the slowest counts.
+        The members of a gang end together, so for a member the rate includes
+        its wait for the slowest one.
 
         :param clock_s: the worker's clock right after the end.
         """
--- a/src/curranthill/placement/speeds.py
+++ b/src/curranthill/placement/speeds.py
@@ -27,8 +27,8 @@
 #: as fast as others.
 WORKER_SPREAD: Final = 0.5
 
-#: The influence of a run is bounded beyond so many standard deviations: it is
-#: taken for a long task or a temporary slowdown of its worker.
+#: The influence of a run that deviates by more standard deviations is bounded:
+#: it is taken for a long task or a temporary slowdown of its worker.
 HUBER_DEVIATIONS: Final = 1.5
 
 #: The newest steps that count for one worker: few enough to learn a lasting
@@ -45,11 +45,12 @@
 #: The maximum number of steps stored: with the workers' cells it bounds memory.
 MAX_STEPS: Final = 2048
 
-#: A worker differs from a typical one only beyond so many of its standard
-#: deviations: of some hundred equal workers none should count as different.
+#: A worker counts as different from a typical one only beyond this number of
+#: its standard deviations: of some hundred equal workers none should.
 SIGNIFICANT_DEVIATIONS: Final = 3.5
 
-#: The least number of steps for that, so that no single job decides.
+#: The least number of steps for a worker to count as different, so that no
+#: single job decides.
 MIN_STEPS: Final = 3
 
 #: Smaller differences are irrelevant, as a logarithm.
@@ -61,8 +62,8 @@
 #: Logarithms of progress rates are clipped to this absolute value.
 MAX_LOG: Final = 3.0
 
-#: The workers and the steps estimated in one refresh, so that thousands of
-#: workers don't delay a heartbeat.
+#: The most workers, and the most steps, estimated in one refresh, so that
+#: thousands of workers don't delay a heartbeat.
 MAX_PER_REFRESH: Final = 256
 
 _StepKey = tuple[str, int, int]
--- a/src/curranthill/placement/suspects.py
+++ b/src/curranthill/placement/suspects.py
@@ -18,7 +18,7 @@
 EXCLUSIVE_SHARE: Final = 0.5
 
 #: How long a suspect waits for an empty worker, in seconds: together with the
-#: start, nothing of its job runs for less than the 3 s that callers may see
+#: start, its job has nothing running for less than the 3 s that callers may see
 #: while most capacity is free.
 EXCLUSIVE_MAX_WAIT_S: Final = 2.0
 
--- a/src/curranthill/placement/timeliness.py
+++ b/src/curranthill/placement/timeliness.py
@@ -16,11 +16,12 @@
 LATE: Final = 1
 INFEASIBLE: Final = 2
 
-#: A late job earns credit until so many times the time of its objective.
+#: A late job earns credit until this multiple of the time of its objective.
 MAX_LATE_FACTOR: Final = 3.0
 
-#: Aging: an infeasible job is served after all others for so long, in seconds,
-#: and then in its usual position again, so that no accepted job starves.
+#: Aging: for this time, in seconds, an infeasible job is served after all
+#: others; then it is in its usual position again, so that no accepted job
+#: starves.
 INFEASIBLE_WAIT_S: Final = 30.0
 
 #: The least share of its estimate that a task is assumed to take: a job must
@@ -37,7 +38,7 @@
     """
     allowed_s = job.objective_s - job.first_due_s
     if done_s <= job.objective_s or not allowed_s:
-        # The common case, without the cost of the following.
+        # The common case, which avoids the cost of the checks below.
         return IN_TIME
     took_s = done_s - _objective_starts_s(job)
     if took_s > MAX_LATE_FACTOR * allowed_s:
@@ -51,7 +52,7 @@
     :param now_s: wall-clock seconds.
     """
     if timeliness(job, now_s + job.critical_path_s) != INFEASIBLE:
-        # The common case, without the cost of the following.
+        # The common case, which avoids the cost of the checks below.
         return False
     if has_aged(job, now_s):
         return False
@@ -60,7 +61,9 @@
 
 
 def has_aged(job: ActiveJob, now_s: float) -> bool:
-    """Return whether an infeasible job has waited long enough to be served.
+    """Return whether a job has been infeasible for long enough.
+
+    It is then served in its usual position again.
 
     :param now_s: wall-clock seconds.
     """
@@ -73,7 +76,7 @@
     :param now_s: wall-clock seconds.
     """
     if now_s + job.critical_path_s <= job.objective_s:
-        # The common case, without the cost of the following.
+        # The common case, which avoids the cost of the checks below.
         return False
     return timeliness(job, now_s + _remaining_chain_s(job)) != IN_TIME
 
@@ -97,7 +100,7 @@
 
 
 def _occurrence(job: ActiveJob) -> int:
-    """Return the first occurrence that is not done yet."""
+    """Return the first occurrence that is not done yet, or the last one."""
     steps = range(len(job.spec.steps))
     for occurrence in range(job.spec.occurrences - 1):
         if not all(job.step_done(occurrence, number) for number in steps):
