--- a/src/curranthill/dispatch/advice.py
+++ b/src/curranthill/dispatch/advice.py
@@ -24,8 +24,8 @@
 #: The delay after a request without a response, in seconds.
 RETRY_S: Final = 0.3
 
-#: A ticket is not used for its last part, in seconds: a start may be under way
-#: for so long.
+#: A ticket is not used for the last part of its validity, in seconds: a start
+#: may be under way for this long.
 TICKET_MARGIN_S: Final = 0.7
 
 
@@ -125,15 +125,17 @@
 
         :param workers: the incarnations of the workers by their ids.
         """
-        asked = self._requested.get(ready.name, set())
-        names = [one for one in workers.items() if one not in asked]
-        repeated = not names or self._failed.get(ready.name, False)
-        if not names:
-            had = self._tickets.get(ready.name, {})
-            names = [one for one in workers.items() if one[0] in had]
-        if not names:
+        requested = self._requested.get(ready.name, set())
+        chosen = [one for one in workers.items() if one not in requested]
+        repeated = not chosen or self._failed.get(ready.name, False)
+        if not chosen:
+            cached = self._tickets.get(ready.name, {})
+            chosen = [one for one in workers.items() if one[0] in cached]
+        if not chosen:
             return None
-        return TicketRequest(ready, dict(names[:WORKERS_PER_REQUEST]), repeated)
+        return TicketRequest(
+            ready, dict(chosen[:WORKERS_PER_REQUEST]), repeated
+        )
 
     def choose(self, requests: Sequence[TicketRequest]) -> TicketRequest | None:
         """Return the request to send now.
@@ -176,16 +178,16 @@
 
     def retain_jobs(self, job_ids: set[str]) -> None:
         """Remove everything cached for jobs other than the given ones."""
-        known: tuple[dict[str, Any], ...] = (
+        caches: tuple[dict[str, Any], ...] = (
             self._tickets,
             self._requested,
             self._failed,
             self._request_numbers,
         )
-        for cached in known:
-            for name in list(cached):
+        for cache in caches:
+            for name in list(cache):
                 if name.split('.', 1)[0] not in job_ids:
-                    cached.pop(name)
+                    cache.pop(name)
 
     def _record_request(self, request: TicketRequest) -> None:
         """Record a request for the order of the following ones."""
--- a/src/curranthill/dispatch/blockers.py
+++ b/src/curranthill/dispatch/blockers.py
@@ -60,7 +60,8 @@
     """What blocks a job.
 
     :param step: the first step that is blocked, or the next one that is due.
-    :param tasks: those whose run only waits for its gang come last.
+    :param tasks: the blocking tasks; those whose run only waits for its gang
+        come last.
     :param later_steps: how many steps of the occurrence wait for others.
     :param due_in_s: the time until it is due; 0 unless that is the reason.
     """
@@ -112,7 +113,7 @@
         return None if ready else self._idle_blocker(job)
 
     def _is_running(self, job: ActiveJob) -> bool:
-        """Return whether a run of the job, or a whole gang, is active."""
+        """Return whether a run is active; of a gang, whether all are."""
         return any(
             all(
                 self._is_run_active(job.runs.get(one))
@@ -203,11 +204,11 @@
 def _waits_only_for_gang(blocking: BlockingTask) -> bool:
     """Return whether a run is blocked only by other members of its gang.
 
-    Tasks that block the whole gang are listed first.
+    Such runs are listed after the tasks that block the whole gang.
     """
-    answers = blocking['reachable'] and blocking['tracked']
+    known = blocking['reachable'] and blocking['tracked']
     return (
-        blocking['state'] == RUNNING and answers and not blocking['stop_wanted']
+        blocking['state'] == RUNNING and known and not blocking['stop_wanted']
     )
 
 
--- a/src/curranthill/dispatch/cleanup.py
+++ b/src/curranthill/dispatch/cleanup.py
@@ -23,7 +23,7 @@
 
     The rows lie outside the leader's partition, so their removal can't be
     conditional on leadership. It is correct whoever leads and however late it
-    takes effect, because the job's end is stored before.
+    takes effect, because the end of the job is stored before the removal.
     """
 
     def __init__(
--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -16,7 +16,7 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Why a run was dropped that may have crashed its worker. ``gone`` and
+#: The reasons for dropping a run that may have crashed its worker. ``gone`` and
 #: ``restarted``: another incarnation or worker responded. ``lapsed``: there was
 #: no response for as long as a lease lasts, so the worker crashed or was cut
 #: off.
@@ -26,12 +26,12 @@
 
 _LOST: Final = frozenset((WORKER_REMOVED, WORKER_RESTARTED, LEASE_LAPSED))
 
-#: Runs of one task that may be lost with their workers. The platform allows
+#: How many runs of one task may be lost with their workers. The platform allows
 #: two more starts of such a task after three workers have crashed under it; a
 #: task that did not cause the crashes has all five attempts.
 MAX_LOSSES: Final = 5
 
-#: Runs of one task that may be lost to a crash right after their start.
+#: How many runs of one task may be lost to a crash right after their start.
 #: Workers also crash for other reasons: on a worker that crashes every 10 s,
 #: one start in five is followed by a crash within 2 s, and three in a row
 #: happen to one task in 125.
@@ -42,7 +42,7 @@
 #: younger than this.
 PROMPT_CRASH_S: Final = 2.0
 
-#: The losses of a perpetual task are cleared after it has run for so long, in
+#: The losses of a perpetual task are cleared after it has run for this long, in
 #: seconds: over months every such task loses some workers.
 LOSSES_CLEARED_AFTER_S: Final = 600.0
 
@@ -51,7 +51,7 @@
     """Runs with an expired lease, whose worker may have crashed or not."""
 
     def __init__(self, *, owner: SessionOwner) -> None:
-        """Initialize the losses of a worker without any."""
+        """Initialize without losses."""
         self._runs: list[Run] = []
         self._owner = owner
 
@@ -135,7 +135,7 @@
             self._log_and_check(job, run, 'crashed after all')
 
     def clear_if_perpetual(self, run: Run) -> None:
-        """Clear the losses of a perpetual task that has run for long."""
+        """Clear the losses of a perpetual task that has run long enough."""
         if not run.perpetual or run.age_s < LOSSES_CLEARED_AFTER_S:
             return
         job = self._jobs[run.key.job_id]
--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -30,14 +30,14 @@
 #: time for the store to count as reachable.
 SHARED_POLL_S: Final = 0.55
 
-#: With at least so many other hosts each of them polls less often; together
-#: they detect a change as soon as a few hosts would.
+#: From this number of other hosts on, each host polls less often; together they
+#: detect a change as soon as a few hosts would.
 SHARED_POLL_MIN_OTHERS: Final = 11
 
 #: The shortest delay before a read, in seconds.
 MIN_POLL_S: Final = 0.02
 
-#: A leader that has been silent for so long is replaced, in seconds: four
+#: A leader that has been silent for this long is replaced, in seconds: four
 #: heartbeats, so that one lost and one slow write do not change the leader.
 SILENCE_S: Final = 4 * HEARTBEAT_S
 
@@ -53,12 +53,12 @@
 #: the store is back, with some seven calls a second per host until then.
 FAILED_POLL_S: Final = 0.15
 
-#: A leader that can write but has not read the operators' rows for so long
+#: A leader that can write but has not read the operators' rows for this long
 #: asks for a successor, in seconds: a read normally waits once, and two more
 #: waits are lost reads.
 STALE_ROWS_S: Final = 3 * FEED_WAIT_S
 
-#: A host that cannot read the operators' rows waits so much longer before it
+#: The additional wait of a host that cannot read the operators' rows before it
 #: replaces a silent leader, in seconds: hosts that can read them come first.
 STALE_TAKEOVER_DELAY_S: Final = 0.7
 
@@ -198,7 +198,7 @@
             return
         holder = leader.holder
         # A row with this host's own name was written by an earlier process, or
-        # by a takeover whose response was lost: no leader stands behind it.
+        # by a takeover whose response was lost: there is no such leader.
         occupied = holder not in {'', self._holder}
         if occupied and not self._may_replace(leader):
             return
@@ -232,7 +232,7 @@
         return leader.yields or self.leader_silent_s >= self._silence_s
 
     def _has_stale_operator_rows(self, steady_since_s: float) -> bool:
-        """Return whether the operators' rows have not been read for long.
+        """Return whether the last read of the operators' rows is too old.
 
         :param steady_since_s: since when the store has been responding here: an
             outage of the whole store does not count as stale rows.
--- a/src/curranthill/dispatch/ends.py
+++ b/src/curranthill/dispatch/ends.py
@@ -7,7 +7,7 @@
 from curranthill.clock import Clock, wait_at_most
 from curranthill.dispatch.workers import EndReport
 
-#: While ends wait to be stored a renewal is made this often, in seconds: the
+#: The interval of renewals while ends wait to be stored, in seconds: the
 #: worker lists the same ends again in the response to each one.
 UNSTORED_RETRY_S: Final = 0.5
 
--- a/src/curranthill/dispatch/feeds.py
+++ b/src/curranthill/dispatch/feeds.py
@@ -150,7 +150,7 @@
             try:
                 self._apply_intake(row)
             except MalformedRecordError as error:
-                # Nothing may start of a job whose progress is unknown.
+                # A job whose progress is unknown must not start.
                 self._log_bad_row(row, 'job', error)
         self._term.changed.set()
 
@@ -225,8 +225,8 @@
         token = self._leadership.epoch * TOKENS_PER_EPOCH
         previous = self._term.sessions.get(entry.worker_id)
         if previous is not None:
-            # A worker that was given up may have seen all of its tokens, and
-            # one that it rejects would be taken for another leader's.
+            # The removed worker may have seen every token of its session. If it
+            # rejected one as too low, another leader would be assumed.
             token = previous.token + 1
         session = WorkerSession(
             entry=entry,
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -21,7 +21,7 @@
 #: workers have reported their runs.
 FIRST_DELAY_S: Final = 2.0
 
-#: No job is refused for so long after a call without a response, in seconds:
+#: No job is refused for this long after a call without a response, in seconds:
 #: the store may still apply a write whose outcome is open, so a job could run
 #: although its repeated request was refused.
 REFUSAL_PAUSE_S: Final = 5.0
@@ -81,7 +81,7 @@
 
 
 class _LargestFree:
-    """Computes the largest free capacity, only if jobs wait for long."""
+    """Computes the largest free capacity; called only if jobs wait long."""
 
     def __init__(self, sessions: list[WorkerSession]) -> None:
         self._sessions = sessions
@@ -124,7 +124,7 @@
         return (self._forecast, now_s - self._since_s)
 
     def update(self, epoch: int, content: Any) -> None:
-        """Store the forecast in the leader's row.
+        """Store the forecast that the leader's row contains.
 
         Every forecast has a number of its own, which distinguishes a new
         forecast from one that is read again.
--- a/src/curranthill/dispatch/leader.py
+++ b/src/curranthill/dispatch/leader.py
@@ -25,7 +25,7 @@
 from curranthill.telemetry import metrics
 from curranthill.telemetry.events import events
 
-#: Rows of ended jobs are kept so much longer than guaranteed, in seconds.
+#: Rows of ended jobs are kept longer than guaranteed by this time, in seconds.
 RETENTION_MARGIN_S: Final = 30.0
 
 #: The interval at which rows of ended jobs are removed, in seconds.
--- a/src/curranthill/dispatch/leadership.py
+++ b/src/curranthill/dispatch/leadership.py
@@ -123,7 +123,7 @@
         version: int,
         began_s: float,
     ) -> None:
-        """Start a term with the row that this process wrote."""
+        """Initialize a term from the row that this process wrote."""
         self._began_s = began_s
         self._previous_s = row.previous_s
         self._resigning = False
--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -73,7 +73,7 @@
         self._checked_s = 0.0
 
     def check(self, *, idle: bool) -> None:
-        """Count stalled runs; move runs that should finish sooner elsewhere.
+        """Count stalled runs; move runs that would end sooner elsewhere.
 
         :param idle: whether nothing waits. Only then are runs on slow workers
             moved: waiting tasks have precedence for free capacity.
--- a/src/curranthill/dispatch/probing.py
+++ b/src/curranthill/dispatch/probing.py
@@ -2,7 +2,8 @@
 
 After a takeover with thousands of workers, probing all of them at once keeps a
 host with one core from writing its heartbeat for longer than its term lasts.
-Workers that hold runs are listed first, and so are probed first.
+The sessions of workers that may hold runs are opened first, so that these
+workers are probed first.
 """
 
 import asyncio
--- a/src/curranthill/dispatch/rounds.py
+++ b/src/curranthill/dispatch/rounds.py
@@ -263,13 +263,13 @@
         job = placement.job
         tasks = tuple(key for key, _ in placement.workers)
         gang = placement.ready.step.gang
-        shared = job.next_attempt(tasks)
+        shared_attempt = job.next_attempt(tasks)
         checkpoint = ''
         if gang:
             checkpoint = newest_checkpoint(
                 [job.progress.task(key) for key in tasks],
             )
-        runs = self._assign_runs(placement, shared, checkpoint)
+        runs = self._assign_runs(placement, shared_attempt, checkpoint)
         if job.progress.state == QUEUED:
             job.progress.state = RUNNING
             waited_s = self._clock.wall_s() - job.spec.accepted_at_s
@@ -283,7 +283,7 @@
             step=placement.ready.number,
             occurrence=placement.ready.occurrence,
             tasks=[f'{run.key.rank}@{run.worker_id}' for run in runs],
-            attempt=shared,
+            attempt=shared_attempt,
         )
         self._writer.record(job)
         self._spawner.spawn(self._start(job, runs))
@@ -291,7 +291,7 @@
     def _assign_runs(
         self,
         placement: Placement,
-        shared: int,
+        shared_attempt: int,
         checkpoint: str,
     ) -> list[Run]:
         """Assign tasks; a gang shares its attempt and its checkpoint."""
@@ -299,7 +299,7 @@
         gang = placement.ready.step.gang
         runs = []
         for key, worker_id in placement.workers:
-            attempt = shared if gang else job.next_attempt((key,))
+            attempt = shared_attempt if gang else job.next_attempt((key,))
             task = job.progress.task(key)
             task.attempt = attempt
             task.worker = worker_id
@@ -370,7 +370,7 @@
         self._writer.record_pending(msgspec.json.encode(counts))
 
     def _publish_forecast(self) -> None:
-        """Publish the forecast, and log what has waited for long."""
+        """Publish the forecast; log waiting jobs and unused workers."""
         if not self._forecasts.due:
             return
         forecast = self._forecasts.make(self._revision.current)
--- a/src/curranthill/dispatch/run_list.py
+++ b/src/curranthill/dispatch/run_list.py
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from curranthill.dispatch.session import WorkerSession
 
-#: An unanswered stop is sent again after so long, in seconds.
+#: A stop without effect is sent again after this time, in seconds.
 STOP_REPEAT_S: Final = 0.5
 
-#: The end of a run gives its duration only if the previous report is at most
-#: so old, in seconds: twice as long as a renewal waits for a run to end.
+#: The maximum age of the previous report, in seconds, for the end of a run to
+#: show its duration: twice as long as a renewal waits for a run to end.
 MAX_REPORT_GAP_S: Final = 3.0
 
 
 class RunList:
-    """All runs that may exist at a worker, and which of its ends are recorded.
+    """The runs that may exist at a worker, and which of its ends are recorded.
 
     :param runs: by task and attempt.
     :param ends: of the worker's current incarnation.
@@ -77,7 +77,7 @@
             self.unconfirmed.add(run.name)
 
     def reset(self, *, restarted: bool = True) -> None:
-        """Start to count ends from zero, as another incarnation does.
+        """Count ends from zero again, as another incarnation does.
 
         With the old count, its first ends would be taken for known ones and be
         acknowledged unread, so tasks that are done would run again. Runs are
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -58,8 +58,8 @@
 #: token once, which in one term of one leader stays far below this.
 TOKENS_PER_EPOCH: Final = 1 << 20
 
-#: How long a renewal may wait at the worker for a run to end, in seconds: the
-#: shortest lease of six seconds then sees three renewals.
+#: How long a renewal may wait at the worker for a run to end, in seconds: three
+#: renewals then fit into the shortest lease of six seconds.
 RENEWAL_WAIT_S: Final = 1.5
 
 #: The same while an urgent run has reported no progress yet, in seconds: two
@@ -69,7 +69,7 @@
 #: The delay after a renewal without a response, in seconds.
 LOST_REPLY_DELAY_S: Final = 0.25
 
-#: No start is sent to a worker for so long after it rejected one, in seconds:
+#: No start is sent to a worker for this long after it rejected one, in seconds:
 #: otherwise it would reject the same start some hundred times a second.
 REJECTION_PAUSE_S: Final = 0.5
 
@@ -133,7 +133,7 @@
         self._wake_event = asyncio.Event()
         self._order_lock = asyncio.Lock()
         # Cleared when the token is incremented, and set by the next renewal
-        # under the new token: its response, or the lack of one, resolves what
+        # under the new token: its response, or the lack of one, shows what
         # became of the earlier orders.
         self._orders_resolved = asyncio.Event()
         self._orders_resolved.set()
@@ -152,7 +152,7 @@
     def unused_reason(self) -> UnusedReason | None:
         """Return why no new task may be placed here, if so."""
         rejected_s = self._clock.monotonic_s() - self.rejected_s
-        open_here = self._closed_data_centres.allows_starts(
+        is_open = self._closed_data_centres.allows_starts(
             self.entry.data_centre
         )
         reasons: dict[UnusedReason, bool] = {
@@ -161,15 +161,15 @@
             UNREADABLE: not self.readable,
             REJECTED: rejected_s < REJECTION_PAUSE_S,
             OTHER_INCARNATION: not _is_current(self),
-            CLOSED: not open_here,
+            CLOSED: not is_open,
             NOT_LISTED: not self.listed,
             UNREACHABLE: not self.reachable,
             NOT_SYNCED: not self.synced,
         }
         if not any(reasons.values()):
-            # Checked for every worker in each round; usually nothing holds.
+            # Checked for every worker in each round; usually none applies.
             return None
-        return next(reason for reason, holds in reasons.items() if holds)
+        return next(reason for reason, applies in reasons.items() if applies)
 
     @property
     def token(self) -> int:
@@ -226,7 +226,8 @@
                 self._run_list.drop_absent(run, 'placed before a restart')
                 return
             if self.entry.leaving or not self.reachable:
-                # This changed while lost responses delayed the start.
+                # The worker's state changed while the start was queued behind
+                # orders whose responses were lost.
                 draining = self.entry.leaving
                 reason = 'worker leaving' if draining else 'worker unreachable'
                 self._run_list.drop_absent(run, reason)
--- a/src/curranthill/dispatch/term_state.py
+++ b/src/curranthill/dispatch/term_state.py
@@ -39,8 +39,8 @@
 from curranthill.telemetry.events import events
 from curranthill.telemetry.labels import workspace_labels
 
-#: Orders are given only so long after a confirmed write, in seconds: less than
-#: the silence after which another host takes over.
+#: Orders are given only for this long after a confirmed write, in seconds: less
+#: than the silence after which another host takes over.
 ORDER_FRESHNESS_S: Final = 1.2
 
 
@@ -81,7 +81,7 @@
             give_up=self._end_job,
         )
 
-    # The interface of worker sessions.
+    # The interface that worker sessions use, see `SessionOwner`.
 
     def may_renew(self) -> bool:
         """Return whether leases may still be extended."""
@@ -193,7 +193,7 @@
         self._losses.resolve(run, crashed=crashed)
 
     def needs_of(self, key: TaskKey) -> Resources:
-        """Return the resources a task needs."""
+        """Return the resources of a task; none if its job is not known."""
         job = self.jobs.get(key.job_id)
         if job is None or key.step >= len(job.spec.steps):
             return Resources()
--- a/src/curranthill/dispatch/unready.py
+++ b/src/curranthill/dispatch/unready.py
@@ -13,7 +13,7 @@
 #: The most jobs logged per priority and second, the oldest first.
 MAX_LOGGED_JOBS: Final = 2
 
-#: A job is logged once it has been blocked for so long, in seconds: starts,
+#: A job is logged once it has been blocked for this long, in seconds: starts,
 #: stops and moves take less time.
 LOGGED_FROM_S: Final = 2.0
 
--- a/src/curranthill/dispatch/unused.py
+++ b/src/curranthill/dispatch/unused.py
@@ -33,7 +33,7 @@
 UNREACHABLE: Final = 'unreachable'
 NOT_SYNCED: Final = 'not synced'
 
-#: A worker is logged once it has accepted no work for so long, in seconds.
+#: A worker is logged once it has accepted no work for this long, in seconds.
 LOGGED_FROM_S: Final = 5.0
 
 #: The shortest interval between two log lines, in seconds.
@@ -82,7 +82,7 @@
         )
 
     def _unused(self) -> dict[str, UnusedReason]:
-        """Return the reasons of workers that have been unused for long."""
+        """Return the reasons of workers that have been unused long enough."""
         now_s = self._clock.monotonic_s()
         reasons: dict[str, UnusedReason] = {}
         for worker_id, session in self._sessions.items():
--- a/src/curranthill/dispatch/waiting.py
+++ b/src/curranthill/dispatch/waiting.py
@@ -71,8 +71,8 @@
         """Report the jobs that wait now.
 
         :param guaranteed: guaranteed accelerators by workspace.
-        :param current_capacities: returns the capacities of the workers that accept
-            work, by service; called only if a job has waited for long.
+        :param current_capacities: returns the capacities of the workers that
+            accept work, by service; called only if a job has waited long.
         :param reserved_for: the jobs with capacity reserved by the last round.
         """
         open_jobs = sorted(
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -155,8 +155,9 @@
     :param unreadable: hosts that cannot read the operators' rows.
     :param down_s: how long a crashed worker is down.
     :param disabled: mechanisms that are switched off.
-    :param same_id: whether it restarts under its id or under another.
-    :param others: the number of other hosts that each host is told.
+    :param same_id: whether a crashed worker restarts under its id; otherwise
+        it restarts under another one.
+    :param others: the number of other hosts that each host assumes.
     """
 
     def __init__(self, *, workers: int = 2, run_s: float = 1.0) -> None:
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -8,8 +8,8 @@
 from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import TaskKey
 
-#: After a task has crashed so many workers its starts are counted, and it may
-#: be started so many more times: the limits of the platform.
+#: After a task has crashed this many workers its starts are counted, and the
+#: maximum number of these starts: the limits of the platform.
 MAX_CRASHES: Final = 3
 MAX_STARTS_AFTER: Final = 2
 
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -141,7 +141,7 @@
         return request.ready.tasks[0].job_id
 
     async def requested(self, times: int) -> list[str]:
-        """Send so many requests; return the jobs that they are for."""
+        """Send some requests; return the jobs that they are for."""
         return [await self.request() for _ in range(times)]
 
     def _requests(self) -> Iterator[TicketRequest]:
--- a/tests/test_fair_capacity.py
+++ b/tests/test_fair_capacity.py
@@ -33,7 +33,7 @@
 
 
 def with_stops(job: ActiveJob, stops: int) -> ActiveJob:
-    """Return a job that was preempted so often."""
+    """Return a job that was preempted a number of times."""
     job.progress.stops = stops
     return job
 
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -17,13 +17,13 @@
 WIDTH = 12
 ESTIMATE_ERROR = 0.6
 
-#: One task in so many takes LONG_FACTOR times as long.
+#: One task in this many takes LONG_FACTOR times as long.
 LONG_EVERY = 33
 LONG_FACTOR = 7.0
 
 
 def equal_speeds(number: int) -> list[float]:
-    """Return the speeds of so many equal workers."""
+    """Return the speeds of a number of equal workers."""
     return [1.0 for _ in range(number)]
 
 
@@ -48,7 +48,7 @@
         estimate_error: float = ESTIMATE_ERROR,
         task_spread: float = 0.3,
     ) -> None:
-        """Run so many steps, each on some of the workers."""
+        """Run a number of steps, each on some of the workers."""
         for _ in range(steps):
             self._steps += 1
             step_error = self._source.gauss(0, estimate_error)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -122,7 +122,7 @@
     def test_a_gang_that_has_waited_for_its_rack_waits_for_others(
         self,
     ) -> None:
-        """It used to be reported as waiting for a rack although any would do."""
+        """It must not be reported as waiting for a rack: any would do."""
         pair = GANG._replace(width=2, same_rack=True)
         full = (worker(0, 'r1'), worker(0, 'r2'))
         workers = (worker(8, 'r1'), worker(8, 'r2'), *full)
