--- a/src/curranthill/dispatch/crashes.py
+++ b/src/curranthill/dispatch/crashes.py
@@ -22,9 +22,9 @@
 #: off.
 WORKER_REMOVED: Final = 'worker gone'
 WORKER_RESTARTED: Final = 'worker restarted'
-LEASE_LAPSED: Final = 'lease lapsed'
+LEASE_EXPIRED: Final = 'lease lapsed'
 
-_LOST: Final = frozenset((WORKER_REMOVED, WORKER_RESTARTED, LEASE_LAPSED))
+_LOST: Final = frozenset((WORKER_REMOVED, WORKER_RESTARTED, LEASE_EXPIRED))
 
 #: How many runs of one task may be lost with their workers. The platform allows
 #: two more starts of such a task after three workers have crashed under it; a
@@ -113,7 +113,7 @@
             return
         task = job.progress.task(run.key)
         task.losses += 1
-        if reason != LEASE_LAPSED and run.age_s < PROMPT_CRASH_S:
+        if reason != LEASE_EXPIRED and run.age_s < PROMPT_CRASH_S:
             task.prompt_crashes += 1
         metrics.runs_lost_with_worker.add(1)
         job.record_losses(run.key)
@@ -189,7 +189,7 @@
 
 
 __all__ = (
-    'LEASE_LAPSED',
+    'LEASE_EXPIRED',
     'LOSSES_CLEARED_AFTER_S',
     'MAX_LOSSES',
     'MAX_PROMPT_CRASHES',
--- a/src/curranthill/dispatch/session.py
+++ b/src/curranthill/dispatch/session.py
@@ -11,7 +11,7 @@
 
 from curranthill.clock import Clock
 from curranthill.dispatch.crashes import (
-    LEASE_LAPSED,
+    LEASE_EXPIRED,
     WORKER_REMOVED,
     UnconfirmedLosses,
     is_lost,
@@ -469,9 +469,9 @@
         if not self._lease.expired:
             return
         for run in self.runs.values():
-            if is_lost(run, LEASE_LAPSED, draining=self.entry.leaving):
+            if is_lost(run, LEASE_EXPIRED, draining=self.entry.leaving):
                 self.unconfirmed_losses.add(run)
-        self._run_list.drop_all(LEASE_LAPSED)
+        self._run_list.drop_all(LEASE_EXPIRED)
         if not self.listed:
             self.remove()
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -445,8 +445,8 @@
                 host = domain.start_host('h1')
                 host.failures = 1
                 await domain.clock.until(lambda: host.leader is not None)
-            told = [call.args[0] for call in log.call_args_list]
-            self.assertIn('term_failed', told)
+            logged = [call.args[0] for call in log.call_args_list]
+            self.assertIn('term_failed', logged)
 
         in_domain(case)
 
