--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -166,8 +166,8 @@
     Until then members wait for each other, so a stall says nothing about a
     worker.
     """
-    whole_s = run.reported_s - job.gang_running_since_s(run.key)
-    return whole_s >= run.min_stall_s
+    gang_running_s = run.reported_s - job.gang_running_since_s(run.key)
+    return gang_running_s >= run.min_stall_s
 
 
 def _fits(session: WorkerSession, run: Run) -> bool:
--- a/tests/domain.py
+++ b/tests/domain.py
@@ -127,20 +127,20 @@
 class RenewalCount:
     """Counts renewals that workers receive.
 
-    :param most_at_once: the most that were pending at the same time.
+    :param max_concurrent: the most that were pending at a time.
     """
 
     def __init__(self) -> None:
         """Initialize the count without renewals."""
         self.total = 0
-        self.most_at_once = 0
+        self.max_concurrent = 0
         self._under_way = 0
 
     def begin(self) -> None:
         """Count a renewal that begins."""
         self.total += 1
         self._under_way += 1
-        self.most_at_once = max(self.most_at_once, self._under_way)
+        self.max_concurrent = max(self.max_concurrent, self._under_way)
 
     def end(self) -> None:
         """Count a renewal that has got its response."""
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -18,7 +18,7 @@
 from tests.support import ManualClock, run
 
 #: How long a step may wait for tickets while others request some, in seconds.
-MOST_WAIT_S = 30.0
+MAX_WAIT_S = 30.0
 
 #: How long tickets are valid, in seconds.
 VALIDITY_S = 3.0
@@ -78,7 +78,7 @@
 
 async def starts_in_time(domain: Domain, job_id: str) -> bool:
     """Return whether a job's first task starts in time."""
-    until_s = domain.clock.monotonic_s() + MOST_WAIT_S
+    until_s = domain.clock.monotonic_s() + MAX_WAIT_S
     while domain.clock.monotonic_s() < until_s:
         await domain.clock.advance(0.5)
         if domain.starts(TaskKey(job_id, 0, 0, 0)):
@@ -135,9 +135,9 @@
         """Send one request; return the job that it is for."""
         request = self._tickets.choose(list(self._requests()))
         assert request is not None
-        asking = asyncio.ensure_future(self._tickets.request(request))
+        sending = asyncio.ensure_future(self._tickets.request(request))
         await self._clock.advance(VALIDITY_S + RETRY_S)
-        await asking
+        await sending
         return request.ready.tasks[0].job_id
 
     async def requested(self, times: int) -> list[str]:
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -226,8 +226,8 @@
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            lasting = Step(width=1, needs=WORKER_CAPACITY, perpetual=True)
-            await host.accept(make_spec('a1', lasting))
+            perpetual = Step(width=1, needs=WORKER_CAPACITY, perpetual=True)
+            await host.accept(make_spec('a1', perpetual))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
             await domain.clock.advance(5)
             domain.workers['w0'].crash()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -819,14 +819,14 @@
             fixed = Step(width=1, needs=ONE_GPU)
             await host.accept(make_spec('a1', movable, fixed))
             await domain.clock.until(lambda: running(domain) == 2)
-            leaving = next(one for one in domain.workers.values() if one.runs)
-            self.assertEqual(len(leaving.runs), 2)
-            domain.list_worker(leaving.entry._replace(leaving=True))
+            draining = next(one for one in domain.workers.values() if one.runs)
+            self.assertEqual(len(draining.runs), 2)
+            domain.list_worker(draining.entry._replace(leaving=True))
             await domain.clock.until(
                 lambda: len(domain.starts(FIRST)) == 2,
                 within_s=1,
             )
-            self.assertEqual(len(leaving.runs), 1)
+            self.assertEqual(len(draining.runs), 1)
             self.assertEqual(len(domain.starts(TaskKey('a1', 0, 1, 0))), 1)
 
         in_domain(case, run_s=60)
@@ -910,9 +910,9 @@
                 worker.stalled = True
             await host.accept(make_spec())
             await started(domain, FIRST)
-            stuck = next(one for one in domain.workers.values() if one.runs)
+            stalling = next(one for one in domain.workers.values() if one.runs)
             for worker in domain.workers.values():
-                worker.stalled = worker is stuck
+                worker.stalled = worker is stalling
             self.assertEqual(await domain.ended('a1', within_s=6), 'completed')
             self.assertEqual(domain.starts(FIRST), [1, 2])
             await host.accept(make_spec('a2'))
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -257,11 +257,11 @@
             await domain.clock.advance(2.0)
             await submit_burst(first, domain)
             spec = gang('new', domain)
-            calm_s = domain.rows.commit_s
+            usual_s = domain.rows.commit_s
             domain.rows.commit_s = 5.0
             asked = asyncio.ensure_future(second.handler.accept(spec, 1.0))
             await domain.clock.advance(0.0)
-            domain.rows.commit_s = calm_s
+            domain.rows.commit_s = usual_s
             with self.assertRaises(RefusedError) as caught:
                 await second.during(asked)
             self.assertEqual(caught.exception.status, 504)
--- a/tests/test_many_workers.py
+++ b/tests/test_many_workers.py
@@ -14,7 +14,7 @@
 
 #: The most concurrent probes: at 0.8 ms of a core each, they delay a heartbeat
 #: of the leader by 0.1 s at most.
-MAX_AT_ONCE = 120
+MAX_CONCURRENT = 120
 
 FIRST = TaskKey('a1', 0, 0, 0)
 
@@ -31,7 +31,7 @@
             await domain.leader()
             await domain.clock.advance(2)
             self.assertEqual(domain.renewals.total, 400)
-            self.assertLessEqual(domain.renewals.most_at_once, MAX_AT_ONCE)
+            self.assertLessEqual(domain.renewals.max_concurrent, MAX_CONCURRENT)
 
         in_domain(case, workers=400)
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -64,8 +64,8 @@
         self.assertTrue(
             validation_errors('', (one,) * (MAX_STEPS + 1), times=0)
         )
-        often = Step(width=MAX_TASKS // 2, needs=ONE_GPU)
-        self.assertFalse(validation_errors('', (often,), times=4))
+        recurring = Step(width=MAX_TASKS // 2, needs=ONE_GPU)
+        self.assertFalse(validation_errors('', (recurring,), times=4))
 
     def test_tasks_of_a_done_step_are_not_stored(self) -> None:
         """Of a recurring job only the occurrences that are not done are."""
--- a/tests/test_unused.py
+++ b/tests/test_unused.py
@@ -175,32 +175,32 @@
             leader = host.leader
             assert leader is not None
             run = next(iter(leader.term.jobs['a1'].runs.values()))
-            silent, leaving, bad = sorted(
+            unresponsive, draining, bad = sorted(
                 (name for name in domain.workers if name != 'far'),
                 key=lambda name: name != run.worker_id,
             )
-            domain.workers[silent].disconnected = True
-            entry: WorkerEntry = domain.workers[leaving].entry
+            domain.workers[unresponsive].disconnected = True
+            entry: WorkerEntry = domain.workers[draining].entry
             domain.list_worker(entry._replace(leaving=True))
             domain.rows.apply((), (RowPut(WORKER_TABLE, bad, b'[]'),), ())
             with patch.object(unused, 'events', lines):
                 await domain.clock.advance(LOGGED_BY_S)
                 found = lines.of('workers_unused')[-1]
-                silent_as = domain.session(silent).unused_reason
-            assert silent_as is not None
-            self.assertIn(silent_as, {unused.UNREACHABLE, unused.NOT_SYNCED})
+                lost_reason = domain.session(unresponsive).unused_reason
+            assert lost_reason is not None
+            self.assertIn(lost_reason, {unused.UNREACHABLE, unused.NOT_SYNCED})
             self.assertEqual(found['unused'], 4)
             self.assertEqual(found['listed'], 4)
             self.assertEqual(
                 {
-                    unused.DRAINING: [leaving],
+                    unused.DRAINING: [draining],
                     unused.UNREADABLE: [bad],
                     unused.CLOSED: ['far'],
                 },
                 {
                     reason: names
                     for reason, names in found['workers'].items()
-                    if names != [silent]
+                    if names != [unresponsive]
                 },
             )
 
