--- a/src/curranthill/dispatch/migration.py
+++ b/src/curranthill/dispatch/migration.py
@@ -73,7 +73,7 @@
         self._checked_s = 0.0
 
     def check(self, *, idle: bool) -> None:
-        """Count stalled runs; move runs that should finish sooner elsewhere.
+        """Count stalled runs; move runs that would end sooner elsewhere.
 
         :param idle: whether nothing waits. Only then are runs on slow workers
             moved: waiting tasks have precedence for free capacity.
@@ -166,8 +166,8 @@
     Until then members wait for each other, so a stall says nothing about a
     worker.
     """
-    whole_s = run.reported_s - job.gang_running_since_s(run.key)
-    return whole_s >= run.min_stall_s
+    gang_running_s = run.reported_s - job.gang_running_since_s(run.key)
+    return gang_running_s >= run.min_stall_s
 
 
 def _fits(session: WorkerSession, run: Run) -> bool:
