--- a/src/curranthill/entry/closed_data_centres.py
+++ b/src/curranthill/entry/closed_data_centres.py
@@ -47,8 +47,7 @@
         other rows; raises :class:`MalformedRecordError` for a closing that
         names none.
     :param cease_s: how many seconds after its closing a data centre may still
-        get starts; 0 for no bound, in which case only data centres that were
-        read as closed count as closed.
+        get starts; 0 for no bound.
     """
 
     def __init__(
--- a/src/curranthill/entry/peers.py
+++ b/src/curranthill/entry/peers.py
@@ -37,7 +37,6 @@
 #: any host that returns under the same name.
 REMOVE_AFTER_S: Final = 600.0
 
-
 #: The content of a host's row: an IP address and a port.
 _ADDRESS: Final = re.compile(rb'[0-9.]+:\d{1,5}')
 
--- a/src/curranthill/membership/__init__.py
+++ b/src/curranthill/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip membership: views, probes and replication by them."""
+"""Gossip membership: views, probes and replication of the configuration."""
 
 from curranthill.membership.node import Node, NodeSettings
 from curranthill.membership.prober import PeerService, Prober
--- a/src/curranthill/storage/outage.py
+++ b/src/curranthill/storage/outage.py
@@ -33,8 +33,8 @@
     @property
     def is_ongoing(self) -> bool:
         """Return whether calls fail and there was no recent reply."""
-        silent_s = self._clock.monotonic_s() - self._replied_s
-        return self._failed and silent_s >= OUTAGE_AFTER_S
+        unresponsive_s = self._clock.monotonic_s() - self._replied_s
+        return self._failed and unresponsive_s >= OUTAGE_AFTER_S
 
     def record_failure(self) -> None:
         """Record a failed call."""
