--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -117,7 +117,7 @@
             slots=4,
             adjacent='worker',
         )
-    state.plan.set_units(units)
+    state.plan.replace_units(units)
 
 
 def measure(size: Size) -> dict[str, Any]:
--- a/bench/proxy.py
+++ b/bench/proxy.py
@@ -57,8 +57,8 @@
         ip, port = self._server.sockets[0].getsockname()
         self.address = f'{ip}:{port}'
 
-    def set_mode(self, mode: Mode) -> None:
-        """Set the mode; ``reset`` also aborts all open connections."""
+    def change_mode(self, mode: Mode) -> None:
+        """Change the mode; ``reset`` also aborts all open connections."""
         self.mode = mode
         self.mode_changed_s = uptime_s()
         if mode == 'mute':
@@ -69,7 +69,7 @@
 
     async def close(self) -> None:
         """Stop listening and abort all open connections."""
-        self.set_mode('reset')
+        self.change_mode('reset')
         if self._server is not None:
             self._server.close()
 
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -149,13 +149,13 @@
     name = soak.workers.draw_worker()
     model = soak.workers.model(name)
     proxy = soak.workers.proxies[name]
-    proxy.set_mode('silent')
+    proxy.change_mode('silent')
     await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
     model.restart()
     if soak.rng.choice((True, False)):
         soak.workers.write_current_entry(name)
     await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
-    proxy.set_mode('pass')
+    proxy.change_mode('pass')
     soak.workers.write_current_entry(name)
 
 
@@ -232,10 +232,10 @@
 async def _disturb(soak: 'Soak', proxies: list[Proxy]) -> None:
     mode = soak.rng.choice(MODES)
     for proxy in proxies:
-        proxy.set_mode(mode)
+        proxy.change_mode(mode)
     await asyncio.sleep(soak.rng.uniform(0.3, 4.0))
     for proxy in proxies:
-        proxy.set_mode('pass')
+        proxy.change_mode('pass')
 
 
 __all__ = ('FAULTS', 'Fault', 'crash_workers', 'lose_power', 'register_fault')
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -362,7 +362,7 @@
         self.store.unresponsive_tables.clear()
         self.workers.restore_all()
         for proxy in self.store_proxies:
-            proxy.set_mode('pass')
+            proxy.change_mode('pass')
         await asyncio.sleep(MAX_HOST_PAUSE_S)
         for number in range(self._hosts):
             self.signal(number, SIGCONT)
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -154,7 +154,7 @@
         for name, server in self._servers.items():
             server.model.failing = False
             self.resize(name, WORKER_CAPACITY.gpus)
-            self.proxies[name].set_mode('pass')
+            self.proxies[name].change_mode('pass')
             self.write_current_entry(name)
 
     async def _add(self, name: str) -> None:
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -70,10 +70,12 @@
         data_centre: str,
     ) -> None:
         """Apply the guarantees of a configuration."""
-        self.set_units(dict(_wanted_units(document, data_centre)))
+        self.replace_units(dict(_wanted_units(document, data_centre)))
 
-    def set_units(self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]) -> None:
-        """Set the guarantee units; those that remain keep their plans."""
+    def replace_units(
+        self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]
+    ) -> None:
+        """Replace the guarantee units; those that remain keep their plans."""
         for unit_id in list(self._units):
             if unit_id not in wanted or self._shape_changed(wanted[unit_id]):
                 self._drop(unit_id)
--- a/src/curranthill/telemetry/events.py
+++ b/src/curranthill/telemetry/events.py
@@ -24,7 +24,7 @@
 class EventLog:
     """Writes events of a kind, with named fields and units in the names.
 
-    :param dropped_lines: how many lines were dropped since the last one written.
+    :param dropped_lines: the lines dropped since the last one was written.
     """
 
     def __init__(self) -> None:
