--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -11,7 +11,7 @@
 
 from curranthill.application import Application
 from curranthill.clock import SystemClock
-from curranthill.commands.standin import site_entries
+from curranthill.commands.standin import worker_specs
 from curranthill.configuration import (
     ConfigurationDocument,
     RevisionStore,
@@ -83,7 +83,7 @@
         )
         self.standin = StandinServer(
             clock=SystemClock(),
-            worker_specs=site_entries(self.document),
+            worker_specs=worker_specs(self.document),
         )
         self.schedulers: list[SchedulerDaemon] = []
         self.gateways: list[GatewayDaemon] = []
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -22,14 +22,14 @@
 class StandinOptions(NamedTuple):
     """The workers, the address and the rate limits of a stand-in."""
 
-    sites: tuple[WorkerSpec, ...]
+    worker_specs: tuple[WorkerSpec, ...]
     host: str
     port: int
     writes_per_s: float
     reads_per_s: float
 
 
-def site_entries(document: ConfigurationDocument) -> tuple[WorkerSpec, ...]:
+def worker_specs(document: ConfigurationDocument) -> tuple[WorkerSpec, ...]:
     """Return the workers of all data centres of a configuration.
 
     Each allows as many connections as the service with the fewest.
@@ -38,10 +38,10 @@
         (service.connections for service in document.services.values()),
         default=_DEFAULT_CONNECTIONS,
     )
-    sites: list[WorkerSpec] = []
+    specs: list[WorkerSpec] = []
     for name, data_centre in document.data_centres.items():
         for rack_name, rack in data_centre.racks.items():
-            sites.extend(
+            specs.extend(
                 WorkerSpec(
                     name=f'{rack_name}-w{number:02d}',
                     data_centre=name,
@@ -51,7 +51,7 @@
                 )
                 for number in range(1, rack.workers + 1)
             )
-    return tuple(sites)
+    return tuple(specs)
 
 
 @app.command(epilog=EPILOG)
@@ -75,7 +75,7 @@
     """
     document = validate_document(merge(read_folder(folder).contents))
     options = StandinOptions(
-        sites=site_entries(document),
+        worker_specs=worker_specs(document),
         host=host,
         port=port,
         writes_per_s=writes_per_s,
@@ -97,7 +97,7 @@
     application = Application(name='standin')
     server = StandinServer(
         clock=SystemClock(),
-        worker_specs=options.sites,
+        worker_specs=options.worker_specs,
         writes_per_s=options.writes_per_s,
         reads_per_s=options.reads_per_s,
     )
@@ -110,4 +110,4 @@
     return application
 
 
-__all__ = ('app', 'main', 'site_entries')
+__all__ = ('app', 'main', 'worker_specs')
