--- a/src/curranthill/application.py
+++ b/src/curranthill/application.py
@@ -45,7 +45,7 @@
         *,
         name: str,
     ) -> asyncio.Task[None]:
-        """Run a coroutine as a task that is cancelled when this stops."""
+        """Run a coroutine as a task; the application cancels it at stop."""
         task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
--- a/src/curranthill/clock.py
+++ b/src/curranthill/clock.py
@@ -13,7 +13,7 @@
         """Return seconds that never decrease and include suspended time."""
 
     def wall_s(self) -> float:
-        """Return seconds since 1970, for timestamps that people read."""
+        """Return seconds since 1970, for timestamps in records and logs."""
 
     async def sleep(self, delay_s: float) -> None:
         """Return after ``delay_s`` seconds or later.
--- a/src/curranthill/commands/daemons.py
+++ b/src/curranthill/commands/daemons.py
@@ -26,7 +26,7 @@
 
 SettingsPath = Annotated[
     Path,
-    typer.Option('--settings', help='The settings file, JSON with comments.'),
+    typer.Option('--settings', help='The settings file, in JSON5.'),
 ]
 Settings = TypeVar('Settings')
 
--- a/src/curranthill/commands/demo.py
+++ b/src/curranthill/commands/demo.py
@@ -41,10 +41,10 @@
 class DemoRow(NamedTuple):
     """The outcome of one request of the demo.
 
-    :param data_centre: where its job ran; of a quick request, its worker.
+    :param data_centre: where its job ran; for a quick request, its worker.
     :param state: the state of the job, ``answered`` for a quick request, or the
         HTTP status of an error; ``wrong result`` if it is that of another job.
-    :param completion_s: from the request to its result.
+    :param completion_s: the time from the request to its result, in seconds.
     """
 
     workspace: str
@@ -58,7 +58,7 @@
 class DemoReport(NamedTuple):
     """The outcome of the demo of one deployment.
 
-    :param rows: one of each request.
+    :param rows: one for each request.
     :param fragmentation: the share of free slots that gangs cannot use, by
         gang size, 1 s after the requests were sent.
     """
--- a/src/curranthill/commands/load.py
+++ b/src/curranthill/commands/load.py
@@ -25,7 +25,7 @@
 def run(  # noqa: WPS211
     workload: Annotated[
         Path,
-        typer.Argument(help='The workload file, JSON with comments.'),
+        typer.Argument(help='The workload file, in JSON5.'),
     ],
     *,
     gateway: Annotated[
@@ -48,7 +48,7 @@
     draw: Annotated[bool, typer.Option(help='Also draw a plot.')] = False,
     version: Version = False,
 ) -> None:
-    """Run a workload against gateways and report the system's two measures."""
+    """Run a workload against gateways; report completion and fragmentation."""
     definition = read_settings_or_exit(Workload, workload)
     if not definition.streams:
         fail('The workload has no streams.', EXIT_USAGE_ERROR)
--- a/src/curranthill/commands/losses.py
+++ b/src/curranthill/commands/losses.py
@@ -83,7 +83,7 @@
 
 
 def _causes(jobs: Iterable[JobTimeline]) -> list[str]:
-    """Return the causes of all time, in descending order of their totals."""
+    """Return what time was spent on, the cause with the most time first."""
     totals: dict[str, float] = defaultdict(float)
     for job in jobs:
         for cause, spent_s in job.seconds_by_cause().items():
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -71,7 +71,7 @@
 ) -> None:
     """Simulate the platform and the workers of a configuration folder.
 
-    For tests, demos and load tests only: all state is lost at its end.
+    For tests, demos and load tests only: all state is lost when it stops.
     """
     document = validate_document(merge(read_folder(folder).contents))
     options = StandinOptions(
--- a/src/curranthill/commands/timelines.py
+++ b/src/curranthill/commands/timelines.py
@@ -9,7 +9,7 @@
 #: An event: a JSON object of one log line.
 LogLine = dict[str, Any]
 
-#: Causes of a job's time, beside those for which its runs were lost.
+#: What a job's time was spent on, besides the causes for which runs were lost.
 WAITING: Final = 'waiting'
 NOT_READY: Final = 'not ready'
 USEFUL: Final = 'useful'
@@ -48,13 +48,14 @@
 class JobTimeline:
     """A job from its acceptance to its end.
 
-    :param accepted_at_s: when the request arrived, in wall-clock time.
-    :param objective_s: the time from its acceptance that it should take.
-    :param estimate_s: the largest of its steps' estimates.
-    :param ended_at_s: when its state became final; None until then.
-    :param open_runs: the worker and the start of each task that runs.
-    :param stop_reasons: the kind of the event for which a task was stopped.
-    :param not_ready_spans: when it was not ready, in order, without overlap.
+    :ivar accepted_at_s: when the request arrived, in wall-clock time.
+    :ivar objective_s: the time within which it should end, in seconds after
+        ``accepted_at_s``.
+    :ivar estimate_s: the largest of its steps' estimates.
+    :ivar ended_at_s: when its state became final; None until then.
+    :ivar open_runs: the worker and the start of each task that runs.
+    :ivar stop_reasons: the kind of the event that stopped each task.
+    :ivar not_ready_spans: when it was not ready, in order, without overlap.
     """
 
     def __init__(self, *, line: LogLine) -> None:
@@ -172,9 +173,9 @@
 class Timelines:
     """The timelines of all jobs in some logs, by job id.
 
-    :param malformed_lines: the number of events that lack a field or have one
+    :ivar malformed_lines: the number of events that lack a field or have one
         of a wrong type.
-    :param dropped_lines: the number of lines that the hosts report to have
+    :ivar dropped_lines: the number of lines that the hosts report to have
         dropped instead of writing them.
     """
 
--- a/src/curranthill/configuration/active.py
+++ b/src/curranthill/configuration/active.py
@@ -88,7 +88,7 @@
         return name, self.document.workspaces[name]
 
     def kind(self, name: str) -> Kind | None:
-        """Return the kind of work of a name, or None if there is none."""
+        """Return the kind of work with a name, or None if there is none."""
         return self.document.kinds.get(name)
 
     def _validate(
--- a/src/curranthill/configuration/validation.py
+++ b/src/curranthill/configuration/validation.py
@@ -97,8 +97,9 @@
     name: str,
     document: ConfigurationDocument,
 ) -> Iterator[str]:
-    """Yield guarantees of a data centre that do not fit it all at once.
+    """Yield an error for each guaranteed shape without space in a data centre.
 
+    All its guarantees must fit the data centre at the same time.
     The shapes are packed by best fit, the largest first. The heuristic may
     refuse a set of guarantees that another order could pack.
     """
@@ -162,7 +163,7 @@
 
 
 def _take(workers: list[int], size: int) -> int:
-    """Take slots from the emptiest workers first; return how many lack."""
+    """Take slots from the emptiest workers first; return the shortfall."""
     emptiest_first = sorted(
         range(len(workers)),
         key=workers.__getitem__,
--- a/src/curranthill/gateway/jobs.py
+++ b/src/curranthill/gateway/jobs.py
@@ -122,7 +122,7 @@
         return stored
 
     async def wait(self, workspace: str, job_id: str, wait_s: float) -> Job:
-        """Return a job once it has ended, or its state after ``wait_s``."""
+        """Return a job once it has ended, at the latest after ``wait_s``."""
         until_s = self._clock.monotonic_s() + wait_s
         interval_s = _MIN_POLL_INTERVAL_S
         while True:
@@ -285,8 +285,9 @@
         )
 
     def _load(self, data_centre: str) -> tuple[float, bool, str]:
-        """Return a sort key by waiting slots per free slot, our own first.
+        """Return a sort key: waiting slots per free slot, then the name.
 
+        At equal loads this data centre comes before the others.
         A data centre whose leader is unknown counts as loaded, unless it is
         this one, so that work stays here while others are unreachable.
         """
--- a/src/curranthill/gateway/requests.py
+++ b/src/curranthill/gateway/requests.py
@@ -39,7 +39,7 @@
 
     @property
     def digest(self) -> str:
-        """Return a digest that tells a repeat from a reuse of the key."""
+        """Return a digest of the body, which shows if a key is reused."""
         return hashlib.sha256(self.body).hexdigest()
 
     @property
--- a/src/curranthill/jobs/records.py
+++ b/src/curranthill/jobs/records.py
@@ -48,7 +48,7 @@
     :param members: the workers and slots of that attempt.
     :param body: the request body as text.
     :param failed_on: the worker of each failure, oldest first.
-    :param losses: attempts whose workers were lost while they ran.
+    :param losses: the number of attempts whose workers were lost during them.
     :param checkpoint: where a preempted job resumes from.
     :param key_row: the row key of its idempotency key, or empty.
     """
@@ -111,8 +111,8 @@
     """Return a job from the document that is stored in the table.
 
     Unknown fields, written by a newer version, are ignored. Missing fields,
-    unknown to an older version, get their defaults. So two versions may run
-    at the same time during an upgrade.
+    unknown to an older version, get their defaults. Two versions may thus
+    run at the same time during an upgrade.
     """
     known = {name: document[name] for name in Job._fields if name in document}
     known['members'] = tuple(
--- a/src/curranthill/jobs/store.py
+++ b/src/curranthill/jobs/store.py
@@ -96,7 +96,7 @@
         return KeyRecord(**row.document) if row else None
 
     async def load(self, job_id: str) -> StoredJob | None:
-        """Return an open, moved or ended job, or nothing."""
+        """Return a job, open, moved or ended, or None if it is unknown."""
         accepted_at = accepting_data_centre(job_id)
         found = await self._read_job(open_key(accepted_at, job_id))
         if found is None:
--- a/src/curranthill/platform/caller_api.py
+++ b/src/curranthill/platform/caller_api.py
@@ -122,8 +122,8 @@
         """Return the configuration to apply to a request.
 
         :raises RefusedError: if none has been read yet or since the last
-            suspension of this host, or if it may be out of date for longer
-            than a change may take to come into force.
+            suspension of this host, or if it may have been out of date for
+            longer than a change may take to come into force.
         """
         revision = self._revisions.current
         if revision is None or not await self._revisions.wait_until_confirmed():
--- a/src/curranthill/platform/host.py
+++ b/src/curranthill/platform/host.py
@@ -41,8 +41,8 @@
 from curranthill.telemetry import install_metric_reader
 from curranthill.telemetry.events import events
 
-#: The counts of a leader that has been unresponsive for longer may be outdated,
-#: in seconds.
+#: How long a leader may be unresponsive before its counts are regarded as
+#: possibly outdated, in seconds.
 MAX_LEADER_SILENCE_S: Final = 1.0
 
 #: The maximum share of the platform's grace period for a planned stop that is
--- a/src/curranthill/platform/relay.py
+++ b/src/curranthill/platform/relay.py
@@ -25,8 +25,8 @@
 from curranthill.telemetry import metrics
 
 #: The timeout for the first byte of the store's response to a relayed request,
-#: in seconds. It equals the longest timeout of the requesting host, used for
-#: pages and for changes.
+#: in seconds. The requesting host waits up to 1.5 s for a page, and as long for
+#: changes until lost responses have increased its slack.
 RELAY_TIMEOUT_S: Final = 2.0
 
 #: How often the direct path is probed while requests go through a peer, in
--- a/src/curranthill/platform/store.py
+++ b/src/curranthill/platform/store.py
@@ -57,7 +57,7 @@
 PAGE_ROWS: Final = 100
 
 #: The minimum timeout for the first byte of a page, in seconds. On a slow link
-#: the pages of other partitions arrive before it.
+#: the pages of other partitions, read concurrently, may arrive before it.
 PAGE_TIMEOUT_S: Final = 1.5
 
 #: The path prefix of the store's API.
@@ -339,7 +339,7 @@
         if response.status == _OK:
             return
         raise StorageError(
-            f'The store answered {response.status}: {response.body[:200]!r}.',
+            f'The store returned {response.status}: {response.body[:200]!r}.',
             step=step,
             peer=self._paths.address,
         )
@@ -386,7 +386,7 @@
         ) from error
     except ResponseLostError as error:
         raise ReplyLostError(
-            f'The store did not answer: {error}.',
+            f'The store did not respond: {error}.',
             step=path,
             peer=address,
         ) from error
@@ -396,7 +396,7 @@
     """Return the error for a status without an outcome of the request."""
     if status == UNANSWERED:
         return ReplyLostError(
-            'The store did not answer the host that relayed the request.',
+            'The store did not respond to the host that relayed the request.',
             step=path,
             peer=address,
         )
--- a/src/curranthill/platform/workers.py
+++ b/src/curranthill/platform/workers.py
@@ -300,7 +300,7 @@
             ) from error
         except ResponseLostError as error:
             raise WorkerReplyLostError(
-                f'The worker did not answer: {error}.',
+                f'The worker did not respond: {error}.',
                 step=path,
                 peer=self._address,
             ) from error
--- a/src/curranthill/settings/reader.py
+++ b/src/curranthill/settings/reader.py
@@ -77,7 +77,8 @@
 def _syntax_error(text: str, name: str, message: str) -> str:
     """Return a parser's message with the file's name and the line.
 
-    The parser gives no line for a duplicate key: it is searched in the text.
+    The parser gives no line for a duplicate key, so the text is searched for
+    the last occurrence of the key.
     """
     duplicate = _DUPLICATE.search(message)
     if duplicate is None:
--- a/src/curranthill/tasks/progress.py
+++ b/src/curranthill/tasks/progress.py
@@ -23,7 +23,7 @@
 MOVED_SLOW: Final = 2
 
 #: Records of at least this size are compressed, in bytes: the progress of the
-#: widest jobs must fit into 64 KB, while for small rows it does not pay off.
+#: widest jobs must fit into 64 KB, while small rows cost less uncompressed.
 COMPRESS_FROM_BYTES: Final = 8192
 
 #: zlib's fastest level.
@@ -46,8 +46,8 @@
     :param checkpoint: the newest known checkpoint, or empty.
     :param failed_attempt: the latest attempt that is counted as a failure.
     :param losses: the number of runs that were lost with their workers.
-    :param prompt_crashes: the number of these whose worker certainly crashed,
-        and right after the start.
+    :param prompt_crashes: the number of these losses in which the worker
+        certainly crashed, and right after the start of the run.
     :param incarnation: the worker's incarnation when the task was assigned to
         it; 0 if not known.
     :param moves: the reasons for which it was moved to another worker, as bits.
--- a/src/curranthill/tasks/records.py
+++ b/src/curranthill/tasks/records.py
@@ -1,4 +1,4 @@
-"""Records of jobs, their resources, and the configuration that rules them."""
+"""Records of jobs, of their resources and of the configuration."""
 
 from typing import NamedTuple
 
@@ -102,7 +102,7 @@
         job fails.
     :param slack_factor: the multiple of the critical path that the objective
         allows.
-    :param target_s: the time that the objective adds to it, in seconds.
+    :param target_s: the time that the objective allows in addition, in seconds.
     :param public: whether callers need no key.
     :param advisor: whether tasks run only on workers that the advisor allows.
     """
@@ -120,7 +120,7 @@
 
 
 class JobSpec(NamedTuple):
-    """A job as accepted; it never changes.
+    """A job as it was accepted; it never changes.
 
     :param workspace: the workspace against whose guarantee the job counts; may
         be empty.
--- a/src/curranthill/tasks/tables.py
+++ b/src/curranthill/tasks/tables.py
@@ -33,8 +33,8 @@
 #: together.
 HOSTS_PARTITION: Final = 'hosts'
 
-#: The partitions of accepted jobs: a store that takes 0.3 s per commit accepts
-#: with 16 of them some fifty jobs per second, eight times the load of the
+#: The partitions of accepted jobs. With 16 of them, a store that takes 0.3 s
+#: per commit accepts some fifty jobs per second, eight times the load of the
 #: largest deployment. A takeover has to read each of them.
 INTAKE_PARTITIONS: Final = tuple(f'intake-{number}' for number in range(16))
 
--- a/src/curranthill/telemetry/events.py
+++ b/src/curranthill/telemetry/events.py
@@ -22,9 +22,11 @@
 
 
 class EventLog:
-    """Writes events of a kind, with named fields and units in the names.
+    """Writes events, each with its kind and named fields.
 
-    :param dropped_lines: how many lines were dropped since the last one written.
+    Names of quantities end in their units.
+
+    :ivar dropped_lines: the number of lines dropped since one was written.
     """
 
     def __init__(self) -> None:
--- a/src/curranthill/telemetry/metrics.py
+++ b/src/curranthill/telemetry/metrics.py
@@ -19,7 +19,8 @@
     """The instruments of a process.
 
     They are created before a meter provider is installed, so that modules can
-    use them at any time; without a provider a use costs a call, no more.
+    use them at any time. Without a provider, recording a value costs one call
+    and has no effect.
     """
 
     def __init__(self) -> None:
--- a/src/curranthill/workers/interface.py
+++ b/src/curranthill/workers/interface.py
@@ -53,8 +53,8 @@
         :param attempts: the attempts whose leases to renew; None for those of
             the last poll with the same token, which keeps a poll small while
             nothing changes.
-        :param known_ended: attempts whose end the caller knows already and
-            which does not end the wait.
+        :param known_ended: attempts whose end the caller already knows, so
+            that it does not end the wait.
         :raises UnknownPollError: if the worker has no record of such a poll.
         """
 
--- a/src/curranthill/workers/records.py
+++ b/src/curranthill/workers/records.py
@@ -16,7 +16,7 @@
 
 
 class FencingToken(NamedTuple):
-    """A token that fences its holder off once a newer one was seen.
+    """A token that fences its holder off once a newer one has been seen.
 
     A worker rejects a lower epoch than it has seen, and the same epoch with
     another holder.
