--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -53,18 +53,18 @@
         self.assertEqual(self.judge(listing), (8, 1, ()))
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        """The commit that mends a test must also remove its line."""
+        """The commit that fixes a test must also remove its line."""
         name = 'tests.test_a.ATest.test_three'
         self.assertEqual(self.judge(f'{name} | cause'), (8, 3, (name,)))
 
     def test_a_listed_test_fails_a_run_without_failures(self) -> None:
-        """A run that passes as a whole is checked, too."""
+        """Listed tests are also checked if the whole run passes."""
         log = 'Ran 3 tests in 0.1s\n\nOK\n'
         name = 'tests.test_a.ATest.test_one'
         self.assertEqual(self.judge(name, log, 0), (3, 1, (name,)))
 
     def test_a_run_without_a_summary_fails(self) -> None:
-        """A run that was killed passes no test."""
+        """Of a run that was killed no test counts as passed."""
         self.assertEqual(self.judge('', 'killed\n', 2), (0, 1, ()))
 
     def test_comments_and_empty_lines_are_ignored(self) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as separate processes over loopback."""
+"""The programs as separate processes that communicate over loopback."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 from bench.processes import KEY, ROOT, Processes, get_json
 
 BIN = Path(sys.executable).parent
-SITE = ROOT / 'examples' / 'tenggara' / 'configuration'
+FOLDER = ROOT / 'examples' / 'tenggara' / 'configuration'
 
 
 def run_program(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -30,8 +30,8 @@
     )
 
 
-def ask(url: str, token: str, body: Any = None) -> Any:
-    """Make one request of a workspace and return its JSON."""
+def send(url: str, token: str, body: Any = None) -> Any:
+    """Send one request of a workspace and return the JSON of the response."""
     call = http.Request(  # noqa: S310
         url,
         data=None if body is None else json.dumps(body).encode(),
@@ -42,17 +42,17 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    """One site of eight processes serves all tests of this class."""
+    """A deployment of eight processes that all tests of this class share."""
 
     processes: Processes
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start the site."""
+        """Start the deployment."""
         cls.temporary = tempfile.TemporaryDirectory()
         cls.work = Path(cls.temporary.name)
         cls.processes = Processes(
-            folder=SITE,
+            folder=FOLDER,
             work=cls.work / 'run',
             gateways=2,
         )
@@ -61,7 +61,7 @@
 
     @classmethod
     def tearDownClass(cls) -> None:
-        """End the processes that were started here."""
+        """Stop the processes of the deployment."""
         cls.processes.stop()
         cls.temporary.cleanup()
 
@@ -70,7 +70,7 @@
     operator: str
 
     def operate(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command against the site."""
+        """Run the operators' command against the deployment."""
         return run_program(
             'curranthill',
             *arguments,
@@ -79,18 +79,18 @@
         )
 
     def test_a_gang_of_sixteen_runs_on_two_workers_of_a_rack(self) -> None:
-        """Accepted, reserved, started, finished, its result fetched."""
+        """The job is accepted and finishes, and its result can be fetched."""
         gateway = self.processes.gateways[0]
-        job = ask(
+        job = send(
             f'{gateway}/v1/workspaces/gearbox/kinds/fatigue-sweep/requests',
             'gearbox',
             {'run_s': 0.5},
         )
         url = f'{gateway}/v1/jobs/{job["id"]}'
         self.assertEqual(
-            ask(f'{url}?wait_s=30', 'gearbox')['state'], 'finished'
+            send(f'{url}?wait_s=30', 'gearbox')['state'], 'finished'
         )
-        self.assertEqual(ask(f'{url}/result', 'gearbox')['members'], 2)
+        self.assertEqual(send(f'{url}/result', 'gearbox')['members'], 2)
         hosts = get_json(f'{self.processes.standin}/v1/hosts')['hosts']
         racks = [
             host['rack']
@@ -102,13 +102,13 @@
         self.assertEqual(len(set(racks)), 1)
 
     def test_a_planned_stop_cuts_no_request(self) -> None:
-        """SIGTERM while a request runs: it is answered, then the end."""
+        """A request that runs at SIGTERM gets its response before the exit."""
         gateway = self.processes.gateways[-1]
-        answers: list[Any] = []
+        responses: list[Any] = []
         path = 'distributors/kinds/catalogue-check/requests'
         thread = threading.Thread(
-            target=lambda: answers.append(
-                ask(
+            target=lambda: responses.append(
+                send(
                     f'{gateway}/v1/workspaces/{path}',
                     'distributors',
                     {'run_s': 1.5},
@@ -125,18 +125,18 @@
             self.assertTrue(thread.is_alive())
         self.processes.kill(name, signal.SIGTERM)
         thread.join()
-        self.assertEqual(len(answers), 1)
+        self.assertEqual(len(responses), 1)
         self.assertEqual(self.processes.running[name].wait(30), 0)
 
     def test_status_shows_each_process_and_its_revision(self) -> None:
-        """Three leaders, everybody at the same revision."""
+        """Three processes lead, and all have the same revision in force."""
         status = json.loads(self.operate('status', '--json').stdout)
         leaders = [one for one in status if one['leads_epoch'] != '-']
         self.assertEqual(len(leaders), 3)
         self.assertEqual({one['revision'] for one in status}, {1})
 
     def test_explain_and_jobs_and_drain(self) -> None:
-        """What operators ask is answered, with the stated exit codes."""
+        """Each command has the documented output and exit code."""
         self.assertEqual(self.operate('explain', 'none').returncode, 1)
         listed = self.operate('jobs', 'cyberjaya-a', '--json')
         self.assertIsInstance(json.loads(listed.stdout), list)
@@ -146,18 +146,18 @@
         self.assertEqual(wrong.returncode, 1)
 
     def test_history_and_diff(self) -> None:
-        """The revision in force is the folder's."""
+        """The only revision is the folder, so there is no difference."""
         history = json.loads(self.operate('config', 'history', '--json').stdout)
         self.assertEqual([one['revision'] for one in history], [1])
-        diff = self.operate('config', 'diff', str(SITE), '--json')
+        diff = self.operate('config', 'diff', str(FOLDER), '--json')
         self.assertEqual(json.loads(diff.stdout), [])
 
 
 class CommandTest(unittest.TestCase):
-    """Exit codes and checks without a site."""
+    """Exit codes and validation, without a deployment."""
 
     def test_versions_and_help(self) -> None:
-        """Each program tells its version and its exit codes."""
+        """Each program prints its version, and its exit codes in the help."""
         for role in ('', '-gateway', '-scheduler', '-standin', '-load'):
             program = f'curranthill{role}'
             version = run_program(program, '--version')
@@ -165,7 +165,7 @@
             self.assertIn('Exit codes', run_program(program, '--help').stdout)
 
     def test_check_settings(self) -> None:
-        """A wrong file ends with 2 and names each field."""
+        """For an invalid file the exit code is 2, and each field is named."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.json'
             path.write_text('{"host": {"name": "e1"}, "spare": 1}')
@@ -181,14 +181,14 @@
 
     def test_config_check_and_merge(self) -> None:
         """The same folder always gives the same digest."""
-        checked = run_program('curranthill', 'config', 'check', str(SITE))
+        checked = run_program('curranthill', 'config', 'check', str(FOLDER))
         self.assertEqual(checked.returncode, 0)
         digests = {
             run_program(
                 'curranthill',
                 'config',
                 'merge',
-                str(SITE),
+                str(FOLDER),
                 '--digest',
             ).stdout
             for _ in range(2)
