--- a/src/curranthill/errors.py
+++ b/src/curranthill/errors.py
@@ -74,7 +74,7 @@
 
 
 class WorkerBusyError(WorkerError):
-    """The worker rejected the call for lack of capacity; nothing was run."""
+    """No slot or connection of the worker was free; nothing was run."""
 
 
 class FencedError(WorkerError):
