--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -1,8 +1,9 @@
-"""A full cluster with jobs that wait: what a round of placement meets.
+"""Random full clusters with waiting jobs, as input of a round of placement.
 
-Drawn from a seed, so that the same round can be planned again: gangs and
-plain tasks hold nearly all accelerators, some runs are being stopped, some
-workers are in doubt, and urgent gangs, long gangs and wide steps wait.
+They are drawn from a seed, so that the same round can be planned again. Gangs
+and independent tasks use nearly all accelerators, some runs are being stopped,
+some workers have a failure score, and urgent gangs, long gangs and wide steps
+wait.
 """
 
 import random
@@ -13,8 +14,8 @@
     ActiveJob,
     Plan,
     Planner,
-    Room,
     Run,
+    WorkerCapacity,
     WorkerEntry,
 )
 from curranthill.tasks import (
@@ -29,22 +30,24 @@
 NOW_S: Final = 1_700_001_000.0
 SERVICE: Final = 'calc'
 WORKERS_PER_RACK: Final = 20
-ROOM: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
+WORKER_CAPACITY: Final = Resources(cpu_millis=32_000, memory_mb=131_072, gpus=8)
 GPU_SIZES: Final = (1, 2, 4, 8, 8)
 SAME_RACK_SHARE: Final = 0.7
 NEAR_RACK_SHARE: Final = 0.1
 CHECKPOINT_SHARE: Final = 0.4
-STOPPED_SHARE: Final = 0.05
+STOPPING_SHARE: Final = 0.05
 
 
 class Kind(NamedTuple):
-    """A kind of job, as drawn.
+    """A kind of random jobs.
 
-    :param widths: the mean number of tasks of a step.
+    :param mean_width: the mean number of tasks of a step.
+    :param run_s: estimates are half of this to twice this, in seconds.
+    :param gang_share: the share of the jobs that are gangs.
     """
 
     priority: int
-    widths: float
+    mean_width: float
     run_s: float
     cpu_millis: int
     memory_mb: int
@@ -60,58 +63,61 @@
 
 
 class FullCluster(NamedTuple):
-    """One drawn moment.
+    """The state of a random cluster at one moment.
 
     :param runs: the runs of each worker.
-    :param doubts: how far each worker is in doubt.
+    :param failure_scores: by worker.
     :param jobs: jobs that run or wait.
     """
 
     entries: tuple[WorkerEntry, ...]
     runs: dict[str, list[Run]]
-    doubts: dict[str, float]
+    failure_scores: dict[str, float]
     jobs: list[ActiveJob]
     guaranteed: dict[str, int]
 
 
-def draw(*, workers: int, waiting: int, seed: int) -> FullCluster:
-    """Return a cluster that is nearly full, with so many jobs that wait."""
-    source = random.Random(seed)  # noqa: S311
+def draw_cluster(*, workers: int, waiting: int, seed: int) -> FullCluster:
+    """Return a cluster that is nearly full.
+
+    :param waiting: how many jobs wait besides those that do not fit.
+    """
+    rng = random.Random(seed)  # noqa: S311
     entries = tuple(_entry(number) for number in range(workers))
-    free = {entry.worker_id: entry.room for entry in entries}
+    free = {entry.worker_id: entry.capacity for entry in entries}
     cluster = FullCluster(
         entries=entries,
         runs={entry.worker_id: [] for entry in entries},
-        doubts={
-            entry.worker_id: float(source.choice((0, 0, 0, 0, 0, 0, 1, 2)))
+        failure_scores={
+            entry.worker_id: float(rng.choice((0, 0, 0, 0, 0, 0, 1, 2)))
             for entry in entries
         },
         jobs=[],
         guaranteed={f'team-{team}': 8 * team for team in range(5)},
     )
-    refused = 0
-    while refused < 8:
-        job = _job(source, len(cluster.jobs))
+    unplaced = 0
+    while unplaced < 8:
+        job = _job(rng, len(cluster.jobs))
         cluster.jobs.append(job)
-        if not _fill(source, cluster, free, job):
-            refused += 1
+        if not _place(rng, cluster, free, job):
+            unplaced += 1
     for _ in range(waiting):
-        cluster.jobs.append(_job(source, len(cluster.jobs)))
+        cluster.jobs.append(_job(rng, len(cluster.jobs)))
     return cluster
 
 
 def plan_round(cluster: FullCluster) -> Plan:
-    """Return what one round decides, from the runs as they are."""
-    rooms = [
-        Room(
+    """Return the decisions of one round."""
+    workers = [
+        WorkerCapacity(
             entry=entry,
             runs=cluster.runs[entry.worker_id],
-            doubt=cluster.doubts[entry.worker_id],
+            failure_score=cluster.failure_scores[entry.worker_id],
         )
         for entry in cluster.entries
     ]
     planner = Planner(
-        rooms={SERVICE: rooms},
+        workers={SERVICE: workers},
         guaranteed=cluster.guaranteed,
         now_s=NOW_S,
         tickets=lambda job, ready: {},
@@ -119,8 +125,8 @@
     return planner.plan(cluster.jobs)
 
 
-def _is_drawn(source: random.Random, share: float) -> bool:
-    return source.random() < share
+def _draw_bool(rng: random.Random, share: float) -> bool:
+    return rng.random() < share
 
 
 def _entry(number: int) -> WorkerEntry:
@@ -129,30 +135,28 @@
         service=SERVICE,
         address=f'10.0.0.1:{number}',
         data_centre='dc',
-        room=ROOM,
+        capacity=WORKER_CAPACITY,
         labels=('a', f'r{number // WORKERS_PER_RACK}'),
     )
 
 
-def _job(source: random.Random, number: int) -> ActiveJob:
-    kind = source.choices(KINDS, (8.8, 2.1, 2.0))[0]
-    width = max(1, min(int(source.expovariate(1 / kind.widths)), 60))
-    gang = _is_drawn(source, kind.gang_share)
+def _job(rng: random.Random, number: int) -> ActiveJob:
+    kind = rng.choices(KINDS, (8.8, 2.1, 2.0))[0]
+    width = max(1, min(int(rng.expovariate(1 / kind.mean_width)), 60))
+    gang = _draw_bool(rng, kind.gang_share)
     step = Step(
         width=width,
         needs=Resources(
             kind.cpu_millis,
             kind.memory_mb,
-            source.choice(kind.gpu_sizes),
+            rng.choice(kind.gpu_sizes),
         ),
-        estimate_s=kind.run_s * source.uniform(0.5, 2),
+        estimate_s=kind.run_s * rng.uniform(0.5, 2),
         gang=gang,
-        same_rack=gang and _is_drawn(source, SAME_RACK_SHARE),
-        near_rack='r0'
-        if not gang and _is_drawn(source, NEAR_RACK_SHARE)
-        else '',
-        max_per_worker=source.choice((0, 0, 0, 2)),
-        checkpointable=_is_drawn(source, CHECKPOINT_SHARE),
+        same_rack=gang and _draw_bool(rng, SAME_RACK_SHARE),
+        near_rack='r0' if not gang and _draw_bool(rng, NEAR_RACK_SHARE) else '',
+        max_per_worker=rng.choice((0, 0, 0, 2)),
+        checkpointable=_draw_bool(rng, CHECKPOINT_SHARE),
     )
     spec = JobSpec(
         job_id=f'job-{number}',
@@ -166,27 +170,30 @@
             slack_factor=2.0,
             target_s=1.0,
         ),
-        workspace=f'team-{source.randrange(10)}',
+        workspace=f'team-{rng.randrange(10)}',
         payload='text',
         steps=(step,),
-        accepted_at_s=NOW_S - source.uniform(0, 20),
+        accepted_at_s=NOW_S - rng.uniform(0, 20),
     )
     return ActiveJob(spec=spec, progress=JobProgress(queue=spec.queue.name))
 
 
-def _fill(
-    source: random.Random,
+def _place(
+    rng: random.Random,
     cluster: FullCluster,
     free: dict[str, Resources],
     job: ActiveJob,
 ) -> bool:
-    """Let a job run wherever there is room; return whether all of it does."""
+    """Place a job's tasks on random workers; return whether all of them fit.
+
+    Tasks that fit before the first that does not stay placed.
+    """
     step = job.spec.steps[0]
-    age_s = source.uniform(0, step.estimate_s)
-    stopped = _is_drawn(source, STOPPED_SHARE)
+    age_s = rng.uniform(0, step.estimate_s)
+    stopping = _draw_bool(rng, STOPPING_SHARE)
     workers = list(free)
     for key in job.keys_of(0, 0):
-        start = source.randrange(len(workers))
+        start = rng.randrange(len(workers))
         order = workers[start:] + workers[:start]
         worker = next(
             (one for one in order if free[one].covers(step.needs)), ''
@@ -196,7 +203,7 @@
         free[worker] = free[worker].minus(step.needs)
         run = _run(job, key, worker)
         run.age_s = age_s
-        run.stop_wanted = stopped
+        run.stop_wanted = stopping
         job.runs[key] = run
         task = job.progress.task(key)
         task.worker = worker
--- a/bench/record_rounds.py
+++ b/bench/record_rounds.py
@@ -1,22 +1,23 @@
-"""Records what rounds over drawn full clusters decide.
+"""Records the decisions of rounds over random full clusters.
 
-``python -m bench.record_rounds`` writes ``tests/data/recorded_rounds.json``
-anew, after a change of policy; the commit says which plans differ and why.
+After a change of policy, ``python -m bench.record_rounds`` writes
+``tests/data/recorded_rounds.json`` again; the commit says which plans differ
+and why.
 """
 
 import hashlib
 import json
 from typing import Any, Final
 
-from bench.full_cluster import draw, plan_round
+from bench.full_cluster import draw_cluster, plan_round
 from bench.processes import ROOT
 from curranthill.placement import Plan
 
-RECORD: Final = ROOT / 'tests' / 'data' / 'recorded_rounds.json'
+RECORDED_ROUNDS: Final = ROOT / 'tests' / 'data' / 'recorded_rounds.json'
 
 
-def digest_of(plan: Plan) -> str:
-    """Return a digest of all starts and stops, in order."""
+def plan_digest(plan: Plan) -> str:
+    """Return a digest of a plan's starts and stops, in their order."""
     starts = [
         [
             one.job.spec.job_id,
@@ -30,28 +31,32 @@
     return hashlib.sha256(content.encode()).hexdigest()
 
 
-def recorded() -> list[dict[str, Any]]:
-    """Return the rounds on record."""
-    rounds: list[dict[str, Any]] = json.loads(RECORD.read_text('utf-8'))
+def read_recorded_rounds() -> list[dict[str, Any]]:
+    """Return the recorded rounds."""
+    rounds: list[dict[str, Any]] = json.loads(
+        RECORDED_ROUNDS.read_text('utf-8')
+    )
     return rounds
 
 
 def main() -> None:
-    """Plan each round on record again and write what it decides now."""
+    """Plan each recorded round again and record its current decisions."""
     lines = []
-    for one in recorded():
-        drawn = {name: one[name] for name in ('workers', 'waiting', 'seed')}
-        plan = plan_round(draw(**drawn))
+    for one in read_recorded_rounds():
+        parameters = {
+            name: one[name] for name in ('workers', 'waiting', 'seed')
+        }
+        plan = plan_round(draw_cluster(**parameters))
         line = {
-            **drawn,
+            **parameters,
             'placed_steps': len(plan.placements),
             'victims': len(plan.victims),
-            'sha256': digest_of(plan),
+            'sha256': plan_digest(plan),
         }
         print(line, 'as before' if line == one else 'differs')
         lines.append(json.dumps(line))
     rows = ',\n  '.join(lines)
-    RECORD.write_text(f'[\n  {rows}\n]\n', 'utf-8')
+    RECORDED_ROUNDS.write_text(f'[\n  {rows}\n]\n', 'utf-8')
 
 
 if __name__ == '__main__':
--- /dev/null
+++ b/src/curranthill/admission/shedding.py
@@ -0,0 +1,220 @@
+"""Load shedding: whether a host accepts a job while others wait.
+
+Under overload, an accepted job that ends too late for its caller takes
+capacity from jobs that would be in time. If it is refused at once, its caller
+can submit it elsewhere. Only jobs that are too late by a margin are refused.
+The number of waiting jobs is limited too; this bounds the leader's memory and
+the reads of a takeover.
+"""
+
+from typing import Final, NamedTuple
+
+import msgspec
+
+from curranthill.placement import MAX_LATE_FACTOR, URGENT, resources_needed
+from curranthill.tasks import JobSpec, Queue, Resources, Step
+
+#: The format version of the record; hosts ignore forecasts of other versions.
+FORMAT_VERSION: Final = 1
+
+#: The share of the expected wait that a refusal relies on: estimates are wrong
+#: at times, and some waiting jobs are cancelled.
+RELIABLE_WAIT_SHARE: Final = 0.6
+
+#: An older forecast refuses no job, in seconds: one is made each second,
+#: written with a heartbeat and read with the leader's row, and one of these may
+#: fail.
+MAX_FORECAST_AGE_S: Final = 2.5
+
+#: The maximum number of waiting jobs of which no task has started: a new leader
+#: first reads their rows, some 1 KB each, and a host with 5 Mbit/s must finish
+#: this within 4 s.
+MAX_WAITING: Final = 2000
+
+#: The same for one workspace, so that no single caller can fill the queue.
+MAX_WAITING_PER_WORKSPACE: Final = MAX_WAITING // 2
+
+#: The shortest time after which a caller retries, in seconds: the header has
+#: whole seconds.
+MIN_RETRY_AFTER_S: Final = 1.0
+
+#: A refused caller is asked to retry early enough for this many more attempts.
+RETRIES: Final = 4
+
+#: A job with a step wider than this share of the capacity takes longer than its
+#: longest chain, even on idle workers.
+WIDE_STEP_SHARE: Final = 0.25
+
+#: The reasons for a refusal.
+TOO_LATE: Final = 'too late'
+WORKSPACE_FULL: Final = 'too many of the workspace wait'
+FULL: Final = 'too many wait'
+
+
+class ServiceForecast(msgspec.Struct, array_like=True):
+    """The forecast for one service.
+
+    :param total: the capacity of all its workers.
+    :param largest_free: the most that is free on any one worker, for each
+        resource separately.
+    :param waits: by priority, ascending pairs of an objective (seconds from
+        now) and the wait expected of a job whose objective is not earlier.
+    """
+
+    name: str
+    total: Resources = Resources()
+    largest_free: Resources = Resources()
+    waits: dict[int, tuple[tuple[float, float], ...]] = {}
+
+    def wait_s(self, priority: int, objective_s: float) -> float:
+        """Return the wait expected of a job, in seconds.
+
+        :param objective_s: its objective, in seconds from now.
+        """
+        return max(
+            (
+                wait_s
+                for due_s, wait_s in self.waits.get(priority, ())
+                if due_s <= objective_s
+            ),
+            default=0.0,
+        )
+
+
+class Forecast(msgspec.Struct, array_like=True):
+    """The leader's forecast of the wait of new jobs.
+
+    :param number: incremented with each forecast of one leader.
+    :param waiting: the number of jobs of which no task has started.
+    :param services: the services with long waits.
+    :param unused_guarantees: accelerators left of each workspace's guarantee,
+        only for workspaces with urgent jobs beyond it; others count as covered.
+    :param full_workspaces: the workspaces with too many waiting jobs.
+    """
+
+    format_version: int = FORMAT_VERSION
+    number: int = 0
+    waiting: int = 0
+    services: tuple[ServiceForecast, ...] = ()
+    unused_guarantees: dict[str, int] = {}
+    full_workspaces: tuple[str, ...] = ()
+
+    def covers(self, spec: JobSpec) -> bool:
+        """Return whether a guarantee may cover a job."""
+        if spec.queue.priority != URGENT:
+            return False
+        unused = self.unused_guarantees.get(spec.workspace)
+        return unused is None or spec.gpus <= unused
+
+
+class Refusal(NamedTuple):
+    """The refusal of a job.
+
+    :param wait_s: its expected wait, in seconds.
+    :param retry_after_s: the time until its caller should retry, in seconds.
+    :param jitter_s: the maximum time to add at random, so that callers do not
+        all retry at the same time.
+    """
+
+    reason: str
+    wait_s: float
+    retry_after_s: float
+    jitter_s: float
+
+
+def check_admission(
+    spec: JobSpec,
+    forecast: Forecast | None,
+    age_s: float,
+) -> Refusal | None:
+    """Return the refusal of a job; nothing if it is accepted.
+
+    :param forecast: the newest one that was read, if any.
+    :param age_s: the time since it was read, by the reader's clock.
+    """
+    if (
+        forecast is None
+        or forecast.format_version != FORMAT_VERSION
+        or age_s > MAX_FORECAST_AGE_S
+    ):
+        return None
+    if forecast.covers(spec):
+        return None
+    wait_s = _wait_s(spec, forecast)
+    reason = _reason(spec, forecast, wait_s)
+    if not reason:
+        return None
+    # All jobs of a queue have the same wait: the earlier the objective, the
+    # less time is left and the sooner the caller retries.
+    latest_s = (credit_until_s(spec) - spec.critical_path_s) / RETRIES
+    retry_after_s = max(min(wait_s, latest_s), MIN_RETRY_AFTER_S)
+    return Refusal(reason, wait_s, retry_after_s, jitter_s=retry_after_s / 2)
+
+
+def has_objective(queue: Queue) -> bool:
+    """Return whether a queue's configuration sets an objective."""
+    return queue.target_s > 0 or queue.slack_factor > 1
+
+
+def _reason(spec: JobSpec, forecast: Forecast, wait_s: float) -> str:
+    if forecast.waiting >= MAX_WAITING:
+        return FULL
+    if spec.workspace in forecast.full_workspaces:
+        return WORKSPACE_FULL
+    min_s = RELIABLE_WAIT_SHARE * wait_s + spec.critical_path_s
+    if wait_s and min_s > credit_until_s(spec):
+        return TOO_LATE
+    return ''
+
+
+def _wait_s(spec: JobSpec, forecast: Forecast) -> float:
+    """Return the wait expected of a job; 0 if it is uncertain."""
+    unbounded = spec.times or any(step.perpetual for step in spec.steps)
+    if unbounded or not has_objective(spec.queue):
+        return 0.0
+    for service in forecast.services:
+        if service.name == spec.queue.service and _must_wait(spec, service):
+            objective_s = spec.objective_s - spec.accepted_at_s
+            return service.wait_s(spec.queue.priority, objective_s)
+    return 0.0
+
+
+def _must_wait(spec: JobSpec, service: ServiceForecast) -> bool:
+    """Return whether no task of a job can start now and no step is wide.
+
+    The longest chain does not show how long a job with a wide step takes.
+    """
+    return not any(
+        _is_wide(step, service.total)
+        or service.largest_free.covers(resources_needed(step))
+        for step in spec.steps
+    )
+
+
+def _is_wide(step: Step, total: Resources) -> bool:
+    return any(
+        step.width * need > WIDE_STEP_SHARE * have
+        for need, have in zip(resources_needed(step), total, strict=True)
+    )
+
+
+def credit_until_s(spec: JobSpec) -> float:
+    """Return until when a job earns credit, in seconds from acceptance."""
+    return MAX_LATE_FACTOR * (spec.objective_s - spec.accepted_at_s)
+
+
+__all__ = (
+    'FORMAT_VERSION',
+    'FULL',
+    'MAX_FORECAST_AGE_S',
+    'MAX_WAITING',
+    'MAX_WAITING_PER_WORKSPACE',
+    'TOO_LATE',
+    'WORKSPACE_FULL',
+    'Forecast',
+    'Refusal',
+    'ServiceForecast',
+    'check_admission',
+    'credit_until_s',
+    'has_objective',
+)
--- a/src/curranthill/commands/standin.py
+++ b/src/curranthill/commands/standin.py
@@ -8,38 +8,41 @@
 from curranthill.application import Application
 from curranthill.clock import SystemClock
 from curranthill.commands.daemons import EPILOG, Version, run_daemon
-from curranthill.configuration import checked, merge, read_folder
+from curranthill.configuration import merge, read_folder, validate_document
 from curranthill.configuration.records import ConfigurationDocument
 from curranthill.settings import LogSettings
-from curranthill.standin import SiteEntry, StandinServer
+from curranthill.standin import StandinServer, WorkerSpec
 
 app = typer.Typer(add_completion=True, rich_markup_mode=None)
 
-#: Connections of a worker of which no service says otherwise.
-_CONNECTIONS = 64
+#: The connection limit of workers if no service sets one.
+_DEFAULT_CONNECTIONS = 64
 
 
 class StandinOptions(NamedTuple):
-    """What the stand-in stands in for and where it listens."""
+    """The workers, the address and the rate limits of a stand-in."""
 
-    sites: tuple[SiteEntry, ...]
+    worker_specs: tuple[WorkerSpec, ...]
     host: str
     port: int
     writes_per_s: float
     reads_per_s: float
 
 
-def sites_of(document: ConfigurationDocument) -> tuple[SiteEntry, ...]:
-    """Return the workers that a configuration's data centres have."""
+def worker_specs(document: ConfigurationDocument) -> tuple[WorkerSpec, ...]:
+    """Return the workers of all data centres of a configuration.
+
+    Each allows as many connections as the service with the fewest.
+    """
     connections = min(
         (service.connections for service in document.services.values()),
-        default=_CONNECTIONS,
+        default=_DEFAULT_CONNECTIONS,
     )
-    sites: list[SiteEntry] = []
+    specs: list[WorkerSpec] = []
     for name, data_centre in document.data_centres.items():
         for rack_name, rack in data_centre.racks.items():
-            sites.extend(
-                SiteEntry(
+            specs.extend(
+                WorkerSpec(
                     name=f'{rack_name}-w{number:02d}',
                     data_centre=name,
                     rack=rack_name,
@@ -48,7 +51,7 @@
                 )
                 for number in range(1, rack.workers + 1)
             )
-    return tuple(sites)
+    return tuple(specs)
 
 
 @app.command(epilog=EPILOG)
@@ -56,7 +59,7 @@
     folder: Annotated[
         Path,
         typer.Argument(
-            help='The configuration folder whose site to stand for.'
+            help='The configuration folder whose workers to simulate.'
         ),
     ],
     *,
@@ -66,35 +69,35 @@
     reads_per_s: float = 2000,
     version: Version = False,
 ) -> None:
-    """Stand in for the platform and the workers of a configuration folder.
+    """Simulate the platform and the workers of a configuration folder.
 
-    For tests, demos and load only: nothing is kept.
+    For tests, demos and load tests only: all state is lost when it stops.
     """
-    document = checked(merge(read_folder(folder).contents))
+    document = validate_document(merge(read_folder(folder).contents))
     options = StandinOptions(
-        sites=sites_of(document),
+        worker_specs=worker_specs(document),
         host=host,
         port=port,
         writes_per_s=writes_per_s,
         reads_per_s=reads_per_s,
     )
     run_daemon(
-        lambda: _application(options),
+        lambda: _create_application(options),
         name='standin',
         logs=LogSettings(style='readable'),
     )
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line from the process arguments."""
     app()
 
 
-def _application(options: StandinOptions) -> Application:
+def _create_application(options: StandinOptions) -> Application:
     application = Application(name='standin')
     server = StandinServer(
         clock=SystemClock(),
-        sites=options.sites,
+        worker_specs=options.worker_specs,
         writes_per_s=options.writes_per_s,
         reads_per_s=options.reads_per_s,
     )
@@ -107,4 +110,4 @@
     return application
 
 
-__all__ = ('app', 'main', 'sites_of')
+__all__ = ('app', 'main', 'worker_specs')
--- a/src/curranthill/dispatch/journal.py
+++ b/src/curranthill/dispatch/progress_writer.py
@@ -1,4 +1,4 @@
-"""Group commit of jobs' progress: one write under way, the rest gather."""
+"""Group commit of job progress: one write at a time, changes are batched."""
 
 import asyncio
 from typing import Any, Final
@@ -9,23 +9,23 @@
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import encode, tables
 
-#: Most jobs in one write; the platform takes 100 entries a call.
-JOBS_PER_WRITE: Final = 64
+#: The most jobs in one write; the platform accepts 100 entries a call.
+MAX_JOBS_PER_WRITE: Final = 64
 
-#: Most bytes of progress in one write, unless one job has more. Each write
-#: carries the heartbeat, which a large one would hold up on a slow link.
-BYTES_PER_WRITE: Final = 64_000
+#: The most bytes of progress in one write, unless a single job has more. Each
+#: write is also the heartbeat, which a large one would delay on a slow link.
+MAX_BYTES_PER_WRITE: Final = 64_000
 
-#: The leader writes at least so often, in seconds, so that others see it
-#: alive; a standby takes over after some four silent intervals.
+#: The longest interval between two writes of the leader, in seconds, so that
+#: others see it alive; a standby takes over after four silent intervals.
 HEARTBEAT_S: Final = 0.35
 
 
-class Journal:
-    """Writes progress rows under the leader's condition."""
+class ProgressWriter:
+    """Writes changed progress rows on the condition of leadership."""
 
     def __init__(self, *, leadership: Leadership, clock: Clock) -> None:
-        """Start with nothing to write."""
+        """Initialize the writer without changes."""
         self._leadership = leadership
         self._clock = clock
         self._dirty: dict[str, ActiveJob] = {}
@@ -33,36 +33,37 @@
         self._pending: bytes = b''
         self._pending_written: bytes = b''
         self._wake = asyncio.Event()
-        self._next: asyncio.Future[None] | None = None
+        self._next_write: asyncio.Future[None] | None = None
 
-    def note(self, job: ActiveJob) -> None:
-        """Have a job's progress written."""
+    def record(self, job: ActiveJob) -> None:
+        """Queue a job's progress for the next write."""
         self._dirty[job.spec.job_id] = job
         self._wake.set()
 
-    def note_pending(self, content: bytes) -> None:
-        """Have the queue lengths written with the next write."""
+    def record_pending(self, content: bytes) -> None:
+        """Set the queue lengths that the next write stores."""
         self._pending = content
 
-    def note_outlook(self, outlook: Any) -> None:
-        """Have what waits written with each write from now on."""
-        self._leadership.outlook = outlook
+    def publish_forecast(self, forecast: Any) -> None:
+        """Set the forecast that each write stores from now on."""
+        self._leadership.forecast = forecast
 
     def remove(self, removal: RowRemoval) -> None:
-        """Have a row removed."""
+        """Queue the removal of a row."""
         self._removals.append(removal)
 
-    async def saved(self) -> None:
-        """Return once all that was noted so far is stored."""
-        if self._next is None:
-            self._next = asyncio.get_running_loop().create_future()
+    async def stored(self) -> None:
+        """Return once everything recorded so far is stored."""
+        if self._next_write is None:
+            self._next_write = asyncio.get_running_loop().create_future()
         self._wake.set()
-        await asyncio.shield(self._next)
+        await asyncio.shield(self._next_write)
 
     async def run(self) -> None:
         """Write until leadership is lost.
 
-        :raises LeadershipLostError: then; who waits is told the same.
+        :raises LeadershipLostError: when it is; callers that wait for a write
+            get the same error.
         """
         while True:
             await wait_at_most(
@@ -71,20 +72,20 @@
                 clock=self._clock,
             )
             self._wake.clear()
-            waiting = self._next
-            self._next = None
+            waiters = self._next_write
+            self._next_write = None
             try:
                 await self._write_all()
             except BaseException as error:
-                if waiting is not None and not waiting.done():
-                    waiting.set_exception(error)
-                    waiting.exception()
+                if waiters is not None and not waiters.done():
+                    waiters.set_exception(error)
+                    waiters.exception()
                 raise
-            if waiting is not None and not waiting.done():
-                waiting.set_result(None)
+            if waiters is not None and not waiters.done():
+                waiters.set_result(None)
 
     async def _write_all(self) -> None:
-        """Write all that is noted now; at least the heartbeat."""
+        """Write all recorded changes; without any, just the heartbeat."""
         jobs = list(self._dirty.values())
         self._dirty.clear()
         batch: list[RowPut] = []
@@ -92,7 +93,9 @@
         for job in jobs:
             content = encode(job.progress)
             size += len(content)
-            full = len(batch) >= JOBS_PER_WRITE or size > BYTES_PER_WRITE
+            full = (
+                len(batch) >= MAX_JOBS_PER_WRITE or size > MAX_BYTES_PER_WRITE
+            )
             if batch and full:
                 await self._leadership.write(batch)
                 batch = []
@@ -103,10 +106,10 @@
                 RowPut(tables.LEADER, tables.PENDING_KEY, self._pending),
             )
         pending = self._pending
-        removals = self._removals[: JOBS_PER_WRITE // 3]
+        removals = self._removals[: MAX_JOBS_PER_WRITE // 3]
         self._removals = self._removals[len(removals) :]
         await self._leadership.write(batch, removals)
         self._pending_written = pending
 
 
-__all__ = ('HEARTBEAT_S', 'Journal')
+__all__ = ('HEARTBEAT_S', 'ProgressWriter')
--- /dev/null
+++ b/src/curranthill/dispatch/run_list.py
@@ -0,0 +1,227 @@
+"""The runs that may exist at one worker, reconciled with its reports."""
+
+from typing import TYPE_CHECKING, Final
+
+from curranthill.clock import Clock
+from curranthill.dispatch.crashes import WORKER_RESTARTED
+from curranthill.dispatch.ends import EndTracker
+from curranthill.dispatch.owner import SessionOwner
+from curranthill.dispatch.workers import (
+    EndReport,
+    LeaseOrder,
+    LeaseReport,
+    RunReport,
+)
+from curranthill.placement import ASSIGNED, ORDERED, RUNNING, UNKNOWN, Run
+from curranthill.tasks import Resources, TaskKey
+from curranthill.telemetry.events import events
+
+if TYPE_CHECKING:
+    from curranthill.dispatch.session import WorkerSession
+
+#: A stop without effect is sent again after this time, in seconds.
+STOP_REPEAT_S: Final = 0.5
+
+#: The maximum age of the previous report, in seconds, for the end of a run to
+#: show its duration: twice as long as a renewal waits for a run to end.
+MAX_REPORT_GAP_S: Final = 3.0
+
+
+class RunList:
+    """The runs that may exist at a worker, and which of its ends are recorded.
+
+    :param runs: by task and attempt.
+    :param ends: of the worker's current incarnation.
+    :param unconfirmed: runs whose start got a response and that no report has
+        listed yet.
+    """
+
+    def __init__(
+        self,
+        *,
+        session: 'WorkerSession',
+        owner: SessionOwner,
+        clock: Clock,
+    ) -> None:
+        """Initialize the list of a worker that has not reported yet."""
+        self.runs: dict[tuple[TaskKey, int], Run] = {}
+        self.unconfirmed: set[tuple[TaskKey, int]] = set()
+        self._previous_runs: set[tuple[TaskKey, int]] = set()
+        self._reported_clock_s = 0.0
+        self._session = session
+        self._owner = owner
+        self._clock = clock
+        self.ends = EndTracker(wait_stored=owner.ends_stored, clock=clock)
+
+    @property
+    def any_unconfirmed(self) -> bool:
+        """Return whether some start may have reached another incarnation."""
+        if self.unconfirmed:
+            return True
+        return any(run.state == ORDERED for run in self.runs.values())
+
+    def fits(self, run: Run, capacity: Resources) -> bool:
+        """Return whether a run fits into a capacity beside those sent there.
+
+        Runs that are being stopped still use capacity.
+        """
+        taken = run.needs
+        for one in self.runs.values():
+            if one is not run and one.state != ASSIGNED:
+                taken = taken.plus(one.needs)
+        return capacity.covers(taken)
+
+    def expect_listed(self, run: Run) -> None:
+        """Expect a report to list a run, unless one has listed its end."""
+        if self.runs.get(run.name) is run:
+            self.unconfirmed.add(run.name)
+
+    def reset(self, *, restarted: bool = True) -> None:
+        """Count ends from zero again, as another incarnation does.
+
+        With the old count, its first ends would be taken for known ones and be
+        acknowledged unread, so tasks that are done would run again. Runs are
+        checked against the reports of the new incarnation.
+
+        :param restarted: whether a previous incarnation was known.
+        """
+        self.ends.close()
+        self.ends = EndTracker(
+            wait_stored=self._owner.ends_stored, clock=self._clock
+        )
+        if restarted:
+            self._previous_runs.update(self.runs)
+
+    def apply(
+        self,
+        report: LeaseReport,
+        order: LeaseOrder,
+        sent_s: float,
+    ) -> None:
+        """Apply the report that responds to an order sent at the given time."""
+        seen = {(one.task, one.attempt) for one in report.runs}
+        new_ends = self.ends.unrecorded(report.ends)
+        self._log_skipped_ends(report.ends)
+        seen.update((end.task, end.attempt) for end in new_ends)
+        self.unconfirmed.difference_update(seen)
+        self._previous_runs.difference_update(seen)
+        for one in report.runs:
+            self._apply_run(one, report.clock_s)
+        for run in list(self.runs.values()):
+            if run.name not in seen:
+                self._check_absent(run, order, sent_s)
+        self._apply_ends(new_ends, report.clock_s)
+
+    def invalidate_ordered(self) -> None:
+        """Set starts under way to unknown: they may or may not take effect."""
+        for run in self.runs.values():
+            if run.state == ORDERED:
+                run.state = UNKNOWN
+
+    def drop_absent(self, run: Run, reason: str) -> None:
+        """Drop a run that does not exist and never will."""
+        if self.runs.get(run.name) is not run:
+            return
+        self.runs.pop(run.name)
+        self.unconfirmed.discard(run.name)
+        self._previous_runs.discard(run.name)
+        self._owner.run_absent(self._session, run, reason)
+
+    def drop_all(self, reason: str) -> None:
+        """Drop all runs as absent."""
+        for run in list(self.runs.values()):
+            self.drop_absent(run, reason)
+
+    def _apply_run(self, report: RunReport, clock_s: float) -> None:
+        run = self.runs.get((report.task, report.attempt))
+        now_s = self._clock.monotonic_s()
+        if run is None:
+            run = self._adopt_stray(report, now_s)
+        if run.state in {ORDERED, UNKNOWN}:
+            run.state = RUNNING
+            run.confirmed_s = now_s
+        if report.done_percent != run.done_percent:
+            run.percent_changed_s = now_s
+        run.done_percent = report.done_percent
+        run.age_s = now_s - run.started_s
+        if report.checkpoint:
+            run.checkpoint = report.checkpoint
+        run.update_progress_rate(clock_s)
+        if run.stop_wanted:
+            if now_s - run.stop_sent_s > STOP_REPEAT_S:
+                run.stop_sent_s = now_s
+                self._owner.resend_stop(self._session, run)
+            return
+        self._owner.run_reported(self._session, run)
+
+    def _adopt_stray(self, report: RunReport, now_s: float) -> Run:
+        """Track a run without a stored assignment, in order to stop it."""
+        events.log(
+            'stray_run',
+            task=str(report.task),
+            attempt=report.attempt,
+            worker=self._session.worker_id,
+        )
+        run = Run(
+            key=report.task,
+            attempt=report.attempt,
+            worker_id=self._session.worker_id,
+            needs=self._owner.needs_of(report.task),
+            priority=0,
+            checkpointable=False,
+            state=RUNNING,
+            now_s=now_s,
+        )
+        run.stop_wanted = True
+        self.runs[run.name] = run
+        return run
+
+    def _check_absent(self, run: Run, order: LeaseOrder, sent_s: float) -> None:
+        """Drop a run that a report should have listed and did not."""
+        previous = self._is_previous(run)
+        if run.state == UNKNOWN:
+            if run.ordered_token < order.token:
+                reason = WORKER_RESTARTED if previous else 'never started'
+                self.drop_absent(run, reason)
+        elif run.state == RUNNING and run.confirmed_s < sent_s:
+            self.drop_absent(
+                run, WORKER_RESTARTED if previous else 'not listed'
+            )
+
+    def _is_previous(self, run: Run) -> bool:
+        """Return whether a run was placed in a previous incarnation."""
+        if run.incarnation and self._session.incarnation:
+            return run.incarnation != self._session.incarnation
+        return run.name in self._previous_runs
+
+    def _log_skipped_ends(self, ends: tuple[EndReport, ...]) -> None:
+        """Log ends that count as recorded although their runs are tracked."""
+        for end in ends:
+            known = end.number <= self.ends.recorded
+            if known and (end.task, end.attempt) in self.runs:
+                events.log(
+                    'end_passed_over',
+                    task=str(end.task),
+                    attempt=end.attempt,
+                    how=end.kind,
+                    worker=self._session.worker_id,
+                    number=end.number,
+                    noted=self.ends.recorded,
+                )
+
+    def _apply_ends(self, ends: list[EndReport], clock_s: float) -> None:
+        prompt = clock_s - self._reported_clock_s < MAX_REPORT_GAP_S
+        self._reported_clock_s = clock_s
+        if not ends:
+            return
+        for end in ends:
+            run = self.runs.get((end.task, end.attempt))
+            if run is not None and prompt:
+                run.update_final_rate(clock_s)
+            self._owner.run_ended(self._session, end)
+            self.runs.pop((end.task, end.attempt), None)
+            self.ends.record(end)
+        self._owner.session_changed(self._session)
+
+
+__all__ = ('RunList',)
--- a/src/curranthill/dispatch/unready.py
+++ b/src/curranthill/dispatch/unready.py
@@ -1,28 +1,28 @@
-"""Tells operators of jobs that are not ready though nothing of them works."""
+"""Logs jobs that are not ready although none of their runs is active."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
 from typing import Final
 
 from curranthill.clock import Clock
-from curranthill.dispatch.holds import DUE, Hold, Holds
+from curranthill.dispatch.blockers import DUE, Blocker, BlockerFinder
 from curranthill.dispatch.session import WorkerSession
 from curranthill.placement import ActiveJob
 from curranthill.telemetry.events import events
 
-#: Jobs logged for each priority and second, the oldest first.
-LOGGED_JOBS: Final = 2
+#: The most jobs logged per priority and second, the oldest first.
+MAX_LOGGED_JOBS: Final = 2
 
-#: A job is logged that has been held for so long, in seconds: starts, stops
-#: and moves are over sooner.
+#: A job is logged once it has been blocked for this long, in seconds: starts,
+#: stops and moves take less time.
 LOGGED_FROM_S: Final = 2.0
 
-#: Held tasks that one line names; the rest are counted.
-NAMED_TASKS: Final = 3
+#: The most blocking tasks listed in one log line; the others are counted.
+MAX_NAMED_TASKS: Final = 3
 
 
-class UnreadyJobs:
-    """Logs the oldest jobs that something holds, and what it is."""
+class UnreadyJobReporter:
+    """Logs the oldest blocked jobs with the reason."""
 
     def __init__(
         self,
@@ -30,73 +30,73 @@
         clock: Clock,
         sessions: Mapping[str, WorkerSession],
     ) -> None:
-        """Start with no job known to be held."""
+        """Initialize the reporter without blocked jobs."""
         self._clock = clock
-        self._holds = Holds(clock=clock, sessions=sessions)
+        self._finder = BlockerFinder(clock=clock, sessions=sessions)
         self._since_s: dict[str, float] = {}
 
-    def show(self, jobs: Iterable[ActiveJob]) -> None:
-        """Log what holds jobs, given the oldest first."""
-        held = self._held(jobs)
+    def report(self, jobs: Iterable[ActiveJob]) -> None:
+        """Log blocked jobs, given all jobs with the oldest first."""
+        blocked = self._find_blocked(jobs)
         now_s = self._clock.monotonic_s()
         self._since_s = {
             job.spec.job_id: self._since_s.get(job.spec.job_id, now_s)
-            for job, _ in held
+            for job, _ in blocked
         }
-        told: dict[int, int] = defaultdict(int)
-        # What is only due later must not hide what is held by a fault.
-        for job, hold in sorted(held, key=_is_due_later):
+        logged: dict[int, int] = defaultdict(int)
+        # Jobs that are not due yet must not crowd out those with a fault.
+        for job, blocker in sorted(blocked, key=_is_due_later):
             held_s = now_s - self._since_s[job.spec.job_id]
             priority = job.spec.queue.priority
-            if held_s >= LOGGED_FROM_S and told[priority] < LOGGED_JOBS:
-                told[priority] += 1
-                self._tell(job, hold, held_s)
+            if held_s >= LOGGED_FROM_S and logged[priority] < MAX_LOGGED_JOBS:
+                logged[priority] += 1
+                self._log(job, blocker, held_s)
 
-    def _held(
+    def _find_blocked(
         self,
         jobs: Iterable[ActiveJob],
-    ) -> list[tuple[ActiveJob, Hold]]:
+    ) -> list[tuple[ActiveJob, Blocker]]:
         now_s = self._clock.wall_s()
-        held = []
+        blocked = []
         for job in jobs:
-            if _is_free(job, now_s):
-                # Most jobs of a backlog end here.
+            if _is_surely_unblocked(job, now_s):
+                # A cheap check that sorts out most jobs of a backlog.
                 continue
-            hold = self._holds.of(job)
-            if hold is not None:
-                held.append((job, hold))
-        return held
+            blocker = self._finder.find(job)
+            if blocker is not None:
+                blocked.append((job, blocker))
+        return blocked
 
-    def _tell(self, job: ActiveJob, hold: Hold, held_s: float) -> None:
+    def _log(self, job: ActiveJob, blocker: Blocker, held_s: float) -> None:
         spec = job.spec
         events.log(
             'not_ready',
             job=spec.job_id,
             priority=spec.queue.priority,
             workspace=spec.workspace,
-            occurrence=hold.occurrence,
-            step=hold.step,
-            tasks=spec.steps[hold.step].width,
-            held_by=hold.reason,
+            occurrence=blocker.occurrence,
+            step=blocker.step,
+            tasks=spec.steps[blocker.step].width,
+            held_by=blocker.reason,
             held_s=round(held_s, 1),
             waited_s=round(self._clock.wall_s() - spec.accepted_at_s, 1),
-            held_tasks=len(hold.tasks),
-            held=hold.tasks[:NAMED_TASKS],
-            later_steps=hold.later_steps,
-            due_in_s=hold.due_in_s,
+            held_tasks=len(blocker.tasks),
+            held=blocker.tasks[:MAX_NAMED_TASKS],
+            later_steps=blocker.later_steps,
+            due_in_s=blocker.due_in_s,
         )
 
 
-def _is_free(job: ActiveJob, now_s: float) -> bool:
-    """Return whether it is sure at a glance that nothing holds a job."""
+def _is_surely_unblocked(job: ActiveJob, now_s: float) -> bool:
+    """Return whether a cheap check shows that nothing blocks a job."""
     progress = job.progress
     if job.runs or progress.done_steps or job.first_due_s > now_s:
         return False
     return not any(task.worker or task.done for task in progress.tasks.values())
 
 
-def _is_due_later(held: tuple[ActiveJob, Hold]) -> bool:
-    return held[1].reason == DUE
+def _is_due_later(blocked: tuple[ActiveJob, Blocker]) -> bool:
+    return blocked[1].reason == DUE
 
 
-__all__ = ('UnreadyJobs',)
+__all__ = ('UnreadyJobReporter',)
--- a/src/curranthill/entry/revisions.py
+++ b/src/curranthill/entry/revisions.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the store; it never goes back."""
+"""Follows the configuration in the store; older revisions are ignored."""
 
 import asyncio
 import math
@@ -6,7 +6,7 @@
 from typing import Final
 
 from curranthill.clock import Clock, wait_at_most
-from curranthill.entry.closures import Closures
+from curranthill.entry.closed_data_centres import ClosedDataCentres
 from curranthill.storage.follower import TableFollower
 from curranthill.storage.rows import (
     MalformedRecordError,
@@ -18,22 +18,22 @@
 from curranthill.telemetry.events import events
 
 #: How long a request waits for the configuration to be read again, in seconds;
-#: then its caller is told to come back.
-RECHECK_PATIENCE_S: Final = 0.3
+#: after that its caller is told to retry.
+CONFIRM_TIMEOUT_S: Final = 0.3
 
 RevisionDecoder = Callable[[StoredRow], Revision | None]
 
 
 class RevisionFollower:
-    """Holds the configuration in force on this host.
+    """Tracks the configuration in force on this host.
 
-    :param closures: is given the same rows, of which some close data centres,
-        and knows how old the knowledge of them is.
+    :param closed_data_centres: gets the same rows, some of which close data
+        centres, and knows the age of the information.
     :param decode: returns a row's configuration, or nothing for other rows;
-        raises :class:`MalformedRecordError` for one that can't be read, and
-        what is in force stays so.
-    :param in_force_s: how soon a change must be in force, in seconds; 0 for
-        no bound.
+        raises :class:`MalformedRecordError` for a malformed one, which is
+        ignored.
+    :param in_force_s: the time within which a change must be in force, in
+        seconds; 0 for no bound.
     """
 
     def __init__(
@@ -43,38 +43,38 @@
         clock: Clock,
         table: str,
         decode: RevisionDecoder,
-        closures: Closures,
+        closed_data_centres: ClosedDataCentres,
         in_force_s: float = 0.0,
     ) -> None:
-        """Start without a configuration."""
+        """Initialize without a configuration."""
         self.current: Revision | None = None
-        self._in_force_s = in_force_s or math.inf
+        self._max_age_s = in_force_s or math.inf
         self._was_fresh = True
         self._clock = clock
         self._decode = decode
-        self._closures = closures
-        self._checked = asyncio.Event()
-        self._doubted = asyncio.Event()
+        self._closed_data_centres = closed_data_centres
+        self._confirmed = asyncio.Event()
+        self._invalidated = asyncio.Event()
         self._follower = TableFollower(
             store=store,
             clock=clock,
             table=table,
-            take_all=self._take_all,
-            take_changes=self._take_changes,
-            confirm=closures.confirm,
+            on_snapshot=self._replace_all,
+            on_changes=self._apply_changes,
+            on_confirmed=closed_data_centres.confirm,
         )
 
     async def run(self) -> None:
         """Follow until cancelled."""
         await self._follower.read()
-        self._checked.set()
-        await asyncio.gather(self._follower.follow(), self._check_again())
+        self._confirmed.set()
+        await asyncio.gather(self._follower.follow(), self._reconfirm())
 
     @property
     def is_fresh(self) -> bool:
-        """Return whether every change that is due by now would be known."""
-        age_s = self._closures.age_s
-        fresh = age_s < self._in_force_s
+        """Return whether all changes that must be in force by now are known."""
+        age_s = self._closed_data_centres.age_s
+        fresh = age_s < self._max_age_s
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             events.log(
@@ -84,38 +84,41 @@
             )
         return fresh
 
-    def doubt(self) -> None:
-        """Read the configuration again: it may have changed unseen."""
-        self._checked.clear()
-        self._doubted.set()
+    def invalidate(self) -> None:
+        """Have the configuration read again: it may have changed unnoticed."""
+        self._confirmed.clear()
+        self._invalidated.set()
 
-    async def checked(self) -> bool:
-        """Return whether no doubt is left, waiting a while for that."""
-        if self._checked.is_set():
+    async def wait_until_confirmed(self) -> bool:
+        """Wait until the configuration was read since it was last invalidated.
+
+        Returns whether that happened within the timeout.
+        """
+        if self._confirmed.is_set():
             return True
         return await wait_at_most(
-            self._checked.wait(),
-            timeout_s=RECHECK_PATIENCE_S,
+            self._confirmed.wait(),
+            timeout_s=CONFIRM_TIMEOUT_S,
             clock=self._clock,
         )
 
-    async def _check_again(self) -> None:
+    async def _reconfirm(self) -> None:
         while True:
-            await self._doubted.wait()
-            self._doubted.clear()
+            await self._invalidated.wait()
+            self._invalidated.clear()
             await self._follower.read()
-            if not self._doubted.is_set():
-                self._checked.set()
+            if not self._invalidated.is_set():
+                self._confirmed.set()
 
-    def _take_all(self, rows: tuple[StoredRow, ...]) -> None:
-        self._closures.take_all(rows)
-        self._take(rows)
+    def _replace_all(self, rows: tuple[StoredRow, ...]) -> None:
+        self._closed_data_centres.replace_all(rows)
+        self._apply_revisions(rows)
 
-    def _take_changes(self, rows: tuple[StoredRow, ...]) -> None:
-        self._closures.take_changes(rows)
-        self._take(rows)
+    def _apply_changes(self, rows: tuple[StoredRow, ...]) -> None:
+        self._closed_data_centres.apply_changes(rows)
+        self._apply_revisions(rows)
 
-    def _take(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_revisions(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             try:
                 revision = self._decode(row)
@@ -127,20 +130,20 @@
                     in_force=self.current.number if self.current else -1,
                     error=str(error),
                 )
-                metrics.records_bad.add(1, {'kind': 'revision'})
+                metrics.malformed_records.add(1, {'kind': 'revision'})
                 continue
             if revision is not None:
                 self._put_in_force(revision)
 
     def _put_in_force(self, revision: Revision) -> None:
-        before = self.current.number if self.current else -1
-        if revision.number <= before:
+        previous = self.current.number if self.current else -1
+        if revision.number <= previous:
             return
         self.current = revision
         events.log(
             'revision_in_force',
             number=revision.number,
-            before=before,
+            before=previous,
             queues=len(revision.queues),
         )
 
--- a/src/curranthill/gateway/allotment.py
+++ b/src/curranthill/gateway/allotment.py
@@ -1,29 +1,29 @@
-"""Report quick demand to the scheduler and obey what it allots."""
+"""Reports demand for quick work and applies the scheduler's allotment."""
 
 from typing import Final
 
 from loguru import logger
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder
+from curranthill.configuration import ActiveConfiguration
 from curranthill.errors import PeerError
 from curranthill.membership import Member, View
 from curranthill.membership.notify import Notifier
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_report
+from curranthill.protocol.methods import report_method
 from curranthill.routing import AllottedWorker, Router, WorkerPool
 from curranthill.storage import HostDirectory
 
-#: How often a gateway reports; well inside the term of a grant.
+#: The interval of reports, in seconds; well within the term of a grant.
 REPORT_INTERVAL_S: Final = 1.0
 _CALL_TIMEOUT_S: Final = 1.0
 
-#: Without an allotment for so long, any worker of the list is tried.
+#: After this time without an allotment all listed workers are used, in seconds.
 _FALLBACK_S: Final = 10.0
 
 
 class AllotmentLoop:
-    """Keep the pool as the scheduler says, or as the host list says."""
+    """Keeps the worker pool as allotted by the scheduler, or as listed."""
 
     def __init__(  # noqa: WPS211
         self,
@@ -33,11 +33,11 @@
         channels: Channels,
         notifier: Notifier,
         directory: HostDirectory,
-        configuration: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         pool: WorkerPool,
         router: Router,
     ) -> None:
-        """Keep the parts."""
+        """Initialize to use listed workers until the first allotment."""
         self._app = app
         self._view = view
         self._channels = channels
@@ -49,9 +49,9 @@
         self._last_allotment_s = app.clock.monotonic_s() - _FALLBACK_S
 
     async def start(self) -> None:
-        """Report from now on."""
+        """Start reporting in the background."""
         self._app.spawn(self._run(), name='allotment')
-        self._directory.listen(self._drop_leaving)
+        self._directory.add_listener(self._mark_draining)
 
     async def _run(self) -> None:
         while True:
@@ -68,7 +68,7 @@
             await self._app.clock.sleep(REPORT_INTERVAL_S)
 
     async def _own_allotment(self, peak: int) -> list[AllottedWorker] | None:
-        scheduler = self._notifier.active(self._view.own.data_centre)
+        scheduler = self._notifier.active_scheduler(self._view.own.data_centre)
         if scheduler is None:
             return None
         return await self._report(scheduler, peak, spill=False)
@@ -78,13 +78,17 @@
         own: list[AllottedWorker] | None,
         peak: int,
     ) -> list[AllottedWorker]:
-        """Ask the region's other data centres when ours is full or gone."""
+        """Request workers of the region's other data centres for overflow.
+
+        They are needed when requests wait or this data centre has no
+        allotment.
+        """
         waiting = self._router.waiting
         if own and not waiting:
             return []
         demand = waiting if own else peak
-        for name in self._neighbours():
-            scheduler = self._notifier.active(name)
+        for name in self._data_centres_nearby():
+            scheduler = self._notifier.active_scheduler(name)
             if scheduler is None:
                 continue
             workers = await self._report(scheduler, demand, spill=True)
@@ -99,12 +103,12 @@
         *,
         spill: bool,
     ) -> list[AllottedWorker] | None:
-        """Report demand; take the grant and return the allotted workers."""
-        asked_s = self._app.clock.monotonic_s()
+        """Report demand, apply the grant and return the allotted workers."""
+        requested_s = self._app.clock.monotonic_s()
         try:
             allotment = await self._channels.call(
                 scheduler.address,
-                call_report,
+                report_method,
                 inner_pb2.DemandReport(
                     gateway=self._view.own.name,
                     most_in_flight=demand,
@@ -114,54 +118,54 @@
             )
         except PeerError as error:
             logger.bind(step=error.step, peer=scheduler.name).debug(
-                'no allotment: {}',
+                'scheduler sent no allotment: {}',
                 error.message,
             )
             return None
         if allotment.workers:
             self._pool.grant(
                 allotment.workers[0].connections,
-                asked_s,
+                requested_s,
                 allotment.term_s,
                 spill=spill,
             )
         return [
             AllottedWorker(worker.name, worker.address, worker.slots, spill)
             for worker in allotment.workers
-            if not self._leaving(worker.name)
+            if not self._is_draining(worker.name)
         ]
 
     def _allot(self, workers: list[AllottedWorker]) -> None:
         own = self._view.own.data_centre
         self._pool.allot(workers, len(self._view.alive('gateway', own)))
 
-    def _neighbours(self) -> list[str]:
+    def _data_centres_nearby(self) -> list[str]:
         """Return the other data centres of this region, in a fixed order."""
-        places = self._configuration.document.data_centres
+        data_centres = self._configuration.document.data_centres
         own = self._view.own.data_centre
-        if own not in places:
+        if own not in data_centres:
             return []
-        region = places[own].region
+        region = data_centres[own].region
         return [
             name
-            for name, place in sorted(places.items())
-            if name != own and place.region == region
+            for name, data_centre in sorted(data_centres.items())
+            if name != own and data_centre.region == region
         ]
 
     def _listed(self) -> list[AllottedWorker]:
-        """Serve quick work without a scheduler: try every listed worker."""
+        """Return all listed workers, to be used without a scheduler."""
         return [
             AllottedWorker(entry.host, entry.address, entry.slots)
             for entry in self._directory.workers(self._view.own.data_centre)
             if not entry.leaving
         ]
 
-    def _drop_leaving(self) -> None:
+    def _mark_draining(self) -> None:
         for worker in self._pool:
-            if self._leaving(worker.name):
-                worker.leaving = True
+            if self._is_draining(worker.name):
+                worker.draining = True
 
-    def _leaving(self, name: str) -> bool:
+    def _is_draining(self, name: str) -> bool:
         entry = self._directory.entries.get(name)
         return entry is not None and entry.leaving
 
--- a/src/curranthill/membership/node.py
+++ b/src/curranthill/membership/node.py
@@ -1,4 +1,4 @@
-"""What every daemon has in common: platform, peers, configuration."""
+"""Components that all daemons share: platform, peers and configuration."""
 
 import secrets
 import time
@@ -6,24 +6,24 @@
 from typing import Any, NamedTuple
 
 from curranthill.application import Application
-from curranthill.configuration import ConfigurationHolder, RevisionStore
+from curranthill.configuration import ActiveConfiguration, RevisionStore
 from curranthill.membership.notify import Notifier
 from curranthill.membership.operations import OperationsService
 from curranthill.membership.prober import PeerService, Prober
-from curranthill.membership.spread import ConfigurationSpread
+from curranthill.membership.replication import ConfigurationReplicator
 from curranthill.membership.view import Member, View
 from curranthill.protocol import Channels, InnerServer
 from curranthill.settings import (
     HostSettings,
     MembershipSettings,
     PlatformSettings,
-    shared_key,
+    read_shared_key,
 )
 from curranthill.storage import HostDirectory, Platform, platforms
 
 
 class NodeSettings(NamedTuple):
-    """The settings that every daemon shares."""
+    """The settings that all daemons share."""
 
     host: HostSettings
     platform: PlatformSettings
@@ -31,9 +31,9 @@
 
 
 class Node:
-    """The parts that a gateway and a scheduler share.
+    """The components that a gateway and a scheduler share.
 
-    :param app: owns the parts' tasks and hooks.
+    :param app: owns the tasks and hooks of the components.
     :param role: ``gateway`` or ``scheduler``.
     """
 
@@ -44,15 +44,15 @@
         settings: NodeSettings,
         role: str,
     ) -> None:
-        """Make the parts; nothing runs yet."""
+        """Initialize the components without starting them."""
         self.app = app
         self.settings = settings
         host = settings.host
-        key = shared_key(settings.membership.key_file)
+        key = read_shared_key(settings.membership.key_file)
         self.platform: Platform = platforms.get(settings.platform.client)(
             settings.platform.url,
         )
-        self.configuration = ConfigurationHolder()
+        self.configuration = ActiveConfiguration()
         self.channels = Channels(key=key)
         self.view = View(
             own=Member(
@@ -60,7 +60,7 @@
                 role=role,
                 data_centre=host.data_centre,
                 address='',
-                # Wall seconds make a restarted process newer than before.
+                # The wall clock gives a restarted process a higher number.
                 incarnation=int(time.time()) * 1000 + secrets.randbelow(1000),
             ),
             clock=app.clock,
@@ -82,9 +82,9 @@
             channels=self.channels,
             settings=settings.membership,
         )
-        self.spread = ConfigurationSpread(
+        self.replicator = ConfigurationReplicator(
             app=app,
-            holder=self.configuration,
+            configuration=self.configuration,
             revisions=RevisionStore(platform=self.platform, clock=app.clock),
             view=self.view,
             channels=self.channels,
@@ -95,12 +95,12 @@
 
     @property
     def address(self) -> str:
-        """Return where peers reach this process."""
+        """Return the address at which peers reach this process."""
         return self.view.own.address
 
     async def serve(self, handlers: Sequence[Any]) -> None:
-        """Serve the inner protocol, with more handlers of the daemon's own."""
-        peers = PeerService(prober=self.prober, content=self.spread.content)
+        """Serve the inner protocol, with additional handlers of the daemon."""
+        peers = PeerService(prober=self.prober, content=self.replicator.content)
         operations = OperationsService(
             view=self.view,
             configuration=self.configuration,
@@ -116,17 +116,17 @@
         )
 
     async def join(self) -> None:
-        """Read the host list, look for peers, follow the configuration."""
+        """Read the host list, join the peers and follow the configuration."""
         await self.directory.start()
         await self.prober.start()
-        await self.spread.start()
+        await self.replicator.start()
 
     async def leave(self) -> None:
-        """Tell peers that this process leaves."""
+        """Announce to peers that this process leaves."""
         await self.prober.leave()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Stop serving and close all connections."""
         if self._server is not None:
             await self._server.stop()
         await self.channels.close()
--- a/src/curranthill/membership/spread.py
+++ b/src/curranthill/membership/replication.py
@@ -1,4 +1,4 @@
-"""How a process learns of a new configuration: by the table and by peers."""
+"""Replicates the configuration from the table and from peers."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from curranthill.application import Application
 from curranthill.configuration import (
-    ConfigurationHolder,
+    ActiveConfiguration,
     Manifest,
     RevisionStore,
     canonical_json,
@@ -18,51 +18,51 @@
 )
 from curranthill.membership.view import Member, View
 from curranthill.protocol import Channels, inner_pb2
-from curranthill.protocol.calls import call_fetch_configuration
+from curranthill.protocol.methods import fetch_configuration_method
 
 FETCH_TIMEOUT_S = 3.0
 
 
-class ConfigurationSpread:
-    """Move the holder upwards from whichever source is first.
+class ConfigurationReplicator:
+    """Updates the active configuration from whichever source is first.
 
-    :param interval_s: the time between two reads of the table's row.
+    :param interval_s: the interval between two reads of the table's row.
     """
 
     def __init__(  # noqa: WPS211
         self,
         *,
         app: Application,
-        holder: ConfigurationHolder,
+        configuration: ActiveConfiguration,
         revisions: RevisionStore,
         view: View,
         channels: Channels,
         interval_s: float,
     ) -> None:
-        """Listen to the view for higher revisions."""
+        """Initialize and subscribe to the view and to the configuration."""
         self._app = app
-        self._holder = holder
+        self._configuration = configuration
         self._revisions = revisions
         self._view = view
         self._channels = channels
         self._interval_s = interval_s
         self._fetching = False
-        view.listen(self._on_member)
-        holder.listen(self._tell)
+        view.add_listener(self._on_member)
+        configuration.add_listener(self._publish_revision)
 
     async def start(self) -> None:
-        """Read the table at once, then now and then."""
+        """Read the table at once, then periodically."""
         self._app.spawn(self._poll(), name='revision poll')
 
     def content(self, above_revision: int) -> inner_pb2.ConfigurationContent:
-        """Return what is in force, empty if it is not above the asked one."""
-        holder = self._holder
-        if holder.revision <= above_revision:
+        """Return the configuration in force, or none if it is not newer."""
+        configuration = self._configuration
+        if configuration.revision <= above_revision:
             return inner_pb2.ConfigurationContent()
         return inner_pb2.ConfigurationContent(
-            revision=holder.revision,
-            manifest_json=json.dumps(holder.manifest._asdict()),
-            merged_json=canonical_json(holder.merged),
+            revision=configuration.revision,
+            manifest_json=json.dumps(configuration.manifest._asdict()),
+            merged_json=canonical_json(configuration.merged),
         )
 
     async def _poll(self) -> None:
@@ -71,23 +71,23 @@
                 await self._read_table()
             except (StorageError, ConfigurationError) as error:
                 logger.bind(step=error.step, peer=error.peer).debug(
-                    'the revision row cannot be read: {}',
+                    'cannot read the revision row: {}',
                     error.message,
                 )
             await self._app.clock.sleep(self._interval_s)
 
     async def _read_table(self) -> None:
-        manifest = await self._revisions.manifest()
-        if manifest.revision > self._holder.revision:
-            merged = await self._revisions.document(manifest)
-            self._holder.move(manifest, merged)
+        manifest = await self._revisions.read_manifest()
+        if manifest.revision > self._configuration.revision:
+            merged = await self._revisions.read_document(manifest)
+            self._configuration.activate(manifest, merged)
 
-    def _tell(self) -> None:
-        self._view.update_own(revision=self._holder.revision)
+    def _publish_revision(self) -> None:
+        self._view.update_own(revision=self._configuration.revision)
 
     def _on_member(self, member: Member) -> None:
-        behind = member.revision > self._holder.revision
-        if behind and member.answers and not self._fetching:
+        behind = member.revision > self._configuration.revision
+        if behind and member.is_reachable and not self._fetching:
             self._fetching = True
             self._app.spawn(self._fetch(member), name='configuration fetch')
 
@@ -95,15 +95,15 @@
         try:
             content = await self._channels.call(
                 member.address,
-                call_fetch_configuration,
+                fetch_configuration_method,
                 inner_pb2.FetchConfigurationRequest(
-                    above_revision=self._holder.revision,
+                    above_revision=self._configuration.revision,
                 ),
                 FETCH_TIMEOUT_S,
             )
         except PeerError as error:
             logger.bind(step=error.step, peer=error.peer).debug(
-                'a peer gave no configuration: {}',
+                'cannot fetch the configuration from a peer: {}',
                 error.message,
             )
             return
@@ -111,7 +111,9 @@
             self._fetching = False
         if content.revision:
             manifest = Manifest(**json.loads(content.manifest_json))
-            self._holder.move(manifest, json.loads(content.merged_json))
+            self._configuration.activate(
+                manifest, json.loads(content.merged_json)
+            )
 
 
-__all__ = ('ConfigurationSpread',)
+__all__ = ('ConfigurationReplicator',)
--- a/src/curranthill/placement/jobs.py
+++ b/src/curranthill/placement/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as the leader holds them: what is ready, what runs, what is over."""
+"""The leader's records of jobs: which steps are ready, run, or are done."""
 
 import math
 from collections.abc import Iterator
@@ -6,9 +6,9 @@
 
 from curranthill.placement.runs import RUNNING, Run
 from curranthill.placement.suspects import (
-    ALONE_PATIENCE_S,
-    LASTING_PATIENCE_S,
-    TRIED_S,
+    EXCLUSIVE_MAX_WAIT_S,
+    PERPETUAL_MAX_WAIT_S,
+    SUSPECT_TRIAL_S,
     is_suspect,
 )
 from curranthill.tasks import (
@@ -23,13 +23,13 @@
 
 
 class ReadyStep(NamedTuple):
-    """Tasks of one step whose turn has come and of which no run can exist.
+    """Tasks of one step that may start now and of which no run can exist.
 
-    :param tickets: by worker, for queues whose policy allows only some.
-    :param alone: nothing else may run on their workers.
-    :param suspect: one of the tasks may be what crashed its workers.
-    :param starving: their job has waited for long while most room is free, and
-        takes room that is kept.
+    :param tickets: by worker, for queues whose advisor allows only some.
+    :param exclusive: whether nothing else may run on their workers.
+    :param suspect: whether one of the tasks is suspected of crashing workers.
+    :param starving: whether their job has waited for a long time while most
+        capacity is free, so that they may use reserved capacity.
     """
 
     occurrence: int
@@ -37,46 +37,48 @@
     step: Step
     tasks: tuple[TaskKey, ...]
     tickets: dict[str, str] | None = None
-    alone: bool = False
+    exclusive: bool = False
     suspect: bool = False
     starving: bool = False
 
     @property
     def name(self) -> str:
-        """Return the name that an advisor knows the step by."""
+        """Return the name under which an advisor knows the step."""
         key = self.tasks[0]
         return f'{key.job_id}.{key.occurrence}.{key.step}'
 
 
 class ActiveJob:
-    """One accepted job that still matters to the leader.
+    """An accepted job that has not ended, or whose runs have not.
 
-    What the specification alone tells is worked out once: each round asks it
-    of every job.
+    Values that depend only on the specification are computed once, since each
+    round uses them for every job.
 
     :param runs: the newest run of each task that may exist.
-    :param lasting: whether tasks of it run until it is cancelled.
+    :param perpetual: whether some of its tasks run until it is cancelled.
     :param objective_s: when it should be done, in wall-clock seconds.
-    :param first_due_s: from when on that counts, in wall-clock seconds.
-    :param chain_s: the estimated longest chain of its steps, in seconds.
-    :param gpus: the accelerators that all its tasks take together.
-    :param suspects: tasks that may be what crashed their workers.
+    :param first_due_s: from when the time of the objective counts, in
+        wall-clock seconds.
+    :param critical_path_s: the estimated time of its longest chain of steps,
+        in seconds.
+    :param gpus: the accelerators that all its tasks use together.
+    :param suspects: tasks that are suspected of crashing their workers.
     """
 
     def __init__(self, *, spec: JobSpec, progress: JobProgress) -> None:
-        """Take in a job with its progress as stored."""
+        """Initialize a job from its stored specification and progress."""
         self.spec = spec
         self.progress = progress
         self.runs: dict[TaskKey, Run] = {}
-        self.lasting = any(step.perpetual for step in spec.steps)
+        self.perpetual = any(step.perpetual for step in spec.steps)
         self.objective_s = spec.objective_s
         self.first_due_s = max(spec.accepted_at_s, spec.due_s(0))
-        self.chain_s = spec.chain_s
+        self.critical_path_s = spec.critical_path_s
         self.gpus = spec.gpus
         self.suspects: set[TaskKey] = set()
-        self._waits_since_s: dict[TaskKey, float] = {}
+        self._waiting_since_s: dict[TaskKey, float] = {}
         self._idle_since_s: float | None = None
-        self._made_way: set[tuple[int, int]] = set()
+        self._preempted_for: set[tuple[int, int]] = set()
         self._done_steps: set[tuple[int, int]] = set()
         self._keys: dict[tuple[int, int], tuple[TaskKey, ...]] = {}
         for name, task in progress.tasks.items():
@@ -95,11 +97,11 @@
 
     @property
     def stops(self) -> int:
-        """Return how often runs of it were stopped for others."""
+        """Return how often runs of it were preempted."""
         return self.progress.stops
 
     def ready_steps(self, now_s: float) -> Iterator[ReadyStep]:
-        """Yield what may start at a wall-clock time in seconds."""
+        """Yield the steps that may start at a wall-clock time in seconds."""
         if self.ended:
             return
         for occurrence in range(self.spec.occurrences):
@@ -110,20 +112,20 @@
                 if ready is None:
                     continue
                 if self.suspects:
-                    yield from self._apart(ready, now_s)
+                    yield from self._isolate_suspects(ready, now_s)
                 else:
                     yield ready
 
     def keys_of(self, occurrence: int, number: int) -> tuple[TaskKey, ...]:
         """Return the keys of one step's tasks."""
-        place = (occurrence, number)
-        keys = self._keys.get(place)
+        step_id = (occurrence, number)
+        keys = self._keys.get(step_id)
         if keys is None:
             keys = tuple(
                 TaskKey(self.spec.job_id, occurrence, number, rank)
                 for rank in range(self.spec.steps[number].width)
             )
-            self._keys[place] = keys
+            self._keys[step_id] = keys
         return keys
 
     def step_of(self, key: TaskKey) -> Step:
@@ -131,34 +133,34 @@
         return self.spec.steps[key.step]
 
     def members_of(self, key: TaskKey) -> tuple[TaskKey, ...]:
-        """Return the tasks that run and end with this one."""
+        """Return the tasks that run and end together with this one."""
         if self.step_of(key).gang:
             return self.keys_of(key.occurrence, key.step)
         return (key,)
 
     def next_attempt(self, tasks: tuple[TaskKey, ...]) -> int:
         """Return an attempt number above all those of the tasks."""
-        known = (self.progress.peek(key) for key in tasks)
+        known = (self.progress.find_task(key) for key in tasks)
         return 1 + max((task.attempt for task in known if task), default=0)
 
     def step_done(self, occurrence: int, number: int) -> bool:
         """Return whether all tasks of a step are done."""
-        place = (occurrence, number)
-        if place in self._done_steps:
+        step_id = (occurrence, number)
+        if step_id in self._done_steps:
             return True
         if self.progress.is_step_done(occurrence, number):
-            self._note_step_done(place)
+            self._record_step_done(step_id)
             return True
         keys = self.keys_of(occurrence, number)
         done = all(self._is_done(key) for key in keys)
         if done:
-            self._note_step_done(place)
-            self.progress.note_step_done(occurrence, number, len(keys))
+            self._record_step_done(step_id)
+            self.progress.record_step_done(occurrence, number, len(keys))
         return done
 
     def check_completed(self, now_s: float) -> bool:
         """Set the job's state once every task is done."""
-        if self.ended or self.lasting:
+        if self.ended or self.perpetual:
             return False
         for occurrence in range(self.spec.occurrences):
             for number, _ in enumerate(self.spec.steps):
@@ -168,37 +170,37 @@
         self.progress.ended_at_s = now_s
         return True
 
-    def note_losses(self, key: TaskKey) -> None:
-        """Take note of what a task's losses make it."""
+    def record_losses(self, key: TaskKey) -> None:
+        """Update whether a task is a suspect, by its recorded losses."""
         if is_suspect(self.progress.task(key)):
             self.suspects.add(key)
         else:
             self.suspects.discard(key)
 
-    def whole_since_s(self, key: TaskKey) -> float:
-        """Return since when a task and all its fellows run, if they do.
+    def gang_running_since_s(self, key: TaskKey) -> float:
+        """Return since when a task and all members of its gang run.
 
-        A gang works only from then on. Infinite as long as one does not run.
+        A gang makes progress only from then on. Infinite if one doesn't run.
         """
         since_s = 0.0
         for member in self.members_of(key):
             run = self.runs.get(member)
             if run is None or run.state != RUNNING:
                 return math.inf
-            since_s = max(since_s, run.settled_s)
+            since_s = max(since_s, run.confirmed_s)
         return since_s
 
-    def is_alone(self, key: TaskKey) -> bool:
-        """Return whether a task's run is to have its worker for itself."""
+    def is_exclusive(self, key: TaskKey) -> bool:
+        """Return whether a task's run must have its worker exclusively."""
         if not self.suspects:
             return False
         return any(one in self.suspects for one in self.members_of(key))
 
     def idle_s(self, now_s: float) -> float:
-        """Return how long it has had something ready and nothing running.
+        """Return how long it has had a ready step and nothing running.
 
-        Counted from the first call, and anew after each start and when the
-        clock was set back.
+        Counted from the first call; reset by each start, and if the clock was
+        set back.
 
         :param now_s: wall-clock seconds.
         """
@@ -208,77 +210,79 @@
         self._idle_since_s = since_s
         return now_s - since_s
 
-    def _apart(self, ready: ReadyStep, now_s: float) -> Iterator[ReadyStep]:
+    def _isolate_suspects(
+        self, ready: ReadyStep, now_s: float
+    ) -> Iterator[ReadyStep]:
         """Yield a step's suspects apart from its other tasks, one at a time.
 
-        Started together, the tasks of a step that all crash their workers
-        would take as many workers down at once. A gang starts as a whole.
+        If the tasks of a step all crash their workers, starting them together
+        would crash as many workers at once. A gang starts as a whole.
         """
         suspects = [key for key in ready.tasks if key in self.suspects]
         if not suspects:
             yield ready
             return
         if ready.step.gang:
-            alone = self._waits_alone(suspects[0], now_s)
-            yield ready._replace(alone=alone, suspect=True)
+            exclusive = self._awaits_exclusive(suspects[0], now_s)
+            yield ready._replace(exclusive=exclusive, suspect=True)
             return
         others = tuple(key for key in ready.tasks if key not in self.suspects)
         if others:
             yield ready._replace(tasks=others)
-        if self._is_trying() and not ready.step.perpetual:
+        if self._is_on_trial() and not ready.step.perpetual:
             return
-        alone = self._waits_alone(suspects[0], now_s)
+        exclusive = self._awaits_exclusive(suspects[0], now_s)
         first = (suspects[0],)
-        yield ready._replace(tasks=first, alone=alone, suspect=True)
+        yield ready._replace(tasks=first, exclusive=exclusive, suspect=True)
 
-    def _is_trying(self) -> bool:
-        """Return whether a suspect runs that may yet crash its worker."""
+    def _is_on_trial(self) -> bool:
+        """Return whether a suspect is running that is still on trial."""
         return any(
-            run.age_s < TRIED_S
+            run.age_s < SUSPECT_TRIAL_S
             for key, run in self.runs.items()
             if key in self.suspects
         )
 
-    def may_make_way(self, ready: ReadyStep) -> bool:
-        """Use up a step's one preemption for speed; return whether it was left.
+    def claim_preemption(self, ready: ReadyStep) -> bool:
+        """Use up a step's one preemption for speed; return whether it had one.
 
-        A gang would stop others again in each round otherwise.
+        Without this limit a gang would preempt others again in each round.
         """
-        place = (ready.occurrence, ready.number)
-        if place in self._made_way:
+        step_id = (ready.occurrence, ready.number)
+        if step_id in self._preempted_for:
             return False
-        self._made_way.add(place)
+        self._preempted_for.add(step_id)
         return True
 
-    def end_wait(self, key: TaskKey) -> None:
-        """Have a job, and a suspect of it, wait anew the next time."""
-        self._waits_since_s.pop(key, None)
+    def reset_wait(self, key: TaskKey) -> None:
+        """Reset the waiting time of a job and of a suspect of it."""
+        self._waiting_since_s.pop(key, None)
         self._idle_since_s = None
 
-    def _waits_alone(self, key: TaskKey, now_s: float) -> bool:
-        """Return whether a suspect still waits for a worker of its own."""
-        patience_s = ALONE_PATIENCE_S
+    def _awaits_exclusive(self, key: TaskKey, now_s: float) -> bool:
+        """Return whether a suspect still waits for an empty worker."""
+        max_wait_s = EXCLUSIVE_MAX_WAIT_S
         if self.step_of(key).perpetual:
-            patience_s = LASTING_PATIENCE_S
-        since_s = self._waits_since_s.setdefault(key, now_s)
+            max_wait_s = PERPETUAL_MAX_WAIT_S
+        since_s = self._waiting_since_s.setdefault(key, now_s)
         if now_s < since_s:
-            # The clock was set back; it is not known by how much.
-            self._waits_since_s[key] = now_s
+            # The clock was set back by an unknown amount.
+            self._waiting_since_s[key] = now_s
             return True
-        return now_s - since_s < patience_s
+        return now_s - since_s < max_wait_s
 
-    def _note_step_done(self, place: tuple[int, int]) -> None:
-        self._done_steps.add(place)
-        self._keys.pop(place, None)
+    def _record_step_done(self, step_id: tuple[int, int]) -> None:
+        self._done_steps.add(step_id)
+        self._keys.pop(step_id, None)
 
     def _is_done(self, key: TaskKey) -> bool:
-        task = self.progress.peek(key)
+        task = self.progress.find_task(key)
         return task is not None and task.done
 
     def _is_waiting(self, key: TaskKey) -> bool:
         if key in self.runs:
             return False
-        task = self.progress.peek(key)
+        task = self.progress.find_task(key)
         return task is None or not (task.done or task.worker)
 
     def _ready_step(
@@ -300,9 +304,9 @@
         return ReadyStep(occurrence, number, step, waiting)
 
 
-def checkpoint_of(tasks: list[TaskProgress]) -> str:
-    """Return the newest checkpoint that any of the tasks has."""
+def newest_checkpoint(tasks: list[TaskProgress]) -> str:
+    """Return the newest checkpoint of the tasks, empty if none has one."""
     return max((task.checkpoint for task in tasks), default='')
 
 
-__all__ = ('ActiveJob', 'ReadyStep', 'checkpoint_of')
+__all__ = ('ActiveJob', 'ReadyStep', 'newest_checkpoint')
--- a/src/curranthill/placement/order.py
+++ b/src/curranthill/placement/order.py
@@ -1,22 +1,21 @@
-"""Which waiting jobs are looked at first, and which a guarantee covers.
+"""The order in which waiting jobs are served, and which a guarantee covers.
 
-Answers the load in which more waits than fits: whoever comes first in a round
-takes what is free.
+If more jobs wait than fit, the first in this order use the free capacity.
 """
 
 from collections.abc import Iterable, Mapping
 
-from curranthill.placement.earnings import (
-    is_hopeless,
-    is_late,
-    is_served_again,
-)
 from curranthill.placement.jobs import ActiveJob
 from curranthill.placement.runs import URGENT
+from curranthill.placement.timeliness import (
+    has_aged,
+    is_infeasible,
+    is_late,
+)
 
 
 def is_urgent(job: ActiveJob) -> bool:
-    """Return whether a job's queue goes before all others."""
+    """Return whether a job's queue has the urgent priority."""
     return job.spec.queue.priority == URGENT
 
 
@@ -26,8 +25,8 @@
 ) -> set[str]:
     """Return the ids of urgent jobs that their workspace's guarantee covers.
 
-    Earlier jobs are covered first, so that one more job never takes the
-    guarantee away from those before it.
+    Earlier jobs are covered first, so that a later job never removes the
+    guarantee of those before it.
 
     :param guaranteed: guaranteed accelerators by workspace.
     """
@@ -44,62 +43,65 @@
     return covered
 
 
-def hopeless_jobs(
+def infeasible_jobs(
     jobs: Iterable[ActiveJob],
     covered: set[str],
     now_s: float,
 ) -> set[str]:
-    """Return the ids of jobs that wait until all others are served.
+    """Return the ids of infeasible jobs, which are served after all others.
 
-    :param covered: ids of jobs that a guarantee covers: it goes first.
+    :param covered: ids of jobs that a guarantee covers; these are served first
+        in any case.
     :param now_s: wall-clock seconds.
     """
     return {
         job.spec.job_id
         for job in jobs
-        if not job.lasting
+        if not job.perpetual
         and job.spec.job_id not in covered
-        and is_hopeless(job, now_s)
+        and is_infeasible(job, now_s)
     }
 
 
 def late_jobs(jobs: Iterable[ActiveJob], now_s: float) -> set[str]:
     """Return the ids of jobs that will miss their objective in any case.
 
-    They go after jobs of their priority that can be in time, until aging ends
-    that.
+    They are served after the jobs of their priority that can be in time, until
+    they have aged.
 
     :param now_s: wall-clock seconds.
     """
     return {
         job.spec.job_id
         for job in jobs
-        if not job.lasting
+        if not job.perpetual
         and is_late(job, now_s)
-        and not is_served_again(job, now_s)
+        and not has_aged(job, now_s)
     }
 
 
-def in_order(
+def in_service_order(
     jobs: Iterable[ActiveJob],
     covered: set[str],
-    hopeless: set[str],
+    infeasible: set[str],
     late: set[str],
 ) -> list[ActiveJob]:
-    """Return jobs as they are served: guarantees, what lasts, then by need.
+    """Return jobs in the order in which they are served.
 
-    Within a priority the earliest objective goes first: it has the least time
-    left to earn its worth.
+    Guaranteed jobs are first, then perpetual ones, then the others by priority.
+    Within a priority the earliest objective is first: it has the least time
+    left to earn its credit.
 
-    :param hopeless: ids of jobs that go after all others.
-    :param late: ids of jobs that go after the others of their priority.
+    :param covered: ids of jobs that a guarantee covers.
+    :param infeasible: ids of jobs that are served after all others.
+    :param late: ids of jobs that are served after the others of their priority.
     """
     return sorted(
         jobs,
         key=lambda job: (
             job.spec.job_id not in covered,
-            job.spec.job_id in hopeless,
-            not job.lasting,
+            job.spec.job_id in infeasible,
+            not job.perpetual,
             job.spec.queue.priority,
             job.spec.job_id in late,
             job.objective_s,
@@ -109,8 +111,8 @@
 
 __all__ = (
     'covered_jobs',
-    'hopeless_jobs',
-    'in_order',
+    'in_service_order',
+    'infeasible_jobs',
     'is_urgent',
     'late_jobs',
 )
--- a/src/curranthill/placement/planner.py
+++ b/src/curranthill/placement/planner.py
@@ -1,61 +1,71 @@
-"""One round of placement: which tasks start where, and what is stopped."""
+"""One round of placement: which tasks start where, and which runs stop."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
 from curranthill.placement.backlog import JOBS_PER_ROUND, BacklogCursor
-from curranthill.placement.evictions import Eviction, Evictions
+from curranthill.placement.capacity import (
+    ServiceCapacity,
+    WorkerCapacity,
+    resources_needed,
+)
+from curranthill.placement.evictions import Eviction, EvictionFinder
 from curranthill.placement.fitting import (
     Fit,
+    candidate_groups,
     choose_group,
-    give_back,
-    groups_of,
-    in_time,
+    release_all,
     waits_for_rack,
+    without_delaying_workers,
 )
 from curranthill.placement.jobs import ActiveJob, ReadyStep
-from curranthill.placement.losses import Losses
+from curranthill.placement.lost_work import LostWork
 from curranthill.placement.mechanisms import (
-    ALL_ON,
     BOUNDED_LOSS,
-    HOPELESS_LAST,
     IN_TIME_FIRST,
-    RACK_PATIENCE,
+    INFEASIBLE_LAST,
+    NONE_DISABLED,
+    RACK_WAIT,
     RESERVATION,
 )
 from curranthill.placement.order import (
     covered_jobs,
-    hopeless_jobs,
-    in_order,
+    in_service_order,
+    infeasible_jobs,
     is_urgent,
     late_jobs,
 )
-from curranthill.placement.paces import ANY, Pace, pace_of
+from curranthill.placement.required_speed import (
+    ANY,
+    RequiredSpeed,
+    required_speed,
+)
+from curranthill.placement.reservation_windows import ReservationWindows
 from curranthill.placement.reservations import (
-    RESERVATIONS,
-    find_room_to_keep,
-    keep,
-    wait_for_room_s,
+    MAX_RESERVATIONS,
+    find_workers_to_reserve,
+    reserve,
+    wait_for_capacity_s,
 )
-from curranthill.placement.rooms import Room, ServiceRooms, room_needed
 from curranthill.placement.runs import Run
-from curranthill.placement.starvation import PATIENCE_S, is_most_room_free
-from curranthill.placement.suspects import ALONE_SHARE
-from curranthill.placement.turns import ReservationTurns
+from curranthill.placement.starvation import MAX_IDLE_S, is_mostly_free
+from curranthill.placement.suspects import EXCLUSIVE_SHARE
 from curranthill.tasks import Resources, Step, TaskKey
 
+#: An urgent job that no guarantee covers may destroy at most this multiple of
+#: its own work: beyond that, others lose more than its caller gains.
+MAX_LOSS_FACTOR: Final = 3.0
 
-#: An urgent job that no guarantee covers may throw away at most so many times
-#: its own work: more of it would serve others worse than it serves its caller.
-MOST_LOSS_SHARE: Final = 3.0
-
-#: The rooms of a service that has no workers.
-_NO_ROOMS: Final = ServiceRooms(rooms=())
+#: The capacity of a service without workers.
+_NO_CAPACITY: Final = ServiceCapacity(workers=())
 
 
 class Placement(NamedTuple):
-    """Tasks of one step that start now; gangs are placed whole."""
+    """Tasks of one step that start now; a gang is placed as a whole.
+
+    :param workers: the tasks and the ids of their workers.
+    """
 
     job: ActiveJob
     ready: ReadyStep
@@ -63,12 +73,13 @@
 
 
 class Plan(NamedTuple):
-    """What one round decided.
+    """The decisions of one round.
 
-    :param stopped_for: for each of the victims, the id of the job that its
-        room goes to.
-    :param reserved_for: the ids of the jobs that room is kept for, by
-        reservation or after a preemption, in the order of their turn.
+    :param victims: the runs to stop.
+    :param stopped_for: for each of the victims, the id of the job that it is
+        stopped for.
+    :param reserved_for: the ids of the jobs that have capacity reserved or
+        claimed after a preemption, in the order in which they are served.
     """
 
     placements: tuple[Placement, ...]
@@ -77,73 +88,77 @@
     reserved_for: tuple[str, ...] = ()
 
 
-def as_estimated(queue: str) -> float:
-    """Return the ratio of run time to estimate of which nothing is known."""
+def ratio_of_one(queue: str) -> float:
+    """Return 1, the ratio of run time to estimate if none is known."""
     return 1.0
 
 
 class Planner:
-    """One round of decisions over a snapshot.
+    """One round of decisions on a snapshot.
 
-    :param rooms: the workers that accept work, by service.
+    :param workers: the capacity of the workers that accept work, by service.
     :param guaranteed: guaranteed accelerators by workspace.
     :param now_s: wall-clock seconds.
-    :param tickets: returns a step's good tickets by worker; asked only for
+    :param tickets: returns a step's valid tickets by worker; called only for
         queues with an advisor.
-    :param turns: who keeps room for how long, over all rounds.
-    :param backlog: where a long backlog is gone on with, over all rounds.
-    :param without: mechanisms that are switched off.
+    :param windows: the reservation windows, shared by all rounds.
+    :param backlog: the position in a long backlog, shared by all rounds.
+    :param disabled: mechanisms that are switched off.
     :param ratio_of: returns run time over estimate in a queue, by its name.
     """
 
     def __init__(
         self,
         *,
-        rooms: Mapping[str, Sequence[Room]],
+        workers: Mapping[str, Sequence[WorkerCapacity]],
         guaranteed: Mapping[str, int],
         now_s: float,
         tickets: Callable[[ActiveJob, ReadyStep], dict[str, str]],
-        turns: ReservationTurns | None = None,
+        windows: ReservationWindows | None = None,
         backlog: BacklogCursor | None = None,
-        without: frozenset[str] = ALL_ON,
-        ratio_of: Callable[[str], float] = as_estimated,
+        disabled: frozenset[str] = NONE_DISABLED,
+        ratio_of: Callable[[str], float] = ratio_of_one,
     ) -> None:
-        """Keep the snapshot."""
+        """Initialize a round in which nothing is decided."""
         self._ratio_of = ratio_of
         self._tickets = tickets
-        self._turns = turns or ReservationTurns()
+        self._windows = windows or ReservationWindows()
         self._backlog = backlog or BacklogCursor()
-        self._without = without
+        self._disabled = disabled
         self._services = {
-            service: ServiceRooms(rooms=found)
-            for service, found in rooms.items()
+            service: ServiceCapacity(workers=found)
+            for service, found in workers.items()
         }
-        self._rooms = {
-            room.entry.worker_id: room
-            for found in rooms.values()
-            for room in found
+        self._workers = {
+            worker.entry.worker_id: worker
+            for found in workers.values()
+            for worker in found
         }
-        self._unlike = len({one.speed for one in self._rooms.values()}) > 1
+        self._speeds_differ = (
+            len({one.speed for one in self._workers.values()}) > 1
+        )
         self._guaranteed = guaranteed
         self._now_s = now_s
-        self._evictions = Evictions(losses=Losses(jobs=()))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=()))
         self._placements: list[Placement] = []
         self._victims: list[Run] = []
         self._stopped_for: list[str] = []
         self._reserved_for: dict[str, None] = {}
         self._covered: set[str] = set()
-        self._hopeless: set[str] = set()
-        self._too_large: set[tuple[str, Step]] = set()
-        self._mostly_free: dict[str, bool] = {}
-        self._reservations = 0 if RESERVATION in without else RESERVATIONS
+        self._infeasible: set[str] = set()
+        self._not_fitting: set[tuple[str, Step]] = set()
+        self._free_services: dict[str, bool] = {}
+        self._reservations_left = (
+            0 if RESERVATION in disabled else MAX_RESERVATIONS
+        )
 
     def plan(self, jobs: Iterable[ActiveJob]) -> Plan:
         """Return the decisions for all jobs, in any order."""
         known = list(jobs)
         waiting = [job for job in known if not job.ended]
-        self._evictions = Evictions(losses=Losses(jobs=known))
+        self._eviction_finder = EvictionFinder(lost_work=LostWork(jobs=known))
         self._covered = covered_jobs(waiting, self._guaranteed)
-        later = self._place_first(self._in_order(waiting))
+        later = self._place_first_jobs(self._in_service_order(waiting))
         for job in self._backlog.take(later):
             self._place_job(job)
         return Plan(
@@ -153,33 +168,35 @@
             tuple(self._reserved_for),
         )
 
-    def _place_first(self, jobs: Sequence[ActiveJob]) -> Sequence[ActiveJob]:
-        """Look at the first jobs that may start; return the others."""
-        looked_at = 0
+    def _place_first_jobs(
+        self, jobs: Sequence[ActiveJob]
+    ) -> Sequence[ActiveJob]:
+        """Place the first jobs that may start; return the others."""
+        considered = 0
         for number, job in enumerate(jobs):
-            if looked_at >= JOBS_PER_ROUND:
+            if considered >= JOBS_PER_ROUND:
                 return jobs[number:]
-            looked_at += self._place_job(job)
+            considered += self._place_job(job)
         return ()
 
     def _place_job(self, job: ActiveJob) -> bool:
-        """Place what may start of a job; return whether anything may."""
+        """Place the ready steps of a job; return whether it has any."""
         ready_steps = list(job.ready_steps(self._now_s))
         for ready in ready_steps:
             self._place_step(job, self._with_tickets(job, ready))
         return bool(ready_steps)
 
-    def _in_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
+    def _in_service_order(self, waiting: list[ActiveJob]) -> list[ActiveJob]:
         late: set[str] = set()
-        if HOPELESS_LAST not in self._without:
-            self._hopeless = hopeless_jobs(
+        if INFEASIBLE_LAST not in self._disabled:
+            self._infeasible = infeasible_jobs(
                 waiting,
                 self._covered,
                 self._now_s,
             )
-        if IN_TIME_FIRST not in self._without:
+        if IN_TIME_FIRST not in self._disabled:
             late = late_jobs(waiting, self._now_s)
-        return in_order(waiting, self._covered, self._hopeless, late)
+        return in_service_order(waiting, self._covered, self._infeasible, late)
 
     def _with_tickets(self, job: ActiveJob, ready: ReadyStep) -> ReadyStep:
         if not job.spec.queue.advisor:
@@ -187,203 +204,218 @@
         return ready._replace(tickets=self._tickets(job, ready))
 
     def _place_step(self, job: ActiveJob, ready: ReadyStep) -> None:
-        # A task that lasts must be at work again soon, however full all is.
-        urgent = self._makes_room(job) or ready.step.perpetual
+        # A perpetual task must run again soon, also on a full cluster.
+        urgent = self._may_preempt(job) or ready.step.perpetual
         shape = (job.spec.queue.service, ready.step)
         advised = ready.tickets is not None
-        may_skip = not (urgent or advised or self._starves(job))
-        if may_skip and shape in self._too_large:
+        # A step equal to one that did not fit in this round is skipped, except
+        # for urgent work, which may preempt, starving jobs, which may use
+        # reserved capacity, and queues whose advisor allows other workers.
+        may_skip = not (urgent or advised or self._is_starving(job))
+        if may_skip and shape in self._not_fitting:
             return
         groups = self._groups(job, ready)
-        pace = self._pace(job, ready)
-        chosen = self._choose(job, ready, groups, pace)
-        if urgent and _is_held_up(ready, chosen, pace):
-            give_back(ready, chosen)
-            if self._make_way(job, ready, in_time(groups, pace)):
+        required = self._required_speed(job, ready)
+        chosen = self._choose(job, ready, groups, required)
+        if urgent and _is_delayed(ready, chosen, required):
+            release_all(ready, chosen)
+            if self._preempt_for_speed(
+                job, ready, without_delaying_workers(groups, required)
+            ):
                 return
-            chosen = choose_group(ready, groups, pace)
+            chosen = choose_group(ready, groups, required)
         self._place(job, ready, chosen)
-        missing = ready.tasks[len(chosen) :]
-        if not missing or ready.alone:
+        remaining = ready.tasks[len(chosen) :]
+        if not remaining or ready.exclusive:
             return
         if urgent:
-            self._make_room(job, ready, missing, groups, pace)
+            self._preempt_for_capacity(job, ready, remaining, groups, required)
             return
         if not advised:
-            self._too_large.add(shape)
-        if ready.step.gang and self._reservations:
+            self._not_fitting.add(shape)
+        if ready.step.gang and self._reservations_left:
             self._reserve(job, ready, groups)
 
     def _choose(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
-        pace: Pace,
+        groups: list[Sequence[WorkerCapacity]],
+        required: RequiredSpeed,
     ) -> Fit:
-        """Take rooms, also ones that are kept if a job starves otherwise.
+        """Choose workers; for a starving job also reserved capacity.
 
-        None are taken for suspects that have their share of workers.
+        None are chosen for suspects if these have their share of workers.
         """
-        chosen = choose_group(ready, groups, pace)
-        if ready.alone and chosen and self._are_too_many_alone(job):
-            give_back(ready, chosen)
+        chosen = choose_group(ready, groups, required)
+        if ready.exclusive and chosen and self._too_many_exclusive(job):
+            release_all(ready, chosen)
             chosen = []
-        if chosen or not self._starves(job):
+        if chosen or not self._is_starving(job):
             return chosen
-        return choose_group(ready._replace(starving=True), groups, pace)
+        return choose_group(ready._replace(starving=True), groups, required)
 
-    def _starves(self, job: ActiveJob) -> bool:
-        if job.idle_s(self._now_s) < PATIENCE_S:
+    def _is_starving(self, job: ActiveJob) -> bool:
+        if job.idle_s(self._now_s) < MAX_IDLE_S:
             return False
         service = job.spec.queue.service
-        if service not in self._mostly_free:
-            rooms = self._services.get(service, _NO_ROOMS).rooms
-            self._mostly_free[service] = is_most_room_free(rooms)
-        return self._mostly_free[service]
+        if service not in self._free_services:
+            workers = self._services.get(service, _NO_CAPACITY).workers
+            self._free_services[service] = is_mostly_free(workers)
+        return self._free_services[service]
 
-    def _are_too_many_alone(self, job: ActiveJob) -> bool:
-        rooms = self._services[job.spec.queue.service].rooms
-        held = sum(room.held_alone for room in rooms)
-        return held > math.ceil(ALONE_SHARE * len(rooms))
+    def _too_many_exclusive(self, job: ActiveJob) -> bool:
+        workers = self._services[job.spec.queue.service].workers
+        held = sum(worker.held_exclusively for worker in workers)
+        return held > math.ceil(EXCLUSIVE_SHARE * len(workers))
 
-    def _workers_of(self, job: ActiveJob) -> int:
+    def _count_workers(self, job: ActiveJob) -> int:
         """Return how many workers of a job's service accept work."""
-        return len(self._services[job.spec.queue.service].rooms)
+        return len(self._services[job.spec.queue.service].workers)
 
     def _reserve(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> None:
-        """Keep room for a gang that does not fit now, if it is its turn."""
-        rooms = find_room_to_keep(ready, groups)
-        if not rooms:
+        """Reserve capacity for a gang that does not fit, within its window."""
+        workers = find_workers_to_reserve(ready, groups)
+        if not workers:
             return
-        may_keep = self._turns.may_keep(
+        may_reserve = self._windows.may_reserve(
             job.spec.queue.service,
             job,
             ready.tasks[0],
             self._now_s,
-            wait_for_room_s(rooms),
+            wait_for_capacity_s(workers),
         )
-        if may_keep:
-            self._reservations -= 1
-            keep(ready, rooms, of_workers=self._workers_of(job))
+        if may_reserve:
+            self._reservations_left -= 1
+            reserve(ready, workers, total_workers=self._count_workers(job))
             self._reserved_for[job.spec.job_id] = None
 
-    def _makes_room(self, job: ActiveJob) -> bool:
+    def _may_preempt(self, job: ActiveJob) -> bool:
         """Return whether runs may be stopped for a job."""
-        return is_urgent(job) and job.spec.job_id not in self._hopeless
+        return is_urgent(job) and job.spec.job_id not in self._infeasible
 
     def _place(self, job: ActiveJob, ready: ReadyStep, chosen: Fit) -> None:
         if chosen:
-            workers = tuple((key, room.entry.worker_id) for key, room in chosen)
+            workers = tuple(
+                (key, worker.entry.worker_id) for key, worker in chosen
+            )
             self._placements.append(Placement(job, ready, workers))
 
-    def _pace(self, job: ActiveJob, ready: ReadyStep) -> Pace:
-        """Return what a step asks of its workers, if they differ at all."""
-        if not self._unlike:
+    def _required_speed(
+        self, job: ActiveJob, ready: ReadyStep
+    ) -> RequiredSpeed:
+        """Return the speed that a step requires, if workers differ at all."""
+        if not self._speeds_differ:
             return ANY
         ratio = self._ratio_of(job.spec.queue.name)
-        return pace_of(job, ready, ratio, self._now_s)
+        return required_speed(job, ready, ratio, self._now_s)
 
     def _groups(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-    ) -> list[Sequence[Room]]:
-        """Return the sets of rooms that a step may be placed in, best first."""
-        rooms = self._services.get(job.spec.queue.service, _NO_ROOMS)
+    ) -> list[Sequence[WorkerCapacity]]:
+        """Return the sets of workers that a step may use, best first."""
+        capacity = self._services.get(job.spec.queue.service, _NO_CAPACITY)
         if ready.tickets is not None:
-            rooms = rooms.limited_to(ready.tickets)
-        return groups_of(ready, rooms, patient=self._is_patient(job, ready))
+            capacity = capacity.limited_to(ready.tickets)
+        return candidate_groups(
+            ready, capacity, wait_for_rack=self._waits_for_rack(job, ready)
+        )
 
-    def _is_patient(self, job: ActiveJob, ready: ReadyStep) -> bool:
-        """Return whether a job goes on waiting for the right rack."""
-        if RACK_PATIENCE in self._without:
+    def _waits_for_rack(self, job: ActiveJob, ready: ReadyStep) -> bool:
+        """Return whether a job continues to wait for the right rack."""
+        if RACK_WAIT in self._disabled:
             return False
         return waits_for_rack(job, ready, self._now_s)
 
-    def _make_way(
+    def _preempt_for_speed(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        groups: list[Sequence[Room]],
+        groups: list[Sequence[WorkerCapacity]],
     ) -> bool:
-        """Stop others so that an urgent gang ends in time, once for a step.
+        """Preempt others so that an urgent gang ends in time, once for a step.
 
-        On the slow workers that are free it would run in vain, so that is what
-        may be thrown away for it. Afterwards it waits only for what is being
-        stopped already.
+        On the slow workers that are free its own work would be wasted, so it
+        may destroy as much of others. Afterwards it waits only for runs that
+        are already being stopped.
         """
         step = ready.step
         tasks = len(ready.tasks)
-        most_loss = min(
-            _work(step, tasks),
-            self._most_loss(job, step, tasks),
+        max_loss = min(
+            _work_core_s(step, tasks),
+            self._max_loss(job, step, tasks),
         )
-        best = self._best_eviction(ready.tasks, step, groups, most_loss)
+        best = self._best_eviction(ready.tasks, step, groups, max_loss)
         # Only an eviction with victims uses up the step's one preemption.
-        if best is None or (best.victims and not job.may_make_way(ready)):
+        if best is None or (best.victims and not job.claim_preemption(ready)):
             return False
-        self._evict(best, job, room_needed(step))
+        self._evict(best, job, resources_needed(step))
         return True
 
-    def _make_room(
+    def _preempt_for_capacity(
         self,
         job: ActiveJob,
         ready: ReadyStep,
-        missing: tuple[TaskKey, ...],
-        groups: list[Sequence[Room]],
-        pace: Pace,
+        remaining: tuple[TaskKey, ...],
+        groups: list[Sequence[WorkerCapacity]],
+        required: RequiredSpeed,
     ) -> None:
-        """Stop what is needed for urgent tasks, and keep what gets free."""
-        needed = [missing] if ready.step.gang else [(key,) for key in missing]
-        for tasks in needed:
-            most_loss = self._most_loss(job, ready.step, len(tasks))
-            best = self._best_eviction(tasks, ready.step, groups, most_loss)
+        """Preempt runs for urgent tasks, and claim what gets free."""
+        batches = (
+            [remaining] if ready.step.gang else [(key,) for key in remaining]
+        )
+        for tasks in batches:
+            max_loss = self._max_loss(job, ready.step, len(tasks))
+            best = self._best_eviction(tasks, ready.step, groups, max_loss)
             if best is None:
-                # The tasks that are left need the same.
+                # The remaining tasks have the same needs.
                 return
-            if pace.is_met_somewhere and any(map(pace.holds_up, best.rooms)):
-                work_core_s = _work(ready.step, len(tasks))
+            if required.is_met_by_typical and any(
+                map(required.delays_gang, best.workers)
+            ):
+                work_core_s = _work_core_s(ready.step, len(tasks))
                 best = (
                     self._best_eviction(
                         tasks,
                         ready.step,
-                        in_time(groups, pace),
-                        min(most_loss, MOST_LOSS_SHARE * work_core_s),
+                        without_delaying_workers(groups, required),
+                        min(max_loss, MAX_LOSS_FACTOR * work_core_s),
                     )
                     or best
                 )
-            self._evict(best, job, room_needed(ready.step))
+            self._evict(best, job, resources_needed(ready.step))
 
     def _best_eviction(
         self,
         tasks: tuple[TaskKey, ...],
         step: Step,
-        groups: list[Sequence[Room]],
-        most_loss: float,
+        groups: list[Sequence[WorkerCapacity]],
+        max_loss: float,
     ) -> Eviction | None:
-        """Return the eviction of the least loss over all groups, if any."""
+        """Return the eviction with the least loss over all groups, if any."""
         best: Eviction | None = None
         for group in groups:
-            found = self._evictions.cheapest(tasks, step, group, most_loss)
+            found = self._eviction_finder.cheapest(tasks, step, group, max_loss)
             if found is not None and (best is None or found.loss < best.loss):
                 best = found
-                most_loss = found.loss
+                max_loss = found.loss
         return best
 
-    def _most_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
-        """Return the most work that room for tasks may throw away."""
+    def _max_loss(self, job: ActiveJob, step: Step, tasks: int) -> float:
+        """Return the most work that may be lost for tasks, in core-seconds."""
         covered = job.spec.job_id in self._covered
         if covered or step.perpetual or not step.estimate_s:
             return math.inf
-        if BOUNDED_LOSS in self._without:
+        if BOUNDED_LOSS in self._disabled:
             return math.inf
-        return MOST_LOSS_SHARE * _work(step, tasks)
+        return MAX_LOSS_FACTOR * _work_core_s(step, tasks)
 
     def _evict(
         self,
@@ -395,23 +427,23 @@
         for run in eviction.victims:
             self._victims.append(run)
             self._stopped_for.append(job.spec.job_id)
-            room = self._rooms.get(run.worker_id)
-            if room is not None:
-                room.evict(run)
-        for claimed in eviction.rooms:
+            worker = self._workers.get(run.worker_id)
+            if worker is not None:
+                worker.evict(run)
+        for claimed in eviction.workers:
             claimed.claim(needs)
 
 
-def _work(step: Step, tasks: int) -> float:
-    """Return the work of so many tasks of a step, in core-seconds."""
+def _work_core_s(step: Step, tasks: int) -> float:
+    """Return the work of a number of tasks of a step, in core-seconds."""
     return tasks * step.needs.weight_cores * step.estimate_s
 
 
-def _is_held_up(ready: ReadyStep, chosen: Fit, pace: Pace) -> bool:
-    """Return whether slow workers make a gang late that could be in time."""
-    if not ready.step.gang or not pace.is_met_somewhere:
+def _is_delayed(ready: ReadyStep, chosen: Fit, required: RequiredSpeed) -> bool:
+    """Return whether slow workers make a gang late that can be in time."""
+    if not ready.step.gang or not required.is_met_by_typical:
         return False
-    return any(pace.holds_up(room) for _, room in chosen)
+    return any(required.delays_gang(worker) for _, worker in chosen)
 
 
 __all__ = ('Placement', 'Plan', 'Planner')
--- a/src/curranthill/placement/reservations.py
+++ b/src/curranthill/placement/reservations.py
@@ -1,80 +1,92 @@
-"""Room kept for a gang that does not fit yet.
+"""Reservation of capacity for a gang that does not fit yet.
 
-Answers a stream of small jobs before a large gang: each would take the first
-worker that gets free, and the gang would wait for ever. Only room that runs
-will give back is kept: a gang that they cannot let in would keep it from others
-for ever.
+Without it a stream of small jobs starves a large gang: each takes the next
+worker that gets free. Capacity is reserved only if the gang fits once the
+current runs have ended; otherwise it would be withheld from others for ever.
 """
 
 from collections.abc import Iterable, Sequence
 from itertools import repeat
 from typing import Final
 
+from curranthill.placement.capacity import (
+    WorkerCapacity,
+    max_tasks_once_free,
+    resources_needed,
+)
 from curranthill.placement.jobs import ReadyStep
-from curranthill.placement.rooms import Room, copies_once_free, room_needed
 
-#: How many gangs that do not fit keep room for themselves in one round; more
-#: would leave room unused that smaller jobs could fill.
-RESERVATIONS: Final = 1
+#: How many gangs that do not fit hold a reservation in one round; more would
+#: leave capacity idle that smaller jobs could use.
+MAX_RESERVATIONS: Final = 1
 
 #: A gang that needs more than this share of the workers could never start
-#: beside small jobs that come one after the other.
-WIDE_SHARE: Final = 0.5
+#: beside a continuous sequence of small jobs.
+WIDE_GANG_SHARE: Final = 0.5
 
 
-def find_room_to_keep(
+def find_workers_to_reserve(
     ready: ReadyStep,
-    groups: Sequence[Sequence[Room]],
-) -> list[Room]:
-    """Return a room for each task of a gang, in the group where most is free.
+    groups: Sequence[Sequence[WorkerCapacity]],
+) -> list[WorkerCapacity]:
+    """Return a worker for each task of a gang, in the group with most free.
 
     Empty if no group can hold the gang, whatever ends there.
     """
-    best: list[Room] = []
+    best: list[WorkerCapacity] = []
     most_gpus = -1
     for group in groups:
-        free_gpus = sum(max(room.soon.gpus, 0) for room in group)
+        free_gpus = sum(max(worker.unclaimed.gpus, 0) for worker in group)
         if free_gpus > most_gpus:
-            kept = _rooms_to_keep(ready, group)
-            if kept:
-                best = kept
+            reserved = _workers_to_reserve(ready, group)
+            if reserved:
+                best = reserved
                 most_gpus = free_gpus
     return best
 
 
-def wait_for_room_s(rooms: Iterable[Room]) -> float:
-    """Return how long what runs in rooms goes on, by its estimates."""
+def wait_for_capacity_s(workers: Iterable[WorkerCapacity]) -> float:
+    """Return how long the runs on some workers take to end, by estimates."""
     return max(
-        (run.left_s for room in rooms for run in room.runs),
+        (run.remaining_s for worker in workers for run in worker.runs),
         default=0.0,
     )
 
 
-def keep(ready: ReadyStep, rooms: Sequence[Room], *, of_workers: int) -> None:
-    """Keep room for a task in each of the rooms.
+def reserve(
+    ready: ReadyStep, workers: Sequence[WorkerCapacity], *, total_workers: int
+) -> None:
+    """Reserve capacity for a task on each of the workers.
 
-    :param of_workers: how many workers there are; who starves takes nothing
-        from a gang that needs most of them.
+    :param total_workers: how many workers there are; a starving job can't use
+        what is reserved for a gang that needs most of them.
     """
-    needs = room_needed(ready.step)
-    kept = len({room.entry.worker_id for room in rooms})
-    wide = kept > WIDE_SHARE * of_workers
-    for room in rooms:
+    needs = resources_needed(ready.step)
+    reserved = len({worker.entry.worker_id for worker in workers})
+    wide = reserved > WIDE_GANG_SHARE * total_workers
+    for worker in workers:
         if wide:
-            room.claim(needs)
+            worker.claim(needs)
         else:
-            room.keep(needs)
+            worker.reserve(needs)
 
 
-def _rooms_to_keep(ready: ReadyStep, rooms: Sequence[Room]) -> list[Room]:
-    """Return a room for each task, the emptiest first; empty if too few."""
+def _workers_to_reserve(
+    ready: ReadyStep, workers: Sequence[WorkerCapacity]
+) -> list[WorkerCapacity]:
+    """Return a worker for each task, the emptiest first; empty if too few."""
     wanted = len(ready.tasks)
-    kept: list[Room] = []
-    for room in sorted(rooms, key=lambda one: -one.soon.gpus):
-        if len(kept) >= wanted:
+    reserved: list[WorkerCapacity] = []
+    for worker in sorted(workers, key=lambda one: -one.unclaimed.gpus):
+        if len(reserved) >= wanted:
             break
-        kept.extend(repeat(room, copies_once_free(room, ready.step)))
-    return kept[:wanted] if len(kept) >= wanted else []
+        reserved.extend(repeat(worker, max_tasks_once_free(worker, ready.step)))
+    return reserved[:wanted] if len(reserved) >= wanted else []
 
 
-__all__ = ('RESERVATIONS', 'find_room_to_keep', 'keep', 'wait_for_room_s')
+__all__ = (
+    'MAX_RESERVATIONS',
+    'find_workers_to_reserve',
+    'reserve',
+    'wait_for_capacity_s',
+)
--- a/src/curranthill/scheduler/settle.py
+++ b/src/curranthill/scheduler/finalize.py
@@ -1,4 +1,4 @@
-"""What an ended attempt leaves behind: its result and its job's row."""
+"""Finalization of an attempt: its result is stored, then its job's row."""
 
 import random
 from typing import Final
@@ -7,64 +7,67 @@
 
 from curranthill.errors import (
     ConflictError,
-    LeaseLapsedError,
+    LeaseExpiredError,
     StorageError,
     WorkerError,
 )
-from curranthill.jobs import ACCEPTED, ENDED, Job, Stored, next_state
+from curranthill.jobs import ACCEPTED, ENDED, Job, StoredJob, next_state
 from curranthill.scheduler.context import Context
 from curranthill.workers import AttemptId, Worker
 
-#: Waits between tries while the platform is away, in seconds.
-_FIRST_WAIT_S: Final = 0.1
-_LONGEST_WAIT_S: Final = 5.0
+#: Delays between retries during an outage of the platform, in seconds.
+_MIN_WAIT_S: Final = 0.1
+_MAX_WAIT_S: Final = 5.0
 
-_FETCH_TRIES: Final = 5
+#: How often a result is requested before it counts as lost.
+_MAX_FETCH_ATTEMPTS: Final = 5
 
 
 class BackOff:
-    """Waits that double, each cut at random so that callers spread."""
+    """Exponential delays, with jitter so that callers do not retry in step."""
 
     def __init__(self) -> None:
-        """Start with the shortest wait."""
-        self._wait_s = _FIRST_WAIT_S
+        """Initialize with the minimum delay."""
+        self._wait_s = _MIN_WAIT_S
 
     def next_s(self) -> float:
-        """Return the next wait."""
+        """Return the next delay, in seconds."""
         wait_s = self._wait_s
-        self._wait_s = min(_LONGEST_WAIT_S, 2 * wait_s)
+        self._wait_s = min(_MAX_WAIT_S, 2 * wait_s)
         return random.uniform(wait_s / 2, wait_s)  # noqa: S311
 
 
-class Settlement:
-    """Write the end of one attempt, however long the platform is away.
+class Finalization:
+    """Writes the end of one attempt, however long an outage lasts.
 
-    :param stored: the job's row with the attempt's start mark.
+    :param stored: the job's row with the attempt's start record.
     """
 
     def __init__(
         self,
         *,
         context: Context,
-        stored: Stored,
+        stored: StoredJob,
         attempt_id: AttemptId,
     ) -> None:
-        """Keep the row."""
+        """Initialize with the row to be finalized."""
         self._context = context
         self._stored = stored
         self._attempt_id = attempt_id
 
-    async def keep_result(self, worker: Worker) -> int | None:
-        """Move the result from its worker to the object store.
+    async def store_result(self, worker: Worker) -> int | None:
+        """Copy the result from its worker to the object store.
 
         Returns its length in bytes, or nothing if the worker lost it. Until
-        the store takes it, the worker and this process both hold it.
+        it is stored, the worker and this process both hold it.
         """
         body = await self._fetch(worker)
         job, attempt = self._attempt_id
         if body is None:
-            kept = await self._context.objects.get(f'results/{job}/{attempt}')
-            return None if kept is None else len(kept)
+            stored_result = await self._context.objects.get(
+                f'results/{job}/{attempt}',
+            )
+            return None if stored_result is None else len(stored_result)
         back_off = BackOff()
         while True:
             try:
@@ -73,16 +76,16 @@
                     body,
                 )
             except ConflictError:
-                # Another holder kept this attempt's result first.
+                # Another scheduler has stored this attempt's result first.
                 return len(body)
             except StorageError as error:
-                self._log('its result waits for the object store', error)
+                self._log('cannot store the result, retrying', error)
                 await self._context.clock.sleep(back_off.next_s())
-                self._stay_leader()
+                self._require_leading()
                 continue
             return len(body)
 
-    async def finish(self, result_bytes: int) -> Stored:
+    async def finish(self, result_bytes: int) -> StoredJob:
         """Write that the job finished."""
         job = self._stored.job
         return await self._write(
@@ -93,7 +96,7 @@
             ),
         )
 
-    async def settle(
+    async def finalize(
         self,
         end: str,
         *,
@@ -101,8 +104,8 @@
         failed_on: str,
         checkpoint: str,
         started: bool,
-    ) -> Stored:
-        """Write what becomes of a job whose attempt did not finish."""
+    ) -> StoredJob:
+        """Write the state of a job whose attempt did not finish."""
         job = self._stored.job
         if end == 'failed':
             job = self._after_failure(job, reason, failed_on)
@@ -157,16 +160,16 @@
 
     async def _fetch(self, worker: Worker) -> bytes | None:
         back_off = BackOff()
-        for _ in range(_FETCH_TRIES):
+        for _ in range(_MAX_FETCH_ATTEMPTS):
             try:
                 return await worker.fetch_result(self._attempt_id)
             except WorkerError as error:
-                self._log('its result could not be fetched', error)
+                self._log('cannot fetch the result', error)
                 await self._context.clock.sleep(back_off.next_s())
         return None
 
-    async def _write(self, job: Job) -> Stored:
-        """Write the row until it is written or somebody else decided."""
+    async def _write(self, job: Job) -> StoredJob:
+        """Retry until the row is written or another writer decided the job."""
         back_off = BackOff()
         while True:
             try:
@@ -181,37 +184,37 @@
                     return found or self._stored
                 self._stored = found
                 job = job._replace(cancel_requested=found.job.cancel_requested)
-                job = self._honour_cancel(job)
+                job = self._apply_cancel(job)
             except StorageError as error:
-                self._log('its end waits for the table', error)
+                self._log('cannot write the final state, retrying', error)
                 await self._context.clock.sleep(back_off.next_s())
-            self._stay_leader()
+            self._require_leading()
 
-    async def _reload(self, back_off: BackOff) -> Stored | None:
+    async def _reload(self, back_off: BackOff) -> StoredJob | None:
         while True:
             try:
                 return await self._context.store.load(self._attempt_id.job)
             except StorageError:
                 await self._context.clock.sleep(back_off.next_s())
-                self._stay_leader()
+                self._require_leading()
 
-    def _is_own(self, found: Stored) -> bool:
-        """Return whether the row still stands at this attempt's mark."""
+    def _is_own(self, found: StoredJob) -> bool:
+        """Return whether the row still holds this attempt's start record."""
         return (
             found.job.state not in ENDED
             and found.job.state != ACCEPTED
             and found.job.attempt == self._attempt_id.attempt
         )
 
-    def _honour_cancel(self, job: Job) -> Job:
-        """Let a cancel that came meanwhile win over another run."""
+    def _apply_cancel(self, job: Job) -> Job:
+        """Prefer a cancellation requested meanwhile over another run."""
         if job.cancel_requested and job.state == ACCEPTED:
             return self._ended(job, 'cancel', 'Cancelled while it ran.')
         return job
 
-    def _stay_leader(self) -> None:
+    def _require_leading(self) -> None:
         if not self._context.election.leading:
-            raise LeaseLapsedError(
+            raise LeaseExpiredError(
                 'Another scheduler leads.',
                 step='settle',
                 peer=self._context.election.token.holder,
@@ -226,4 +229,4 @@
         ).warning('{}: {}', message, error)
 
 
-__all__ = ('BackOff', 'Settlement')
+__all__ = ('BackOff', 'Finalization')
--- a/src/curranthill/scheduler/guarantees.py
+++ b/src/curranthill/scheduler/guarantees.py
@@ -1,8 +1,8 @@
-"""A place kept in mind for each guarantee that is not in use.
+"""Planned placements of the guarantees that are not in use.
 
-The plan costs nothing while it stands: its slots are lent to work that may
-be stopped. It is what makes "every guarantee could be restored now" a sum
-on each worker instead of a search at each decision.
+A planned placement leaves no slot idle: its slots are lent to preemptible work.
+With it, whether every guarantee can be restored immediately is a sum on each
+worker instead of a search at each decision.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,12 +14,12 @@
 from curranthill.configuration import Adjacency, ConfigurationDocument
 from curranthill.jobs import Member
 from curranthill.scheduler.cluster import Cluster
-from curranthill.scheduler.search import find_place
+from curranthill.scheduler.search import find_placement
 from curranthill.telemetry import metrics
 
 
-class UnitId(NamedTuple):
-    """One guaranteed shape of one workspace."""
+class GuaranteeUnitId(NamedTuple):
+    """The identity of one guaranteed shape of a workspace."""
 
     workspace: str
     shape: str
@@ -27,10 +27,10 @@
 
 
 @dataclass(kw_only=True)
-class Unit:
-    """One guaranteed shape: planned, in use, or at risk."""
+class GuaranteeUnit:
+    """One guaranteed shape: planned, in use by a job, or at risk."""
 
-    unit_id: UnitId
+    unit_id: GuaranteeUnitId
     slots: int
     adjacent: Adjacency
     planned: tuple[Member, ...] = ()
@@ -38,26 +38,29 @@
 
     @property
     def at_risk(self) -> bool:
-        """Return whether there is no place to restore it now."""
+        """Return whether it is unused and cannot be restored now."""
         return not self.planned and not self.job_id
 
 
 class GuaranteePlan:
-    """Keep a place for each guarantee of a data centre.
+    """Plans a placement for each unused guarantee of a data centre.
 
-    :param cluster: where the plan's slots are counted.
+    :param cluster: counts the planned slots of its workers.
     """
 
     def __init__(self, *, cluster: Cluster) -> None:
-        """Start with no promise."""
-        #: Units that no place can restore now.
-        self.at_risk: set[UnitId] = set()
+        """Initialize without guarantees."""
+        #: Units that no workers can hold now.
+        self.at_risk: set[GuaranteeUnitId] = set()
         self._cluster = cluster
-        self._units: dict[UnitId, Unit] = {}
-        self._by_job: dict[str, UnitId] = {}
-        self._unused: dict[tuple[str, str], dict[UnitId, Unit]] = {}
-
-    def __iter__(self) -> Iterator[Unit]:
+        self._units: dict[GuaranteeUnitId, GuaranteeUnit] = {}
+        self._by_job: dict[str, GuaranteeUnitId] = {}
+        self._unused: dict[
+            tuple[str, str],
+            dict[GuaranteeUnitId, GuaranteeUnit],
+        ] = {}
+
+    def __iter__(self) -> Iterator[GuaranteeUnit]:
         """Yield all units."""
         return iter(self._units.values())
 
@@ -66,62 +69,66 @@
         document: ConfigurationDocument,
         data_centre: str,
     ) -> None:
-        """Take over the promises of a configuration."""
-        self.promise(dict(_wanted_units(document, data_centre)))
+        """Apply the guarantees of a configuration."""
+        self.replace_units(dict(_wanted_units(document, data_centre)))
 
-    def promise(self, wanted: dict[UnitId, Unit]) -> None:
-        """Hold exactly these units; those that stay keep their places."""
+    def replace_units(
+        self, wanted: dict[GuaranteeUnitId, GuaranteeUnit]
+    ) -> None:
+        """Replace the guarantee units; those that remain keep their plans."""
         for unit_id in list(self._units):
-            if unit_id not in wanted or self._resized(wanted[unit_id]):
+            if unit_id not in wanted or self._shape_changed(wanted[unit_id]):
                 self._drop(unit_id)
         for unit_id, unit in wanted.items():
             if unit_id not in self._units:
                 self._units[unit_id] = unit
-                self._note_unused(unit)
+                self._add_unused(unit)
         self.repair()
 
-    def free_unit(self, workspace: str, shape: str) -> Unit | None:
+    def free_unit(self, workspace: str, shape: str) -> GuaranteeUnit | None:
         """Return a unit of a workspace and shape that is not in use."""
         unused = self._unused.get((workspace, shape))
         return next(iter(unused.values())) if unused else None
 
-    def unused_pairs(self) -> list[tuple[str, str]]:
-        """Return workspaces and shapes of which a unit is not in use."""
-        return [pair for pair, unused in self._unused.items() if unused]
+    def unused_shapes(self) -> list[tuple[str, str]]:
+        """Return the workspaces and shapes that have an unused unit."""
+        return [key for key, unused in self._unused.items() if unused]
 
-    def units_of(self, workspace: str, shape: str) -> list[Unit]:
+    def units_of(self, workspace: str, shape: str) -> list[GuaranteeUnit]:
         """Return all units of a workspace and shape."""
         return [unit for unit in self if unit.unit_id[:2] == (workspace, shape)]
 
-    def use(self, unit: Unit, job_id: str) -> None:
-        """Let a job use a unit; the plan's slots are its own from now on."""
+    def assign(self, unit: GuaranteeUnit, job_id: str) -> None:
+        """Assign a unit to a job, which replaces its planned placement."""
         self._unplan(unit)
         unit.job_id = job_id
         self._by_job[job_id] = unit.unit_id
         self._unused[unit.unit_id[:2]].pop(unit.unit_id, None)
 
-    def give_back(self, job_id: str, members: Iterable[Member]) -> None:
-        """Plan a unit where the job that used it was."""
-        unit = self._units.get(self._by_job.pop(job_id, UnitId('', '', 0)))
+    def return_unit(self, job_id: str, members: Iterable[Member]) -> None:
+        """Release a job's unit and plan it where the job ran, if it fits."""
+        unit = self._units.get(
+            self._by_job.pop(job_id, GuaranteeUnitId('', '', 0)),
+        )
         if unit is None:
             return
         unit.job_id = ''
-        self._note_unused(unit)
+        self._add_unused(unit)
         members = tuple(members)
         if self._fits(members):
             self._set_plan(unit, members)
         else:
-            self.place_missing()
+            self.plan_missing()
 
-    def make_way(self, members: Iterable[Member]) -> bool:
-        """Move plans so that hard work may take ``members``.
+    def relocate_plans(self, members: Iterable[Member]) -> bool:
+        """Relocate plans so that non-preemptible work may take ``members``.
 
-        Returns whether that could be done; if not, nothing is changed. The
-        slots count as hard for the search and are given back after it.
+        Returns whether that was possible; if not, nothing is changed. The
+        slots count as planned during the search and are released after it.
         """
         wanted = tuple(members)
         displaced = self._displaced(wanted)
-        before = [(unit, unit.planned) for unit in displaced]
+        previous = [(unit, unit.planned) for unit in displaced]
         for unit in displaced:
             self._unplan(unit)
         fits = self._fits(wanted)
@@ -130,70 +137,75 @@
             fits = all(self._replan(unit) for unit in _largest_first(displaced))
             self._cluster.plan(wanted, -1)
         if not fits:
-            for unit, planned in before:
+            for unit, planned in previous:
                 self._unplan(unit)
-            for unit, planned in before:
+            for unit, planned in previous:
                 self._set_plan(unit, planned)
         return fits
 
     def repair(self) -> None:
-        """Find places again where the plan no longer fits the workers.
+        """Plan units again whose plan no longer fits the workers.
 
-        A plan that still stands is not taken away for one that lost its
-        place. Of those, the larger shapes are planned first; what then fits
-        nowhere is at risk until capacity comes back.
+        Plans that still fit are not displaced by units that lost theirs. Of
+        the latter, larger shapes are planned first; units that then fit
+        nowhere are at risk until capacity returns.
         """
         for worker in self._cluster.workers.values():
-            kept = worker.hard + worker.planned + worker.quick
-            if worker.usable and kept <= worker.slots:
+            committed = worker.non_preemptible + worker.planned + worker.quick
+            if worker.usable and committed <= worker.slots:
                 continue
             for unit in self._planned_on(worker.name):
                 self._unplan(unit)
-        self.place_missing()
+        self.plan_missing()
 
-    def place_missing(self) -> None:
-        """Plan units at risk where they fit now, the larger ones first."""
+    def plan_missing(self) -> None:
+        """Plan the units at risk where they fit now, larger ones first."""
         missing = [unit for unit in self if unit.at_risk]
-        still_missing = [
+        unplanned = [
             unit for unit in _largest_first(missing) if not self._replan(unit)
         ]
-        now_at_risk = {unit.unit_id for unit in still_missing}
-        for unit in still_missing:
+        now_at_risk = {unit.unit_id for unit in unplanned}
+        for unit in unplanned:
             if unit.unit_id not in self.at_risk:
                 logger.bind(
-                    step='guarantee', workspace=unit.unit_id[0]
+                    step='guarantee',
+                    workspace=unit.unit_id[0],
                 ).warning(
-                    'no place to restore {}: it is at risk',
+                    'guarantee {} is at risk: no workers can hold it',
                     unit.unit_id,
                 )
         self.at_risk = now_at_risk
         metrics.guarantees_at_risk.set(len(now_at_risk))
 
-    def unplan_for_search(self, unit: Unit) -> tuple[Member, ...]:
-        """Take a unit's plan away for a search; return it."""
+    def unplan_for_search(self, unit: GuaranteeUnit) -> tuple[Member, ...]:
+        """Remove a unit's planned placement for a search and return it."""
         planned = unit.planned
         self._unplan(unit)
         return planned
 
-    def put_back(self, unit: Unit, planned: tuple[Member, ...]) -> None:
+    def restore_plan(
+        self,
+        unit: GuaranteeUnit,
+        planned: tuple[Member, ...],
+    ) -> None:
         """Undo :meth:`unplan_for_search`."""
         self._set_plan(unit, planned)
 
-    def _resized(self, wanted: Unit) -> bool:
+    def _shape_changed(self, wanted: GuaranteeUnit) -> bool:
         unit = self._units[wanted.unit_id]
         return (unit.slots, unit.adjacent) != (wanted.slots, wanted.adjacent)
 
-    def _drop(self, unit_id: UnitId) -> None:
+    def _drop(self, unit_id: GuaranteeUnitId) -> None:
         unit = self._units.pop(unit_id)
         self._unplan(unit)
         self._unused[unit_id[:2]].pop(unit_id, None)
         self._by_job.pop(unit.job_id, None)
 
-    def _note_unused(self, unit: Unit) -> None:
-        pair = unit.unit_id[:2]
-        self._unused.setdefault(pair, {})[unit.unit_id] = unit
+    def _add_unused(self, unit: GuaranteeUnit) -> None:
+        key = unit.unit_id[:2]
+        self._unused.setdefault(key, {})[unit.unit_id] = unit
 
-    def _displaced(self, members: tuple[Member, ...]) -> list[Unit]:
+    def _displaced(self, members: tuple[Member, ...]) -> list[GuaranteeUnit]:
         names = {
             member.worker
             for member in members
@@ -205,7 +217,7 @@
             if any(part.worker in names for part in unit.planned)
         ]
 
-    def _planned_on(self, worker: str) -> list[Unit]:
+    def _planned_on(self, worker: str) -> list[GuaranteeUnit]:
         return [
             unit
             for unit in self
@@ -220,19 +232,28 @@
             for member in members
         )
 
-    def _replan(self, unit: Unit) -> bool:
-        place = find_place(self._cluster, unit.slots, unit.adjacent, 'open')
-        if place is None:
+    def _replan(self, unit: GuaranteeUnit) -> bool:
+        members = find_placement(
+            self._cluster,
+            unit.slots,
+            unit.adjacent,
+            'open',
+        )
+        if members is None:
             return False
-        self._set_plan(unit, place)
+        self._set_plan(unit, members)
         return True
 
-    def _set_plan(self, unit: Unit, members: tuple[Member, ...]) -> None:
+    def _set_plan(
+        self,
+        unit: GuaranteeUnit,
+        members: tuple[Member, ...],
+    ) -> None:
         self._unplan(unit)
         unit.planned = members
         self._cluster.plan(members)
 
-    def _unplan(self, unit: Unit) -> None:
+    def _unplan(self, unit: GuaranteeUnit) -> None:
         self._cluster.plan(unit.planned, -1)
         unit.planned = ()
 
@@ -240,7 +261,7 @@
 def _wanted_units(
     document: ConfigurationDocument,
     data_centre: str,
-) -> Iterator[tuple[UnitId, Unit]]:
+) -> Iterator[tuple[GuaranteeUnitId, GuaranteeUnit]]:
     for name, workspace in document.workspaces.items():
         counts: dict[str, int] = {}
         for guarantee in workspace.guarantees:
@@ -250,10 +271,10 @@
         for shape_name, count in counts.items():
             shape = document.shapes[shape_name]
             for number in range(count):
-                unit_id = UnitId(name, shape_name, number)
+                unit_id = GuaranteeUnitId(name, shape_name, number)
                 yield (
                     unit_id,
-                    Unit(
+                    GuaranteeUnit(
                         unit_id=unit_id,
                         slots=shape.accelerators,
                         adjacent=shape.adjacent,
@@ -261,8 +282,8 @@
                 )
 
 
-def _largest_first(units: Iterable[Unit]) -> list[Unit]:
+def _largest_first(units: Iterable[GuaranteeUnit]) -> list[GuaranteeUnit]:
     return sorted(units, key=lambda unit: (-unit.slots, unit.unit_id))
 
 
-__all__ = ('GuaranteePlan', 'Unit', 'UnitId')
+__all__ = ('GuaranteePlan', 'GuaranteeUnit', 'GuaranteeUnitId')
--- a/src/curranthill/scheduler/policies.py
+++ b/src/curranthill/scheduler/policies.py
@@ -1,26 +1,31 @@
-"""The registry of placement policies and what a policy is."""
+"""The interface and the registry of placement policies."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from curranthill.registry import Registry
-from curranthill.scheduler.board import Board, Decision
+from curranthill.scheduler.state import Decision, SchedulerState
 
 
 class Policy(Protocol):
-    """Decide which waiting jobs get which places."""
+    """Decides which waiting jobs are placed, and on which workers."""
 
-    def decide(self, board: Board, now_s: float) -> list[Decision]:
-        """Place what can be placed now, by ``board.place``, and return it.
+    def decide(self, state: SchedulerState, now_s: float) -> list[Decision]:
+        """Place jobs with ``state.place`` and return the decisions.
 
-        :param now_s: monotonic seconds.
+        :param now_s: monotonic time, in seconds.
         """
 
-    def explain(self, board: Board, job_id: str, now_s: float) -> list[str]:
-        """Say in plain sentences why a job waits."""
+    def explain(
+        self,
+        state: SchedulerState,
+        job_id: str,
+        now_s: float,
+    ) -> list[str]:
+        """Return plain sentences on why a job waits."""
 
 
-#: Policies by the name that settings give: factory(preemptions).
+#: Factories of policies by the name in the settings: factory(preemptions).
 policies: Registry[Callable[[int], Policy]] = Registry(
     concern='placement policy',
 )
--- a/src/curranthill/storage/commit.py
+++ b/src/curranthill/storage/commit.py
@@ -10,24 +10,24 @@
     ReplyLostError,
     StorageError,
 )
-from curranthill.storage.budget import WriteBudget
 from curranthill.storage.interface import Table
+from curranthill.storage.rate_limit import WriteRateLimiter
 from curranthill.storage.records import Check, Transaction, Write
 from curranthill.telemetry.metrics import metrics
 
-#: How often a lost reply is looked into before the caller is told so.
+#: Number of attempts to resolve a lost reply before the caller gets the error.
 READ_BACK_ATTEMPTS = 4
 
-#: The first wait between two looks, in seconds; it doubles each time.
+#: Delay before the first read-back, in seconds; it doubles each time.
 READ_BACK_DELAY_S = 0.05
 
 
 class Committer:
-    """Write transactions so that each is known to have applied once.
+    """Commits transactions exactly once, even if a reply is lost.
 
     :param table: the platform's table.
-    :param clock: the clock of the waits between two looks.
-    :param budget: bounds the writes; without one they pass at once.
+    :param clock: the clock of the delays between read-backs.
+    :param rate_limiter: limits the writes; without one they are not delayed.
     """
 
     def __init__(
@@ -35,10 +35,10 @@
         *,
         table: Table,
         clock: Clock,
-        budget: WriteBudget | None = None,
+        rate_limiter: WriteRateLimiter | None = None,
     ) -> None:
-        """Keep the table and the clock."""
-        self._budget = budget
+        """Initialize the committer, which keeps no state between commits."""
+        self._rate_limiter = rate_limiter
         self._table = table
         self._clock = clock
 
@@ -49,21 +49,21 @@
     ) -> dict[str, int]:
         """Apply the writes and return the new versions by key.
 
-        A repeat carries the same operation id and the same expected
-        versions, so the first try landing late makes the repeat conflict
-        with its own id, which counts as done.
+        A retry carries the same operation id and the same expected versions.
+        If the first attempt is applied late, the retry conflicts with a row
+        that carries its own id, which counts as success.
 
         :raises ConflictError: if another writer was first.
         :raises NotSentError: if nothing was written.
-        :raises ReplyLostError: if the effect could not be learnt.
+        :raises ReplyLostError: if the effect could not be determined.
         """
         transaction = Transaction(
             operation_id=uuid.uuid4().hex,
             writes=tuple(writes),
             checks=tuple(checks),
         )
-        if self._budget is not None:
-            await self._budget.take()
+        if self._rate_limiter is not None:
+            await self._rate_limiter.acquire()
         metrics.table_writes.add(1)
         try:
             return await self._table.transact(transaction)
@@ -75,7 +75,7 @@
         transaction: Transaction,
         lost: ReplyLostError,
     ) -> dict[str, int]:
-        metrics.replies_lost.add(1)
+        metrics.table_replies_lost.add(1)
         delay_s = READ_BACK_DELAY_S
         for _ in range(READ_BACK_ATTEMPTS):
             await self._clock.sleep(delay_s)
@@ -92,14 +92,14 @@
         self,
         transaction: Transaction,
     ) -> dict[str, int] | None:
-        """Return the versions if applied; else repeat the same intent."""
+        """Return the new versions; retry the transaction if not applied."""
         versions = await self._applied(transaction)
         if versions is not None:
             return versions
         try:
             return await self._table.transact(transaction)
         except ConflictError:
-            # The first try may have landed between the look and the repeat.
+            # The first attempt may be applied between read-back and retry.
             versions = await self._applied(transaction)
             if versions is None:
                 raise
@@ -108,8 +108,8 @@
     async def _applied(self, transaction: Transaction) -> dict[str, int] | None:
         """Return the new versions if this transaction has been applied.
 
-        A row written again since would hide the id, so each write of a
-        transaction names at least one row that only its holder rewrites.
+        A row that was rewritten since no longer shows the operation id, so
+        each transaction writes at least one row that only its owner rewrites.
         """
         versions: dict[str, int] = {}
         for write in transaction.writes:
--- a/tests/test_desk.py
+++ b/tests/test_job_handler.py
@@ -1,4 +1,4 @@
-"""What a host tells callers, whatever the store and the leader do."""
+"""Tests of the job handler under faults of the store and the leader."""
 
 import asyncio
 import unittest
@@ -11,10 +11,10 @@
 
 
 class SlowStoreTest(unittest.TestCase):
-    """A store that takes a third of a second for each commit."""
+    """A store that takes 0.3 s or more for each commit."""
 
     def test_many_jobs_are_accepted_while_the_leader_writes(self) -> None:
-        """Jobs that come together do not wait for each other's commits."""
+        """Concurrent jobs do not wait for each other's commits."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -22,7 +22,7 @@
             domain.rows.commit_s = 0.3
             accepted = asyncio.gather(
                 *(
-                    host.desk.accept(make_spec(f'job-{number}'), 3.0)
+                    host.handler.accept(make_spec(f'job-{number}'), 3.0)
                     for number in range(20)
                 ),
             )
@@ -31,16 +31,16 @@
 
         in_domain(case)
 
-    def test_an_answer_comes_while_the_caller_can_still_ask_elsewhere(
+    def test_a_response_leaves_time_to_ask_another_host(
         self,
     ) -> None:
-        """Nothing is known after half of the caller's patience: 504."""
+        """After half of the timeout an unknown outcome is reported as a 504."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
             domain.rows.commit_s = 5.0
-            asked = asyncio.ensure_future(host.desk.accept(make_spec(), 1.0))
+            asked = asyncio.ensure_future(host.handler.accept(make_spec(), 1.0))
             await domain.clock.until(asked.done, within_s=0.55)
             with self.assertRaises(RefusedError) as caught:
                 asked.result()
@@ -50,30 +50,32 @@
 
 
 class StateTest(unittest.TestCase):
-    """Jobs that no leader has touched, and jobs that ended."""
+    """States of jobs that no leader has handled and of ended jobs."""
 
     def test_an_accepted_job_is_queued_and_can_be_cancelled(self) -> None:
-        """Nobody leads: the host tells what it stored."""
+        """Without a leader, the host reports what it has stored."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             host.election.resign()
             await domain.clock.advance(0.5)
             await host.accept(make_spec())
-            self.assertEqual(await host.during(host.desk.state('a1')), 'queued')
-            self.assertIsNone(await host.during(host.desk.state('a2')))
-            pending = host.desk.pending(make_queue(), count_afresh=True)
+            self.assertEqual(
+                await host.during(host.handler.state('a1')), 'queued'
+            )
+            self.assertIsNone(await host.during(host.handler.state('a2')))
+            pending = host.handler.pending(make_queue(), count_afresh=True)
             self.assertEqual(await host.during(pending), 1)
-            self.assertTrue(await host.during(host.desk.cancel('a1')))
-            self.assertFalse(await host.during(host.desk.cancel('a2')))
+            self.assertTrue(await host.during(host.handler.cancel('a1')))
+            self.assertFalse(await host.during(host.handler.cancel('a2')))
             domain.start_host('h2')
             self.assertEqual(await domain.ended('a1'), 'cancelled')
             self.assertEqual(domain.starts(FIRST), [])
 
         in_domain(case)
 
-    def test_a_job_handed_in_again_after_its_end_stays_one_job(self) -> None:
-        """Its row comes back, is known as that of an ended job, and goes."""
+    def test_a_job_resubmitted_after_its_end_stays_one_job(self) -> None:
+        """Its new row is recognized as that of an ended job and removed."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -95,8 +97,8 @@
 
         in_domain(case)
 
-    def test_rows_of_an_ended_job_go_only_after_its_end_is_stored(self) -> None:
-        """The store refuses the leader's partition only, then it dies."""
+    def test_rows_of_an_ended_job_stay_until_its_end_is_stored(self) -> None:
+        """The store refuses the leader's partition; then the leader dies."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
@@ -104,11 +106,11 @@
             step = Step(width=2, needs=ONE_GPU, estimate_s=1.0)
             await host.accept(make_spec('a1', step))
             await domain.clock.until(lambda: bool(domain.starts(FIRST)))
-            domain.rows.refusing_partitions.add(tables.LEADERS_PARTITION)
+            domain.rows.refused_partitions.add(tables.LEADER_PARTITION)
             await domain.clock.advance(4)
             self.assertIn((tables.INTAKE, 'a1'), domain.rows.rows)
             await host.kill()
-            domain.rows.refusing_partitions.clear()
+            domain.rows.refused_partitions.clear()
             domain.start_host('h2')
             self.assertEqual(await domain.ended('a1'), 'completed')
             self.assertEqual(domain.starts(FIRST), [1])
--- a/tests/test_door.py
+++ b/tests/test_load_shedding.py
@@ -1,7 +1,7 @@
-"""What hosts refuse while a cluster is full, and what they do not.
+"""Which jobs hosts refuse while the cluster is overloaded.
 
-A replayed overload: four workers, gangs that take one each for ten seconds,
-and more of them than can end within three times their objective.
+Four workers run gangs that use one worker each for ten seconds, and there are
+more of them than can end within three times their objective.
 """
 
 import asyncio
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from curranthill.admission import MOST_WAITING, TOO_LATE, may_accept
+from curranthill.admission import MAX_WAITING, TOO_LATE, check_admission
 from curranthill.dispatch.leadership import LeaderRow, leader_row_of
 from curranthill.errors import NOT_RUN, RefusedError
-from curranthill.placement import checked
+from curranthill.placement import validate_mechanisms
 from curranthill.storage.rows import RowPut
 from curranthill.tasks import JobSpec, Step, decode, encode, tables
 from tests.domain import ONE_GPU, Domain, TestHost, in_domain, make_spec
@@ -25,12 +25,12 @@
     gang=True,
 )
 
-#: Four run at a time; one more would wait for 110 s, and earns for 63 s.
+#: Four run at a time; one more would wait for 110 s, and earns credit for 63 s.
 OVERLOAD = 48
 
 
 def gang(job_id: str, domain: Domain, priority: int = 1) -> JobSpec:
-    """Return a gang that is handed in now."""
+    """Return a gang that is submitted now."""
     return make_spec(
         job_id,
         GANG,
@@ -40,21 +40,21 @@
 
 
 async def overload(domain: Domain) -> tuple[TestHost, TestHost]:
-    """Hand in more than can end in time; return the leader and another."""
+    """Submit more than can end in time; return the leader and another."""
     first = domain.start_host('h1')
     await domain.leader()
     second = domain.start_host('h2')
-    await hand_in_burst(first, domain)
-    # An outlook each second, a heartbeat, a reading.
+    await submit_burst(first, domain)
+    # The time for a forecast each second, a heartbeat and a read.
     await domain.clock.advance(3.0)
     return first, second
 
 
-async def hand_in_burst(host: TestHost, domain: Domain) -> None:
-    """Hand in all at once, before anybody can know."""
+async def submit_burst(host: TestHost, domain: Domain) -> None:
+    """Submit all jobs at once, before a forecast shows them."""
     burst = asyncio.gather(
         *(
-            host.desk.accept(gang(f'w{number}', domain), 3.0)
+            host.handler.accept(gang(f'w{number}', domain), 3.0)
             for number in range(OVERLOAD)
         ),
     )
@@ -62,7 +62,7 @@
 
 
 async def is_refused(host: TestHost, spec: JobSpec) -> bool:
-    """Hand a job in; return whether it was refused as not run."""
+    """Submit a job; return whether it was refused as not run."""
     try:
         await host.accept(spec)
     except RefusedError as refused:
@@ -70,19 +70,19 @@
     return False
 
 
-def told(domain: Domain) -> LeaderRow:
-    """Return the leader's row as it is stored."""
+def stored_leader_row(domain: Domain) -> LeaderRow:
+    """Return the leader's stored row."""
     row = domain.rows.rows[(tables.LEADER, tables.LEADER_KEY)]
     return leader_row_of(row)
 
 
 class OverloadTest(unittest.TestCase):
-    """More than can be served in time."""
+    """More jobs than can end in time."""
 
-    def test_what_is_too_late_is_refused_at_once_and_stored_nowhere(
+    def test_a_job_that_is_too_late_is_refused_at_once_and_not_stored(
         self,
     ) -> None:
-        """By the leader's host and by any other."""
+        """On the leader's host and on any other."""
 
         async def case(domain: Domain) -> None:
             hosts = await overload(domain)
@@ -102,8 +102,8 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_repeat_of_an_accepted_job_is_no_refusal(self) -> None:
-        """It is stored: nobody may be told that it does not run."""
+    def test_a_repeat_of_an_accepted_job_is_not_refused(self) -> None:
+        """It is stored, so its caller must not be told that it does not run."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -114,8 +114,8 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_what_a_guarantee_covers_is_accepted(self) -> None:
-        """Urgent, and within what its workspace is guaranteed."""
+    def test_a_job_that_a_guarantee_covers_is_accepted(self) -> None:
+        """It is urgent and within the guarantee of its workspace."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
@@ -124,19 +124,19 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_what_is_accepted_ends_and_the_door_opens_again(self) -> None:
-        """The queue drains; nothing is told of it any more."""
+    def test_accepted_jobs_end_and_refusals_stop(self) -> None:
+        """Once the queue has drained, no forecast is published."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             await domain.ended(f'w{OVERLOAD - 1}', within_s=200)
             self.assertFalse(await is_refused(second, gang('new', domain)))
-            self.assertIsNone(told(domain).outlook)
+            self.assertIsNone(stored_leader_row(domain).forecast)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
     def test_the_queue_is_bounded(self) -> None:
-        """Whatever is handed in, covered work aside."""
+        """For all jobs except those that a guarantee covers."""
 
         async def case(domain: Domain) -> None:
             first = domain.start_host('h1')
@@ -144,7 +144,7 @@
             small = Step(width=1, needs=GANG.needs, estimate_s=0.01)
             rows = [
                 make_spec(f'w{number}', small, priority=2)
-                for number in range(MOST_WAITING + 100)
+                for number in range(MAX_WAITING + 100)
             ]
             for worker in domain.workers.values():
                 worker.run_s = RUN_S
@@ -152,18 +152,18 @@
                 put = RowPut(tables.INTAKE, spec.job_id, encode(spec))
                 domain.rows.apply((), (put,), ())
             await domain.clock.advance(4.0)
-            lasting = make_spec('last', GANG._replace(perpetual=True))
-            self.assertTrue(await is_refused(first, lasting))
+            perpetual = make_spec('last', GANG._replace(perpetual=True))
+            self.assertTrue(await is_refused(first, perpetual))
             covered = gang('urgent', domain, priority=0)
             self.assertFalse(await is_refused(first, covered))
 
         in_domain(case, workers=4, run_s=RUN_S)
 
 
-class CalmTest(unittest.TestCase):
-    """Room for all."""
+class NoOverloadTest(unittest.TestCase):
+    """Enough capacity for all jobs."""
 
-    def test_nothing_is_told_and_nobody_refused(self) -> None:
+    def test_no_forecast_is_published_and_no_job_refused(self) -> None:
         """The leader's row is as small as before."""
 
         async def case(domain: Domain) -> None:
@@ -173,15 +173,15 @@
                 await host.accept(gang(f'w{number}', domain))
             await domain.clock.advance(3.0)
             self.assertFalse(await is_refused(host, gang('new', domain)))
-            self.assertLess(len(encode(told(domain))), 120)
+            self.assertLess(len(encode(stored_leader_row(domain))), 120)
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_it_can_be_switched_off(self) -> None:
-        """By name, like every mechanism."""
+    def test_it_can_be_disabled(self) -> None:
+        """By its name, like every mechanism."""
 
         async def case(domain: Domain) -> None:
-            domain.without = checked(('turning-away',))
+            domain.disabled = validate_mechanisms(('turning-away',))
             _, second = await overload(domain)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
@@ -189,7 +189,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    """An outlook that may be wrong refuses nobody."""
+    """A forecast that may be wrong refuses no job."""
 
     def test_the_row_is_too_old(self) -> None:
         """The store refuses the leader's writes only."""
@@ -198,14 +198,14 @@
             _, second = await overload(domain)
             self.assertTrue(await is_refused(second, gang('new', domain)))
             second.election.resign()
-            domain.rows.refusing_partitions.add(tables.LEADERS_PARTITION)
+            domain.rows.refused_partitions.add(tables.LEADER_PARTITION)
             await domain.clock.advance(3.0)
             self.assertFalse(await is_refused(second, gang('new', domain)))
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_the_leader_is_gone(self) -> None:
-        """Nobody leads any more."""
+    def test_there_is_no_leader(self) -> None:
+        """The leader was killed and no host takes over."""
 
         async def case(domain: Domain) -> None:
             first, second = await overload(domain)
@@ -216,8 +216,8 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_new_leader_refuses_nobody_before_its_own_outlook(self) -> None:
-        """Then it knows what waits as its predecessor did."""
+    def test_a_new_leader_refuses_no_job_before_its_own_forecast(self) -> None:
+        """After that it refuses like its predecessor."""
 
         async def case(domain: Domain) -> None:
             first, second = await overload(domain)
@@ -230,14 +230,14 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_host_that_could_not_read_refuses_nobody(self) -> None:
-        """The store refused it for a moment; what came before may land."""
+    def test_a_host_that_could_not_read_refuses_no_job(self) -> None:
+        """Reads failed for a moment; an earlier job may still be stored."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
-            domain.rows.refusing.add('h2')
+            domain.rows.refused_hosts.add('h2')
             await domain.clock.advance(0.6)
-            domain.rows.refusing.clear()
+            domain.rows.refused_hosts.clear()
             await domain.clock.advance(0.6)
             self.assertFalse(await is_refused(second, gang('one', domain)))
             await domain.clock.advance(6.0)
@@ -245,23 +245,23 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_try_without_an_answer_is_not_refused_when_it_comes_again(
+    def test_a_request_without_a_response_is_not_refused_on_retry(
         self,
     ) -> None:
-        """It may yet be stored: the store holds it for five seconds."""
+        """It may still be stored: the store delays it for five seconds."""
 
         async def case(domain: Domain) -> None:
             first = domain.start_host('h1')
             await domain.leader()
             second = domain.start_host('h2')
             await domain.clock.advance(2.0)
-            await hand_in_burst(first, domain)
+            await submit_burst(first, domain)
             spec = gang('new', domain)
-            calm_s = domain.rows.commit_s
+            usual_s = domain.rows.commit_s
             domain.rows.commit_s = 5.0
-            asked = asyncio.ensure_future(second.desk.accept(spec, 1.0))
+            asked = asyncio.ensure_future(second.handler.accept(spec, 1.0))
             await domain.clock.advance(0.0)
-            domain.rows.commit_s = calm_s
+            domain.rows.commit_s = usual_s
             with self.assertRaises(RefusedError) as caught:
                 await second.during(asked)
             self.assertEqual(caught.exception.status, 504)
@@ -271,49 +271,51 @@
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_a_suspended_host_goes_by_no_outlook_from_before(self) -> None:
-        """Its age counts the pause."""
+    def test_a_suspended_host_ignores_an_older_forecast(self) -> None:
+        """The age of the forecast includes the suspension."""
 
         async def case(domain: Domain) -> None:
             _, second = await overload(domain)
             second.election.resign()
             self.assertTrue(await is_refused(second, gang('one', domain)))
-            watch = second.election.outlooks
+            reader = second.election.forecasts
             second.clock.suspend()
             await domain.clock.advance(4.0)
             second.clock.resume()
-            outlook, age_s = watch.newest()
+            forecast, age_s = reader.newest()
             self.assertGreaterEqual(age_s, 4.0)
-            self.assertIsNone(may_accept(gang('two', domain), outlook, age_s))
+            self.assertIsNone(
+                check_admission(gang('two', domain), forecast, age_s)
+            )
 
         in_domain(case, workers=4, run_s=RUN_S)
 
-    def test_another_form_of_outlook_harms_no_row(self) -> None:
-        """A newer one, one that is none at all, and a row without any."""
-        forms = (
+    def test_unknown_forecast_versions_leave_the_row_readable(self) -> None:
+        """A newer version, invalid content, and a row without a forecast."""
+        contents = (
             [2, 5, 10, [], {}, [], 'more'],
             [1, 5, 10, 'roster'],
             {'waits': 3},
             7,
         )
-        for outlook in forms:
-            row = LeaderRow(holder='h', epoch=3, outlook=outlook)
+        for forecast in contents:
+            row = LeaderRow(holder='h', epoch=3, forecast=forecast)
             read = decode(encode(row), LeaderRow)
             self.assertEqual(read, row)
         older = decode(msgspec.json.encode(['h', 3, 'x', 0.0]), LeaderRow)
-        self.assertIsNone(older.outlook)
+        self.assertIsNone(older.forecast)
 
-    def test_hosts_that_read_another_form_refuse_nobody(self) -> None:
-        """They accept as before."""
+    def test_hosts_ignore_unknown_forecast_versions(self) -> None:
+        """They accept jobs as without a forecast."""
 
         async def case(domain: Domain) -> None:
             host = domain.start_host('h1')
             await domain.leader()
-            watch = host.election.outlooks
-            for number, outlook in enumerate(([2, 5, 9999], 'none', 7)):
-                watch.take(90 + number, outlook)
+            reader = host.election.forecasts
+            for number, forecast in enumerate(([2, 5, 9999], 'none', 7)):
+                reader.update(90 + number, forecast)
                 new = gang(f'new-{number}', domain)
-                with self.subTest(outlook=outlook):
+                with self.subTest(forecast=forecast):
                     self.assertFalse(await is_refused(host, new))
 
         in_domain(case)
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -1,4 +1,4 @@
-"""What one round of placement keeps to, whatever the cluster and the jobs."""
+"""Properties of one round of placement, for random clusters and jobs."""
 
 import unittest
 from collections import Counter
@@ -7,31 +7,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curranthill.placement import Plan, Room, Run, room_needed
+from curranthill.placement import Plan, Run, WorkerCapacity, resources_needed
 from curranthill.tasks import JobSpec, Resources, Step
-from tests.domain import ROOM, make_spec
-from tests.test_planner import make_room, make_run, needs, plan
+from tests.domain import WORKER_CAPACITY, make_spec
+from tests.test_planner import make_run, make_worker, needs, plan
 
 RACKS: Final = ('r1', 'r2', 'r3')
 WORKSPACES: Final = ('alpha', 'beta')
 
-#: Accelerators that a task may take; a worker has eight.
+#: Accelerators that a task may need; a worker has eight.
 SIZES: Final = (1, 2, 4, 8)
 
-#: Processor that a task may take; a worker has 32,000.
+#: Millicores that a task may need; a worker has 32,000.
 PROCESSORS: Final = (1000, 12_000)
 
 
 class Case(NamedTuple):
-    """A cluster with what runs on it, and jobs that wait."""
+    """A cluster with its runs, and waiting jobs."""
 
-    rooms: list[Room]
+    workers: list[WorkerCapacity]
     specs: list[JobSpec]
 
-    def room(self, worker_id: str) -> Room:
-        """Return the room of a worker."""
+    def worker(self, worker_id: str) -> WorkerCapacity:
+        """Return a worker by its id."""
         return next(
-            room for room in self.rooms if room.entry.worker_id == worker_id
+            worker
+            for worker in self.workers
+            if worker.entry.worker_id == worker_id
         )
 
 
@@ -43,23 +45,25 @@
 
 
 @st.composite
-def rooms(draw: st.DrawFn) -> list[Room]:
-    """Draw workers in racks, each with runs that fit it."""
-    found = []
+def drawn_workers(draw: st.DrawFn) -> list[WorkerCapacity]:
+    """Draw workers in racks, each with runs that fit."""
+    workers = []
     for rack in RACKS[: draw(st.integers(1, len(RACKS)))]:
         for number in range(draw(st.integers(1, 3))):
             worker_id = f'{rack}-w{number}'
             runs = draw(runs_on(worker_id))
-            doubt = draw(st.sampled_from((0.0, 0.0, 1.0)))
-            found.append(make_room(worker_id, rack, *runs, doubt=doubt))
-    return found
+            failure_score = draw(st.sampled_from((0.0, 0.0, 1.0)))
+            workers.append(
+                make_worker(worker_id, rack, *runs, failure_score=failure_score)
+            )
+    return workers
 
 
 @st.composite
 def runs_on(draw: st.DrawFn, worker_id: str) -> list[Run]:
-    """Draw runs that a worker has, some of them being stopped."""
+    """Draw the runs of a worker, some of them being stopped."""
     runs: list[Run] = []
-    free = ROOM
+    free = WORKER_CAPACITY
     for rank, wanted in enumerate(draw(st.lists(NEEDS))):
         if not free.covers(wanted):
             break
@@ -101,7 +105,7 @@
 
 @st.composite
 def jobs(draw: st.DrawFn) -> list[JobSpec]:
-    """Draw jobs of one step, or of two of which one waits for the other."""
+    """Draw jobs of one step, or of two steps in sequence."""
     specs = []
     for number in range(draw(st.integers(1, 5))):
         steps = [draw(STEPS)]
@@ -118,43 +122,43 @@
     return specs
 
 
-CASES = st.builds(Case, rooms=rooms(), specs=jobs())
+CASES = st.builds(Case, workers=drawn_workers(), specs=jobs())
 GUARANTEES = st.fixed_dictionaries(
     {name: st.sampled_from((0, 4, 16)) for name in WORKSPACES},
 )
 
 
-def taken(room: Room, decided: Plan) -> Resources:
-    """Return what a worker has to give at once: all that runs, and starts."""
+def taken(worker: WorkerCapacity, decided: Plan) -> Resources:
+    """Return the resources that all runs and starts on a worker need."""
     total = Resources()
-    for run in room.runs:
+    for run in worker.runs:
         total = total.plus(run.needs)
     for run in decided.victims:
-        # A run that is stopped takes its room until it has ended.
-        if run.worker_id == room.entry.worker_id:
+        # A run that is stopped uses its resources until it has ended.
+        if run.worker_id == worker.entry.worker_id:
             total = total.plus(run.needs)
     for placement in decided.placements:
         for _, worker_id in placement.workers:
-            if worker_id == room.entry.worker_id:
-                total = total.plus(room_needed(placement.ready.step))
+            if worker_id == worker.entry.worker_id:
+                total = total.plus(resources_needed(placement.ready.step))
     return total
 
 
 class RoundPropertiesTest(unittest.TestCase):
-    """Random clusters, random jobs, one round."""
+    """One round with a random cluster and random jobs."""
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
-    def test_no_worker_is_given_more_than_its_room(
+    def test_no_worker_exceeds_its_capacity(
         self,
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """What is being stopped still counts."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
-        for room in case.rooms:
-            total = taken(room, decided)
-            self.assertTrue(room.entry.room.covers(total), total)
+        """Runs that are being stopped still count."""
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
+        for worker in case.workers:
+            total = taken(worker, decided)
+            self.assertTrue(worker.entry.capacity.covers(total), total)
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
@@ -163,8 +167,8 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Never a part of it."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        """All of its members or none."""
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         for placement in decided.placements:
             step = placement.ready.step
             if not step.gang:
@@ -178,32 +182,32 @@
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Labels, tasks a worker, steps that come first, once each."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        """Labels, tasks per worker, preceding steps; each task starts once."""
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         started: Counter[str] = Counter()
         for placement in decided.placements:
             step = placement.ready.step
-            workers = [worker_id for _, worker_id in placement.workers]
+            worker_ids = [worker_id for _, worker_id in placement.workers]
             started.update(str(key) for key, _ in placement.workers)
             self.assertEqual(step.after, ())
             if step.max_per_worker:
-                most = max(Counter(workers).values())
-                self.assertLessEqual(most, step.max_per_worker)
+                expected = max(Counter(worker_ids).values())
+                self.assertLessEqual(expected, step.max_per_worker)
             if step.label:
-                for worker_id in workers:
-                    labels = case.room(worker_id).entry.labels
+                for worker_id in worker_ids:
+                    labels = case.worker(worker_id).entry.labels
                     self.assertIn(step.label, labels)
         self.assertTrue(all(count == 1 for count in started.values()))
 
     @settings(max_examples=150)
     @given(CASES, GUARANTEES)
-    def test_only_lower_work_is_stopped_and_each_run_once(
+    def test_only_lower_priorities_are_preempted_and_each_run_once(
         self,
         case: Case,
         guaranteed: dict[str, int],
     ) -> None:
-        """Urgent work is never stopped for other work."""
-        decided = plan(case.rooms, *case.specs, guaranteed=guaranteed)
+        """Urgent work is never preempted."""
+        decided = plan(case.workers, *case.specs, guaranteed=guaranteed)
         names = [run.name for run in decided.victims]
         self.assertEqual(len(names), len(set(names)))
         for run in decided.victims:
@@ -211,53 +215,57 @@
             self.assertFalse(run.stop_wanted)
 
     @settings(max_examples=150)
-    @given(rooms(), st.sampled_from(SIZES), st.integers(0, 1))
-    def test_work_within_its_guarantee_gets_room_while_some_can_be_made(
+    @given(drawn_workers(), st.sampled_from(SIZES), st.integers(0, 1))
+    def test_guaranteed_work_starts_or_preempts_whenever_possible(
         self,
-        found: list[Room],
+        workers: list[WorkerCapacity],
         size: int,
         extra: int,
     ) -> None:
-        """It is placed now, or what it needs is being stopped."""
+        """It is placed now, or enough runs are being stopped for it."""
         step = Step(width=1, needs=needs(size), estimate_s=0.5)
-        possible = any(movable(room).covers(step.needs) for room in found)
-        # Stopped already: nothing more is to be stopped for it.
-        coming = any(room.soon.covers(step.needs) for room in found)
+        possible = any(
+            reclaimable(worker).covers(step.needs) for worker in workers
+        )
+        # Enough is being stopped already: nothing more must be stopped.
+        coming = any(worker.unclaimed.covers(step.needs) for worker in workers)
         spec = make_spec('a', step, priority=0)
-        decided = plan(found, spec, guaranteed={'alpha': size + extra})
+        decided = plan(workers, spec, guaranteed={'alpha': size + extra})
         served = bool(decided.placements or decided.victims)
         self.assertEqual(served or coming, possible)
 
     @settings(max_examples=150)
     @given(st.lists(st.sampled_from(RACKS), min_size=1, max_size=6), STEPS)
-    def test_an_idle_cluster_takes_what_fits(
+    def test_an_idle_cluster_starts_what_fits(
         self,
         racks: list[str],
         step: Step,
     ) -> None:
-        """Of a step without wishes something starts at once."""
+        """Tasks of a step without constraints start at once."""
         plain = step._replace(near_rack='', same_rack=False, label='')
         idle = [
-            make_room(f'w{number}', rack) for number, rack in enumerate(racks)
+            make_worker(f'w{number}', rack) for number, rack in enumerate(racks)
         ]
         decided = plan(idle, make_spec('a', plain, priority=2))
-        wanted = room_needed(plain)
-        a_worker = ROOM.gpus // wanted.gpus
+        wanted = resources_needed(plain)
+        per_worker = WORKER_CAPACITY.gpus // wanted.gpus
         if wanted.cpu_millis:
-            a_worker = min(a_worker, ROOM.cpu_millis // wanted.cpu_millis)
+            per_worker = min(
+                per_worker, WORKER_CAPACITY.cpu_millis // wanted.cpu_millis
+            )
         if plain.max_per_worker:
-            a_worker = min(a_worker, plain.max_per_worker)
-        held = a_worker * len(idle)
+            per_worker = min(per_worker, plain.max_per_worker)
+        held = per_worker * len(idle)
         started = sum(len(one.workers) for one in decided.placements)
         whole = held >= plain.width
-        most = 0 if plain.gang and not whole else min(plain.width, held)
-        self.assertEqual(started, most)
+        expected = 0 if plain.gang and not whole else min(plain.width, held)
+        self.assertEqual(started, expected)
 
 
-def movable(room: Room) -> Resources:
-    """Return the room that is free, or held by what may stop or does."""
-    left = room.entry.room
-    for run in room.runs:
+def reclaimable(worker: WorkerCapacity) -> Resources:
+    """Return the capacity that is free, evictable or being stopped."""
+    left = worker.entry.capacity
+    for run in worker.runs:
         if run.priority == 0 and not run.stop_wanted:
             left = left.minus(run.needs)
     return left
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""How a job's progress is stored."""
+"""Storage of a job's progress."""
 
 import random
 import unittest
@@ -11,12 +11,12 @@
     TaskProgress,
     decode,
     encode,
-    faults_of,
+    validation_errors,
 )
-from curranthill.tasks.checks import MOST_STEPS, MOST_TASKS
+from curranthill.tasks.validation import MAX_STEPS, MAX_TASKS
 from tests.domain import ONE_GPU, make_spec
 
-#: The most bytes that a row of the platform holds.
+#: The maximum size of a row of the platform, in bytes.
 ROW_BYTES = 65_536
 
 
@@ -24,7 +24,7 @@
     """Progress stays within one row."""
 
     def test_the_widest_job_with_checkpoints_fits_a_row(self) -> None:
-        """Checkpoints as random as they come, 176 workers."""
+        """Random checkpoints, 176 workers."""
         draw = random.Random(1)
         tasks = {
             f'0.0.{rank}': TaskProgress(
@@ -32,7 +32,7 @@
                 worker=f'i-{draw.randint(1, 176):010x}',
                 checkpoint=f'{draw.getrandbits(64):016x}',
             )
-            for rank in range(MOST_TASKS)
+            for rank in range(MAX_TASKS)
         }
         progress = JobProgress(queue='batch', tasks=tasks)
         content = encode(progress)
@@ -40,7 +40,7 @@
         self.assertEqual(decode(content, JobProgress), progress)
 
     def test_the_longest_job_fits_a_row(self) -> None:
-        """As many steps as may be, each after one of the first."""
+        """The maximum number of steps, each after the first one."""
         steps = tuple(
             Step(
                 width=1,
@@ -50,23 +50,25 @@
                 label='some-label',
                 near_rack='r1-3',
             )
-            for number in range(MOST_STEPS)
+            for number in range(MAX_STEPS)
         )
-        self.assertEqual(faults_of('x' * 4000, steps, times=0), ())
+        self.assertEqual(validation_errors('x' * 4000, steps, times=0), ())
         spec = make_spec('a1', *steps)._replace(payload='x' * 4000)
         self.assertLess(len(encode(spec)), ROW_BYTES)
 
     def test_larger_jobs_are_refused(self) -> None:
         """Too many tasks at once, and too many steps."""
-        wide = Step(width=MOST_TASKS + 1, needs=ONE_GPU)
-        self.assertTrue(faults_of('', (wide,), times=0))
+        wide = Step(width=MAX_TASKS + 1, needs=ONE_GPU)
+        self.assertTrue(validation_errors('', (wide,), times=0))
         one = Step(width=1, needs=ONE_GPU)
-        self.assertTrue(faults_of('', (one,) * (MOST_STEPS + 1), times=0))
-        often = Step(width=MOST_TASKS // 2, needs=ONE_GPU)
-        self.assertFalse(faults_of('', (often,), times=4))
+        self.assertTrue(
+            validation_errors('', (one,) * (MAX_STEPS + 1), times=0)
+        )
+        recurring = Step(width=MAX_TASKS // 2, needs=ONE_GPU)
+        self.assertFalse(validation_errors('', (recurring,), times=4))
 
-    def test_tasks_of_a_done_step_take_no_room(self) -> None:
-        """Of a job that repeats, only what is not done is listed."""
+    def test_tasks_of_a_done_step_are_not_stored(self) -> None:
+        """Of a recurring job only the occurrences that are not done are."""
         step = Step(width=2, needs=ONE_GPU)
         spec = make_spec('a1', step)._replace(times=2)
         progress = JobProgress(queue='batch', tasks={})
--- a/tests/test_recorded_rounds.py
+++ b/tests/test_recorded_rounds.py
@@ -1,39 +1,39 @@
-"""Rounds over full clusters: the plans on record, and what they may cost."""
+"""Rounds over full clusters: the recorded plans, and the cost of planning."""
 
 import unittest
 from unittest.mock import PropertyMock, patch
 
-from bench.full_cluster import draw, plan_round
-from bench.record_rounds import digest_of, recorded
+from bench.full_cluster import draw_cluster, plan_round
+from bench.record_rounds import plan_digest, read_recorded_rounds
 from curranthill.placement import Run
 
 
 class RecordedRoundsTest(unittest.TestCase):
-    """A change of how a round is worked out must not change what it decides.
+    """A change of the implementation must not change the decisions.
 
-    A change of policy records anew (``python -m bench.record_rounds``), and
-    its commit says which plans differ.
+    After a change of policy the rounds are recorded again (``python -m
+    bench.record_rounds``), and the commit says which plans differ.
     """
 
-    def test_plans_are_those_on_record(self) -> None:
+    def test_plans_equal_the_recorded_ones(self) -> None:
         """Clusters of 24, 60 and 176 workers, 10 to 40 waiting jobs."""
-        for one in recorded():
+        for one in read_recorded_rounds():
             drawn = [one[name] for name in ('workers', 'waiting', 'seed')]
             with self.subTest(drawn=drawn):
                 workers, waiting, seed = drawn
                 plan = plan_round(
-                    draw(workers=workers, waiting=waiting, seed=seed),
+                    draw_cluster(workers=workers, waiting=waiting, seed=seed),
                 )
-                self.assertEqual(digest_of(plan), one['sha256'])
+                self.assertEqual(plan_digest(plan), one['sha256'])
 
 
 class CostTest(unittest.TestCase):
-    """What a round may cost, counted rather than timed."""
+    """The cost of a round, counted rather than timed."""
 
-    def test_the_loss_of_a_run_is_worked_out_a_few_times_only(self) -> None:
+    def test_the_loss_of_a_run_is_computed_a_few_times_only(self) -> None:
         """40 jobs wait for 176 workers; 59,000 sums took 265 ms."""
-        cluster = draw(workers=176, waiting=40, seed=1)
-        runs = sum(len(found) for found in cluster.runs.values())
+        cluster = draw_cluster(workers=176, waiting=40, seed=1)
+        runs = sum(len(worker_runs) for worker_runs in cluster.runs.values())
         with patch.object(
             Run,
             'loss_core_s',
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Which runs are better started elsewhere."""
+"""Which runs are moved to another worker."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from curranthill.tasks import Step, TaskKey
 from tests.domain import ONE_GPU, Domain, in_domain, make_spec
 from tests.test_dispatch import started
-from tests.test_unlike_workers import SLOW_S, USUAL_S, busy
+from tests.test_unlike_workers import SLOW_S, USUAL_S, run_many_steps
 
 #: The time left until the objective of the jobs here.
 LEFT_S = 10.0
@@ -20,9 +20,9 @@
     age_s: float,
     done_percent: float,
     checkpointable: bool = False,
-    lasting: bool = False,
+    perpetual: bool = False,
 ) -> Run:
-    """Return a run of an estimate of ten seconds."""
+    """Return a run with an estimate of ten seconds."""
     run = Run(
         key=TaskKey('a1', 0, 0, 0),
         attempt=1,
@@ -32,8 +32,8 @@
         checkpointable=checkpointable,
         state=RUNNING,
         now_s=100.0,
-        estimate_s=0.0 if lasting else 10.0,
-        lasting=lasting,
+        estimate_s=0.0 if perpetual else 10.0,
+        perpetual=perpetual,
     )
     run.age_s = age_s
     run.done_percent = done_percent
@@ -42,17 +42,17 @@
 
 
 class MoveTest(unittest.TestCase):
-    """Expected ends here and elsewhere."""
+    """The expected remaining times on its worker and elsewhere."""
 
-    def test_a_run_on_a_worker_found_to_be_slow_is_moved(self) -> None:
-        """It has only just begun, and would go on for 18 s."""
+    def test_a_run_on_a_slow_worker_is_moved(self) -> None:
+        """It has only just started, and would take another 18 s."""
         found = move_of(a_run(age_s=2.0, done_percent=10), 0.45, LEFT_S)
         assert found is not None
         self.assertEqual(found.reason, SLOW)
         self.assertAlmostEqual(found.here_s, 18.0)
         self.assertAlmostEqual(found.elsewhere_s, 9.3)
 
-    def test_a_run_that_ends_in_time_all_the_same_stays(self) -> None:
+    def test_a_run_that_still_ends_in_time_stays(self) -> None:
         """Its job has much slack."""
         self.assertIsNone(move_of(a_run(age_s=2, done_percent=10), 0.45, 20))
 
@@ -60,14 +60,14 @@
         """Nothing would be gained."""
         self.assertIsNone(move_of(a_run(age_s=2, done_percent=10), 0.45, 9))
 
-    def test_a_run_that_has_come_far_stays(self) -> None:
-        """All of its work would be done again."""
+    def test_a_run_with_much_progress_stays(self) -> None:
+        """All of its work would be repeated."""
         self.assertIsNone(
             move_of(a_run(age_s=9, done_percent=45), 0.45, LEFT_S)
         )
 
     def test_with_a_checkpoint_it_is_moved_later(self) -> None:
-        """Only the newest work is done again."""
+        """Only the newest work is repeated."""
         run = a_run(age_s=9, done_percent=45, checkpointable=True)
         found = move_of(run, 0.45, LEFT_S)
         assert found is not None
@@ -85,7 +85,7 @@
         *,
         checkpointable: bool,
     ) -> None:
-        """It is as long elsewhere."""
+        """It takes as long elsewhere."""
         run = a_run(
             age_s=age_s,
             done_percent=done_percent,
@@ -93,10 +93,10 @@
         )
         self.assertIsNone(move_of(run, 1.0, LEFT_S))
 
-    def test_what_lasts_and_what_ends_soon_stays(self) -> None:
-        """On however slow a worker."""
-        lasting = a_run(age_s=2.0, done_percent=10, lasting=True)
-        self.assertIsNone(move_of(lasting, 0.3, LEFT_S))
+    def test_perpetual_and_almost_done_runs_stay(self) -> None:
+        """However slow the worker is."""
+        perpetual = a_run(age_s=2.0, done_percent=10, perpetual=True)
+        self.assertIsNone(move_of(perpetual, 0.3, LEFT_S))
         self.assertIsNone(
             move_of(a_run(age_s=0.2, done_percent=20), 0.3, LEFT_S)
         )
@@ -104,7 +104,7 @@
             move_of(a_run(age_s=9.0, done_percent=100), 0.3, LEFT_S)
         )
 
-    def test_a_run_that_stands_still_is_moved_once_that_costs_as_much(
+    def test_a_stalled_run_is_moved_once_that_costs_as_much(
         self,
     ) -> None:
         """It did all its work in the first second."""
@@ -118,19 +118,19 @@
 
 
 class MovedTest(unittest.TestCase):
-    """A leader that finds a worker to be slow."""
+    """A leader that detects a slow worker."""
 
-    def test_a_task_leaves_a_slow_worker_for_a_free_one(self) -> None:
+    def test_a_task_is_moved_from_a_slow_worker_to_a_free_one(self) -> None:
         """It was started there while the others were full."""
 
         async def case(domain: Domain) -> None:
             slow = domain.workers['w3']
             slow.run_s = SLOW_S
-            await busy(domain)
+            await run_many_steps(domain)
             host = domain.hosts['h1']
             for worker in domain.workers.values():
                 worker.run_s = 20.0 if worker is slow else 9.0
-                worker.lengths_s = {
+                worker.run_s_by_task = {
                     TaskKey('fill', 0, 0, rank): 2.0 for rank in range(56)
                 }
             usual = Step(width=56, needs=ONE_GPU, estimate_s=20.0)
