--- a/src/curranthill/dispatch/election.py
+++ b/src/curranthill/dispatch/election.py
@@ -137,7 +137,7 @@
                 row = await self._store.read(tables.LEADER, tables.LEADER_KEY)
             except StorageError as error:
                 self._health.record_failure(error)
-                self.forecasts.missed()
+                self.forecasts.record_lost_reply()
                 pause_s = FAILED_POLL_S * random.uniform(0.8, 1.2)
             else:
                 self._health.record_reply()
--- a/src/curranthill/dispatch/forecasts.py
+++ b/src/curranthill/dispatch/forecasts.py
@@ -114,12 +114,12 @@
         self._epoch = 0
         self._forecast: Forecast | None = None
         self._since_s = 0.0
-        self._missed_s = -REFUSAL_PAUSE_S
+        self._lost_reply_s = -REFUSAL_PAUSE_S
 
     def newest(self) -> tuple[Forecast | None, float]:
         """Return the newest forecast and its age in seconds."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._missed_s < REFUSAL_PAUSE_S:
+        if now_s - self._lost_reply_s < REFUSAL_PAUSE_S:
             return (None, 0.0)
         return (self._forecast, now_s - self._since_s)
 
@@ -138,9 +138,9 @@
         self._forecast = _decoded(content)
         self._since_s = self._clock.monotonic_s()
 
-    def missed(self) -> None:
+    def record_lost_reply(self) -> None:
         """Record a failed read, or a write without a response."""
-        self._missed_s = self._clock.monotonic_s()
+        self._lost_reply_s = self._clock.monotonic_s()
 
 
 def _decoded(content: Any) -> Forecast | None:
--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -72,7 +72,7 @@
     def newest(self) -> tuple[Forecast | None, float]:
         """Return the latest forecast, if any, and its age in seconds."""
 
-    def missed(self) -> None:
+    def record_lost_reply(self) -> None:
         """Record a call to the store that got no reply."""
 
 
@@ -120,7 +120,7 @@
         if not stored:
             # The job may still be stored. This suspends load shedding, so that
             # a repeated request is not soon refused as not run.
-            self._forecasts.missed()
+            self._forecasts.record_lost_reply()
             raise self._refusal(spec, None, uncertain=True)
         insertion.result()
 
