--- a/src/curranthill/entry/job_handler.py
+++ b/src/curranthill/entry/job_handler.py
@@ -155,15 +155,15 @@
                 events.log('cancel_stored', job=job_id)
                 return True
 
-    async def pending(self, queue: Queue, *, count_afresh: bool) -> int:
+    async def pending(self, queue: Queue, *, recount: bool) -> int:
         """Return how many jobs of a queue have not started.
 
-        :param count_afresh: whether to count the rows instead of reading the
+        :param recount: whether to count the rows instead of reading the
             leader's count, which may be outdated.
         :raises RefusedError: if the store cannot be read.
         """
         try:
-            if count_afresh:
+            if recount:
                 return await self._count(queue.name)
             row = await self._store.read(tables.LEADER, tables.PENDING_KEY)
             counts = decode(row.content, dict[str, int]) if row else {}
--- a/src/curranthill/platform/caller_api.py
+++ b/src/curranthill/platform/caller_api.py
@@ -109,7 +109,7 @@
         if request.method == 'GET':
             count = await self._job_handler.pending(
                 target.queue,
-                count_afresh=self._counts_outdated(),
+                recount=self._counts_outdated(),
             )
             return _json({'pending': count})
         raise RefusedError(
--- a/tests/test_job_handler.py
+++ b/tests/test_job_handler.py
@@ -64,7 +64,7 @@
                 await host.during(host.handler.state('a1')), 'queued'
             )
             self.assertIsNone(await host.during(host.handler.state('a2')))
-            pending = host.handler.pending(make_queue(), count_afresh=True)
+            pending = host.handler.pending(make_queue(), recount=True)
             self.assertEqual(await host.during(pending), 1)
             self.assertTrue(await host.during(host.handler.cancel('a1')))
             self.assertFalse(await host.during(host.handler.cancel('a2')))
