--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -25,7 +25,8 @@
 from curranthill.standin.task_worker import TaskWorkerModel
 from curranthill.tasks import TaskKey
 from tests.domain import WORKER_CAPACITY, Domain, in_domain, make_spec
-from tests.support import ManualClock, run as run_to_end
+from tests.support import ManualClock
+from tests.support import run as run_to_end
 from tests.test_session import (
     OvertakingWorker,
     Owner,
