--- a/tests/domain.py
+++ b/tests/domain.py
@@ -498,9 +498,9 @@
         )
 
     @property
-    def led_s(self) -> dict[int, list[float]]:
+    def leader_writes_s(self) -> dict[int, list[float]]:
         """Return the times at which this host wrote as a leader, by epoch."""
-        return self._store.led_s
+        return self._store.leader_writes_s
 
     async def accept(self, spec: JobSpec) -> None:
         """Accept a job while time advances."""
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -95,13 +95,13 @@
 class HostStore:
     """The store as called by a host that may be suspended.
 
-    :param led_s: when this host sent its writes as a leader, by epoch; only
-        confirmed ones.
+    :param leader_writes_s: when this host sent its writes as a leader, by
+        epoch; only confirmed ones.
     """
 
     def __init__(self, *, store: RowStore, clock: HostClock) -> None:
         """Initialize without writes."""
-        self.led_s: dict[int, list[float]] = {}
+        self.leader_writes_s: dict[int, list[float]] = {}
         self._store = store
         self._clock = clock
 
@@ -126,7 +126,7 @@
         for put in puts:
             if (put.table, put.key) == (tables.LEADER, tables.LEADER_KEY):
                 epoch = decode(put.content, LeaderRow).epoch
-                self.led_s.setdefault(epoch, []).append(sent_s)
+                self.leader_writes_s.setdefault(epoch, []).append(sent_s)
         return version
 
     async def read(self, table: str, key: str) -> StoredRow | None:
--- a/tests/test_closed_data_centres.py
+++ b/tests/test_closed_data_centres.py
@@ -225,7 +225,7 @@
 class RowsTest(unittest.TestCase):
     """Interpretation of the operators' rows."""
 
-    def closures(self) -> ClosedDataCentres:
+    def make_closed_data_centres(self) -> ClosedDataCentres:
         """Return closed data centres whose rows were read just now."""
         clock = ManualClock()
         found = ClosedDataCentres(
@@ -238,7 +238,7 @@
 
     def test_several_are_closed_and_opened_separately(self) -> None:
         """One is closed again as soon as it was reopened."""
-        found = self.closures()
+        found = self.make_closed_data_centres()
         found.apply_changes(
             (closing('evacuate/a', 1), closing('evacuate/b', 2)),
         )
@@ -254,14 +254,14 @@
 
     def test_a_snapshot_opens_data_centres_that_it_lacks(self) -> None:
         """The removal was in the lost part of the feed's history."""
-        found = self.closures()
+        found = self.make_closed_data_centres()
         found.replace_all((closing('evacuate/a', 1), closing('config', 2)))
         found.replace_all((closing('evacuate/c', 4),))
         self.assertEqual(list(found.closed), ['c'])
 
     def test_malformed_records_have_no_other_effect(self) -> None:
         """A record without a name is ignored; a key without content closes."""
-        found = self.closures()
+        found = self.make_closed_data_centres()
         broken = StoredRow('op', 'evacuate/b', b'[1, "no map"', 3)
         found.apply_changes((closing('evacuate/', 1), broken))
         self.assertEqual(list(found.closed), ['b'])
@@ -269,7 +269,7 @@
 
     def test_a_data_centre_without_workers_may_be_closed(self) -> None:
         """This has no effect on others."""
-        found = self.closures()
+        found = self.make_closed_data_centres()
         found.apply_changes((closing('evacuate/nowhere', 1),))
         self.assertTrue(found.allows_starts('a'))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -337,9 +337,9 @@
             with self.assertRaises(WorkerUnreachableError):
                 await closed.stop(TASK, 1, 8)
             testbed.worker.disconnected = True
-            silent = connector.connect(testbed.entry)
+            unresponsive = connector.connect(testbed.entry)
             with self.assertRaises(WorkerReplyLostError):
-                await silent.stop(TASK, 1, 8)
+                await unresponsive.stop(TASK, 1, 8)
 
         on_testbed(case)
 
--- a/tests/test_suspended_hosts.py
+++ b/tests/test_suspended_hosts.py
@@ -60,7 +60,7 @@
     for order in host.orders:
         epoch = order.token // TOKENS_PER_EPOCH
         stored_s = max(
-            (one for one in host.led_s[epoch] if one <= order.sent_s),
+            (one for one in host.leader_writes_s[epoch] if one <= order.sent_s),
             default=0.0,
         )
         age_s = order.sent_s - stored_s
