--- a/bench/crashes.py
+++ b/bench/crashes.py
@@ -1,6 +1,6 @@
 """Measures what tasks that crash their workers cost the other jobs.
 
-    python -m bench.crashes [--seed N] [--no-limit]
+    python -m bench.crashes [--seed N] [--seeds N] [--no-limit]
 
 Random jobs of one task each run on 24 workers of eight accelerators, with the
 real leader, the stand-in's workers and a manual clock. Some of the tasks crash
--- a/bench/load_shedding.py
+++ b/bench/load_shedding.py
@@ -122,7 +122,7 @@
         """Return what a job earned."""
         return self._earned(job_id, self._drawn_jobs[job_id])
 
-    def infeasible(self) -> int:
+    def count_worthless(self) -> int:
         """Return how many jobs earned nothing."""
         return sum(1 for job_id in self._drawn_jobs if not self.earned(job_id))
 
@@ -157,7 +157,7 @@
         refused=len(shedding.refused),
         refusals=shedding.refusals,
         refused_worth=sum(plain.earned(one) for one in shedding.refused),
-        worthless=plain.infeasible(),
+        worthless=plain.count_worthless(),
     )
 
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -274,14 +274,14 @@
 
 def main() -> None:
     """Run all measurements."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument('--requests', type=int, default=300)
-    chosen = options.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument('--requests', type=int, default=300)
+    options = parser.parse_args()
     deployment = Deployment()
     deployment.build()
     print_imports(deployment)
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(print_hosts(deployment, Path(folder), chosen.requests))
+        asyncio.run(print_hosts(deployment, Path(folder), options.requests))
 
 
 if __name__ == '__main__':
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -63,9 +63,9 @@
     :param placement: placement settings of the schedulers.
     :param leases: lease settings of the schedulers.
     :param writes_per_s: each daemon's limit of writes; the table accepts ten
-        times a daemon's default, or four times a higher limit.
-    :param cut_off: a URL that does not respond, by each data centre that is cut
-        off from the platform.
+        times the default, or four times this limit if that is more.
+    :param cut_off: the data centres that are cut off from the platform, each
+        with a URL that does not respond and that they use instead.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
             if name != 'operator':
                 self.restart(name)
         self._wait_until(self._are_gateways_ready)
-        self._wait_until(self._has_every_data_centre_a_leader)
+        self._wait_until(self._every_data_centre_has_leader)
 
     def restart(self, name: str) -> None:
         """Start a process by its name, for the first time or after its end."""
@@ -134,7 +134,7 @@
             self.running[name].wait()
 
     def stop(self) -> None:
-        """Kill all processes that were started, also paused ones."""
+        """Kill all processes that were started, including paused ones."""
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -233,7 +233,7 @@
             get_json(f'{gateway}/ready')['ready'] for gateway in self.gateways
         )
 
-    def _has_every_data_centre_a_leader(self) -> bool:
+    def _every_data_centre_has_leader(self) -> bool:
         """Return whether each connected data centre has an active scheduler."""
         status = subprocess.run(  # noqa: S603
             [
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -271,7 +271,7 @@
     workspace: str
 
     def objective_s(self) -> float:
-        """Return its objective, computed from its true run time."""
+        """Return when it should complete, computed from its true run time."""
         slack_s = self.kind.slack_factor * self.run_s
         return self.arrives_s + slack_s + self.kind.target_s
 
@@ -281,6 +281,10 @@
 
     :param worth: the weighted credit, less the penalty for wasted work.
     :param credit: the earned share of the credit that was possible.
+    :param urgent: this share for jobs of priority 0, as ``middle`` for priority
+        1 and ``low`` for priority 2.
+    :param wasted_share: the share of all core-seconds that was wasted.
+    :param starts_a_job: the mean number of started runs per job.
     :param stops: runs that were stopped for others.
     :param late_middle: the share of jobs of priority 1 that were late.
     :param worst_workspace: the smallest share of its possible credit that a
@@ -381,7 +385,7 @@
             while at_s < DAY_S:
                 rate = load.rate * kind.per_worker_s * workers
                 if kind.priority == 0:
-                    rate *= _burst_at(load, at_s)
+                    rate *= _burst_factor_at(load, at_s)
                 at_s += self._rng.expovariate(rate)
                 self._draw_job(kind, at_s)
 
@@ -686,7 +690,7 @@
         return 0.0
 
 
-def _burst_at(load: Load, at_s: float) -> float:
+def _burst_factor_at(load: Load, at_s: float) -> float:
     for began_s, ended_s, factor in load.bursts:
         if began_s <= at_s < ended_s:
             return factor
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -84,14 +84,14 @@
     """The resource usage of one process, as the kernel counts it."""
 
     cpu_s: float
-    moved_bytes: int
+    transferred_bytes: int
     resident_bytes: int
 
 
 def read_usage(pid: int) -> ProcessUsage:
     """Return the resource usage of a process."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
-    moved = dict(
+    transferred = dict(
         line.split(': ')
         for line in Path(f'/proc/{pid}/io').read_text().splitlines()
     )
@@ -99,26 +99,26 @@
     resident = re.search(r'VmRSS:\s+(\d+) kB', status)
     return ProcessUsage(
         cpu_s=(int(fields[11]) + int(fields[12])) / TICKS_PER_S,
-        moved_bytes=int(moved['rchar']) + int(moved['wchar']),
+        transferred_bytes=int(transferred['rchar']) + int(transferred['wchar']),
         resident_bytes=int(resident[1]) * 1024 if resident else 0,
     )
 
 
 def measure_daemons(processes: Processes) -> dict[str, Any]:
-    """Return the resource usage of each daemon without arriving requests."""
+    """Return the resource usage of each daemon while no requests arrive."""
     names = [name for name in processes.running if '/' in name]
     before = {name: read_usage(processes.running[name].pid) for name in names}
     time.sleep(MEASURE_S)
     costs: dict[str, Any] = {}
     for name in names:
         after = read_usage(processes.running[name].pid)
-        moved = after.moved_bytes - before[name].moved_bytes
+        transferred = after.transferred_bytes - before[name].transferred_bytes
         costs[name] = {
             'resident_mb': round(after.resident_bytes / 2**20, 1),
             'cpu_share': round(
                 (after.cpu_s - before[name].cpu_s) / MEASURE_S, 4
             ),
-            'bytes_per_s': round(moved / MEASURE_S),
+            'bytes_per_s': round(transferred / MEASURE_S),
         }
     return costs
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -71,7 +71,7 @@
         async with aiohttp.ClientSession() as session:
             deadline_s = time.monotonic() + DURATION_S
             await asyncio.gather(
-                self._submit(session, deadline_s),
+                self._submit_jobs(session, deadline_s),
                 self._send_quick_requests(session, deadline_s),
                 self._inject_faults(deadline_s),
             )
@@ -79,7 +79,7 @@
             states = await self._await_ends(session)
         return self._summarize(states)
 
-    async def _submit(
+    async def _submit_jobs(
         self,
         session: aiohttp.ClientSession,
         deadline_s: float,
@@ -88,7 +88,7 @@
         while time.monotonic() < deadline_s:
             number += 1
             workspace, kind, run_s, idempotent = self._rng.choice(JOB_KINDS)
-            await self._accept(
+            await self._submit_job(
                 session,
                 workspace,
                 kind,
@@ -97,7 +97,7 @@
             )
             await asyncio.sleep(0.15)
 
-    async def _accept(
+    async def _submit_job(
         self,
         session: aiohttp.ClientSession,
         workspace: str,
--- a/bench/soak_closures.py
+++ b/bench/soak_closures.py
@@ -8,15 +8,16 @@
 from curranthill.storage.rows import RowPut, RowRemoval
 from curranthill.tasks import Timing
 
-#: How late a start that a disturbed connection delayed is delivered at most, in
-#: seconds: the longest disturbance and a response.
+#: The longest time by which a disturbed connection delays a start, in seconds:
+#: the longest disturbance and a response.
 MAX_START_DELAY_S: Final = 5.0
 
 
 class SoakClosures:
     """Closes and opens data centres, and checks the starts there.
 
-    :param late_starts: one sentence for each start after the bound.
+    :param late_starts: one sentence for each start that came too late after its
+        data centre was closed.
     """
 
     def __init__(
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -14,7 +14,7 @@
 
 Fault = Callable[['Soak'], Coroutine[Any, Any, None]]
 
-#: All faults by name: that of the function that injects the fault.
+#: All faults by the names of the functions that inject them.
 FAULTS: Final[dict[str, Fault]] = {}
 
 MODES: Final[tuple[Mode, ...]] = (
@@ -184,7 +184,7 @@
 
 @register_fault
 async def worker_shrinks(soak: 'Soak') -> None:
-    """Reduce a worker's accelerators and restore them, once or thrice."""
+    """Reduce a worker's accelerators and restore them, once or three times."""
     name = soak.workers.draw_worker()
     for _ in range(soak.rng.choice((1, 3))):
         soak.workers.resize(name, soak.rng.randrange(WORKER_CAPACITY.gpus))
--- a/bench/soak_gangs.py
+++ b/bench/soak_gangs.py
@@ -1,7 +1,7 @@
 """Callers of a soak that submit gangs and long tasks.
 
 Some gangs need more workers than there are. Such a gang may be refused or wait
-for ever, and must not delay other jobs.
+forever, and must not delay other jobs.
 """
 
 import asyncio
--- a/bench/soak_hosts.py
+++ b/bench/soak_hosts.py
@@ -183,7 +183,7 @@
             clock=SystemClock(),
         )
         self._gangs = gangs
-        self._gang_calls: list[asyncio.Task[None]] = []
+        self._gang_tasks: list[asyncio.Task[None]] = []
         self._last_fault_s = 0.0
         self._active_faults: set[asyncio.Task[None]] = set()
         self._hosts = hosts
@@ -222,7 +222,7 @@
         }
 
     def write_configuration(self) -> None:
-        """Write the next revision of the configuration."""
+        """Write the next version of the configuration."""
         self.revisions.write()
 
     def draw_host(self) -> int:
@@ -257,7 +257,7 @@
         self._spawn(self._waits.run())
         self._spawn(self._callers.run())
         if self._gangs:
-            self._gang_calls.append(self._spawn(self._gang_callers.run()))
+            self._gang_tasks.append(self._spawn(self._gang_callers.run()))
         self._spawn(self.revisions.run())
 
     def _write_settings(self, number: int, proxy: Proxy) -> str:
@@ -376,9 +376,7 @@
                 break
             await asyncio.sleep(0.1)
         self._gang_callers.stopped.set()
-        await asyncio.gather(*self._gang_calls)
-
-    # Invariants.
+        await asyncio.gather(*self._gang_tasks)
 
     async def _check_periodically(self) -> None:
         while True:
--- a/bench/soak_waits.py
+++ b/bench/soak_waits.py
@@ -147,7 +147,7 @@
 
     @property
     def waited(self) -> set[str]:
-        """Return the jobs that waited after recovery, fitting or not."""
+        """Return the jobs that waited after recovery, even without capacity."""
         return self._waited
 
     @property
--- a/bench/soak_workers.py
+++ b/bench/soak_workers.py
@@ -35,8 +35,8 @@
     :param proxies: the proxy in front of each listed worker.
     :param crashing: tasks that crash each worker that starts them.
     :param run_s_by_task: run times of tasks that override their worker's.
-    :param last_disturbance_s: when a worker last restarted after a crash, on
-        the monotonic clock.
+    :param last_disturbance_s: when a crashed worker was last restarted or
+        replaced, on the monotonic clock.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
 
     @property
     def since_disturbance_s(self) -> float:
-        """Return the time since the last restart, in seconds.
+        """Return the time since the last restart after a crash, in seconds.
 
         It is 0 while a crashed worker has not restarted.
         """
--- a/bench/time_bounds.py
+++ b/bench/time_bounds.py
@@ -19,14 +19,16 @@
 from curranthill.load import percentile
 
 URGENT_GANGS = 12
-BOUND_S = 3.3
+MAX_START_S = 3.3
 CHANGES = 50
 MAX_APPLY_S = 11.0
 CONFIGURATION_FOLDER = ROOT / 'examples' / 'tenggara' / 'configuration'
 
 
 async def measure_urgent_gangs(processes: Processes) -> dict[str, Any]:
-    """Measure the starts of guaranteed gangs while other work uses all slots.
+    """Measure the starts of guaranteed gangs while all slots are in use.
+
+    They are used by work of another workspace beyond its guarantees.
 
     The workers record starts by the monotonic clock of the machine, which this
     process reads too.
@@ -52,8 +54,8 @@
         'free_slots_before': free,
         'p50_s': round(percentile(times_s, 0.5), 3),
         'worst_s': round(max(times_s), 3),
-        'past_bound': sum(one > BOUND_S for one in times_s),
-        'bound_s': BOUND_S,
+        'past_bound': sum(one > MAX_START_S for one in times_s),
+        'bound_s': MAX_START_S,
     }
 
 
--- a/src/curranthill/load/workload.py
+++ b/src/curranthill/load/workload.py
@@ -8,11 +8,14 @@
 class Stream(NamedTuple):
     """The requests of one kind in one workspace.
 
-    :param rate_per_s: the mean arrivals per second of compressed time.
-    :param run_s: the median run time, in seconds of compressed time.
+    A workload may be compressed in time, for example an hour into a second; all
+    times and rates are then those of the compressed time.
+
+    :param rate_per_s: the mean arrivals per second.
+    :param run_s: the median run time, in seconds.
     :param spread: the sigma of the log-normal distribution of run times; the
         run time that a kind declares is off by as much.
-    :param burst_every_s: the mean time between bursts; 0 for none.
+    :param burst_every_s: the mean time between bursts, in seconds; 0 for none.
     :param burst_size: the number of arrivals in a burst.
     :param fail_share: the share of requests that fail on every worker.
     :param cancel_share: the share of requests that their callers cancel.
@@ -32,10 +35,10 @@
 class Workload(NamedTuple):
     """All streams of requests and their duration.
 
-    :param duration_s: how long requests arrive.
-    :param drain_s: how long to wait for their ends afterwards.
-    :param cancel_wave_s: when all callers that cancel do so at once; 0 lets
-        each cancel at half of its run time.
+    :param duration_s: how long requests arrive, in seconds.
+    :param drain_s: how long to wait for their ends afterwards, in seconds.
+    :param cancel_wave_s: when all callers that cancel do so at once, in seconds
+        from the start; 0 lets each cancel after half of its run time.
     """
 
     duration_s: float
--- a/src/curranthill/standin/server.py
+++ b/src/curranthill/standin/server.py
@@ -360,7 +360,7 @@
     worker: WorkerModel,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Handle a worker's call, within its connection limit and its faults."""
+    """Handle a call to a worker, with its connection limit and its faults."""
     if worker.connections_in_use >= worker.connections:
         return web.Response(status=503, text='connections taken')
     worker.connections_in_use += 1
--- a/src/curranthill/standin/task_worker.py
+++ b/src/curranthill/standin/task_worker.py
@@ -1,7 +1,8 @@
 """An in-memory worker that runs tasks under a lease and fencing tokens.
 
-Like a real worker it neither checks its capacity nor prevents a second run of
-a task; it only remembers the highest fencing token and the lease.
+Like a real worker it neither checks its capacity nor prevents that two attempts
+of a task run; it only remembers the highest fencing token, the lease, and which
+attempts ran or were stopped.
 """
 
 import asyncio
@@ -71,15 +72,16 @@
     :param renewal_rejection: the reason for which every renewal is rejected,
         or empty.
     :param crashing: tasks that crash the worker.
-    :param crash_after_s: how long after the start of such a task, in seconds.
+    :param crash_after_s: how long after its start such a task crashes the
+        worker, in seconds.
     :param crashes: the task of each crash, in order.
     :param lost_runs: the task of each run that a crash or restart ended.
-    :param lost_run_time_s: seconds of run time that crashes cost tasks that
-        are not in ``crashing``.
+    :param lost_run_time_s: the run time, in seconds, that tasks that are not in
+        ``crashing`` lost by crashes.
     :param down: whether the worker has crashed and not restarted yet, so that
         calls do not reach it.
     :param on_crash: called after each crash; it has to restart the worker.
-    :param peak_runs: the most runs at any time.
+    :param peak_runs: the most runs at the same time so far.
     """
 
     def __init__(
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -48,8 +48,8 @@
 #: last fault, with 36 to 40 of 40 accelerators in use all the time; now it
 #: waits for as long as jobs end. 7305: a restarted host started tasks in a
 #: closed data centre before it had read the operators' rows, since the soak did
-#: not set the bound that it checks; with it, no task starts while these rows
-#: are unknown.
+#: not set the bound that it checks. It now sets this bound, and no task starts
+#: while these rows are unknown.
 SEEDS = (
     (1, 6.0, ()),
     (2, 6.0, ()),
--- a/tests/test_soak_waits.py
+++ b/tests/test_soak_waits.py
@@ -67,12 +67,12 @@
         if expired:
             self.workers[0].expired_ends.add(end)
 
-    def violations_after(self, seconds_s: float) -> list[str]:
+    def violations_after(self, delay_s: float) -> list[str]:
         """Check twice, some seconds apart; return the violations."""
 
         async def check_twice() -> None:
             await self.checker.check()
-            await self.clock.advance(seconds_s)
+            await self.clock.advance(delay_s)
             await self.checker.check()
 
         run(check_twice())
