--- a/bench/full_cluster.py
+++ b/bench/full_cluster.py
@@ -66,7 +66,7 @@
     """The state of a random cluster at one moment.
 
     :param runs: the runs of each worker.
-    :param failure_scores: by worker.
+    :param failure_scores: the failure score of each worker.
     :param jobs: jobs that run or wait.
     """
 
